--- a/bench/capacity/capacity_routing.py
+++ b/bench/capacity/capacity_routing.py
@@ -241,13 +241,13 @@
 def collecting() -> list[_Slope]:
     """Take the load reports of one pool's owners."""
     clock = _clock.SystemClock()
-    collector = _group_load.Collector(clock=clock, interval=0.1)
+    collector = _group_load.LoadCollector(clock=clock, interval=0.1)
     daemons = sizes.daemon_ids(_PER_POOL)
     reports = [_report(number) for number in range(_PER_POOL)]
 
     def take_all() -> None:
         for daemon, report in zip(daemons, reports):
-            collector.take(daemon, report)
+            collector.add_report(daemon, report)
 
     take_all()
     micros = sizes.processor_micros(take_all, count=_PER_POOL)
@@ -284,7 +284,7 @@
         half minute.
     """
     clock = _SteppedClock()
-    collector = _group_load.Collector(clock=clock, interval=0.1)
+    collector = _group_load.LoadCollector(clock=clock, interval=0.1)
     owners = _ownership.Ownership()
     owners.update(
         daemons=sizes.daemon_ids(), replicas=sizes.replica_ids(_PER_POOL)
@@ -302,7 +302,7 @@
     while due[0][0] < _SETTLE_SECONDS:
         clock.seconds, owner = due[0]
         report = messages.LoadReport(group="pool-00", loads=loads[owner])
-        summary = collector.take(owner, report)
+        summary = collector.add_report(owner, report)
         if clock.seconds > _SETTLE_SECONDS / 2:
             seen.append(summary)
         heapq.heapreplace(due, (clock.seconds + summary.interval, owner))
--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -16,7 +16,7 @@
 from topazlug.limits import _quotas
 from topazlug.membership import _facts
 from topazlug.membership import _members
-from topazlug.routing import _displaced
+from topazlug.routing import _displaced_chats
 from topazlug.routing import _ledger
 from topazlug.routing import _ownership
 from topazlug.store import _instances
@@ -231,7 +231,7 @@
                     _ids.DaemonId(f"daemon-{number:04}"),
                     _ids.AskNumber(10**6 + number),
                 )
-                held = _ledger.Held(
+                held = _ledger.LedgerEntry(
                     weight=1, team=_ids.TeamName(f"t-{number}"), batch=False
                 )
                 ledger.hold(key, held)
@@ -258,8 +258,8 @@
 def displaced() -> list[_Slope]:
     """Hold displaced chats as they arrive from peers."""
 
-    def chats() -> _displaced.DisplacedChats:
-        made = _displaced.DisplacedChats(capacity=_DISPLACED)
+    def chats() -> _displaced_chats.DisplacedChats:
+        made = _displaced_chats.DisplacedChats(capacity=_DISPLACED)
         for number in range(_DISPLACED):
             made.note(_displaced_entry(number))
         return made
--- a/src/topazlug/_daemon.py
+++ b/src/topazlug/_daemon.py
@@ -31,8 +31,8 @@
 from topazlug.crashes import _crash_guard
 from topazlug.crashes import _kept_notes
 from topazlug.crashes import _told_notes
-from topazlug.routing import _place
-from topazlug.routing import _routing_parts
+from topazlug.routing import _placement
+from topazlug.routing import _routing_assembly
 from topazlug.targets import _target_gauges
 from topazlug.telemetry import _metrics
 
@@ -69,7 +69,7 @@
             settings.daemon.zone,
         )
         self.fleet = _fleet_parts.FleetParts(settings=settings, clock=clock)
-        self.routing = _routing_parts.RoutingParts(
+        self.routing = _routing_assembly.RoutingAssembly(
             settings=settings, fleet=self.fleet, clock=clock
         )
         self._build_guard()
@@ -222,7 +222,7 @@
             return False
         return self.fleet.instances.refreshed_at is not None
 
-    def _count_retry(self, request: _place.PlaceRequest) -> None:
+    def _count_retry(self, request: _placement.PlacementRequest) -> None:
         request_class = table.RequestClass.interactive
         if request.batch:
             request_class = table.RequestClass.batch
@@ -233,8 +233,8 @@
         owner = self.routing.owner
         watch(_metrics.Gauge.QUEUED, owner.waiting)
         by_group = self.metrics.watch_by_group
-        by_group(_metrics.Gauge.MEAN_LOAD, owner.accounts.mean_by_group)
-        by_group(_metrics.Gauge.SKEW, owner.accounts.skew_by_group)
+        by_group(_metrics.Gauge.MEAN_LOAD, owner.group_limits.mean_by_group)
+        by_group(_metrics.Gauge.SKEW, owner.group_limits.skew_by_group)
         watch(_metrics.Gauge.IN_FLIGHT, lambda: self.app.in_progress)
         watch(_metrics.Gauge.CONNECTIONS, lambda: self.callers.connections)
         watch(
--- a/src/topazlug/administration/_fleet_status.py
+++ b/src/topazlug/administration/_fleet_status.py
@@ -91,9 +91,9 @@
                 replica=ledger.replica,
                 group=ledger.group,
                 load=ledger.load,
-                limit=self._owner.accounts.limit(ledger.group),
+                limit=self._owner.group_limits.limit(ledger.group),
                 slots=ledger.slots,
-                waiting=len(ledger.waiting_by_key),
+                waiting=len(ledger.queued_by_key),
             )
             for ledger in self._owner.ledger_by_replica.values()
         ]
--- a/src/topazlug/calls/_attempts.py
+++ b/src/topazlug/calls/_attempts.py
@@ -11,7 +11,7 @@
 from topazlug import _clock
 from topazlug import _errors
 from topazlug import _ids
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_client
 from topazlug.targets import _targets
 
@@ -60,11 +60,11 @@
     def __init__(
         self,
         *,
-        admission: _place.Admission,
+        admission: _placement.Admission,
         targets: _targets.TargetDirectory,
         budget: Budget,
         clock: _clock.Clock,
-        count_retry: Callable[[_place.PlaceRequest], None],
+        count_retry: Callable[[_placement.PlacementRequest], None],
     ) -> None:
         self._count_retry = count_retry
         self._admission = admission
@@ -74,8 +74,8 @@
 
     def run(
         self,
-        request: _place.PlaceRequest,
-        attempt: Callable[[_place.Place], ResultT],
+        request: _placement.PlacementRequest,
+        attempt: Callable[[_placement.Placement], ResultT],
         *,
         repeatable: bool,
         may_repeat: MayRepeat | None = None,
@@ -86,7 +86,7 @@
 
         Parameters
         ----------
-        request : PlaceRequest
+        request : PlacementRequest
             What needs a place.
         attempt : callable
             Makes one attempt; it owns the place once it returns, and this
@@ -149,10 +149,10 @@
 
     def _admit(
         self,
-        request: _place.PlaceRequest,
+        request: _placement.PlacementRequest,
         excluded: frozenset[_ids.ReplicaId],
         before: _errors.RequestError | None,
-    ) -> _place.Place:
+    ) -> _placement.Placement:
         """Find a place; a repeat that finds none tells what broke before."""
         wanted = msgspec.structs.replace(
             request,
@@ -167,13 +167,13 @@
             raise before from None
 
     def _connect_failed(
-        self, place: _place.Place, error: _target_client.ConnectFailed
+        self, place: _placement.Placement, error: _target_client.ConnectFailed
     ) -> _errors.RequestError:
         self._targets.avoid(place.target.replica)
         return _errors.NoTarget(error.message, retry_after=1.0)
 
     def _refused(
-        self, place: _place.Place, error: _errors.TargetRefused
+        self, place: _placement.Placement, error: _errors.TargetRefused
     ) -> _errors.TargetRefused:
         """Tell a caller to come back no sooner than a target takes work."""
         wait = self._targets.seconds_until_usable(place.target.group)
--- a/src/topazlug/calls/_call_parts.py
+++ b/src/topazlug/calls/_call_parts.py
@@ -7,7 +7,7 @@
 from topazlug.calls import _attempts
 from topazlug.crashes import _crash_guard
 from topazlug.limits import _quotas
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_client
 from topazlug.telemetry import _metrics
 
@@ -36,7 +36,7 @@
     """
 
     attempts: _attempts.Attempts
-    admission: _place.Admission
+    admission: _placement.Admission
     connections: _target_client.TargetConnections
     quotas: _quotas.Quotas
     limits: settings.LimitSettings
--- a/src/topazlug/calls/_call_path.py
+++ b/src/topazlug/calls/_call_path.py
@@ -19,11 +19,13 @@
 from topazlug.callers import _caller_request
 from topazlug.calls import _call_parts
 from topazlug.limits import _quotas
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_answer
 from topazlug.targets import _target_client
 
-Attempt = Callable[[_place.Place, _quotas.Ticket], _caller_answer.CallerAnswer]
+Attempt = Callable[
+    [_placement.Placement, _quotas.Ticket], _caller_answer.CallerAnswer
+]
 
 
 @final
@@ -46,7 +48,7 @@
 
     def run(
         self,
-        wanted: _place.PlaceRequest,
+        wanted: _placement.PlacementRequest,
         caller: _caller_request.Caller,
         attempt: Attempt,
         *,
@@ -57,7 +59,7 @@
 
         Parameters
         ----------
-        wanted : PlaceRequest
+        wanted : PlacementRequest
             What needs a place.
         caller : Caller
             Whose ceiling counts.
@@ -93,7 +95,7 @@
 
     def exchange(
         self,
-        place: _place.Place,
+        place: _placement.Placement,
         message: _target_client.TargetRequest,
         request: _caller_request.CallerRequest,
     ) -> _target_answer.TargetAnswer:
--- a/src/topazlug/calls/_chat_calls.py
+++ b/src/topazlug/calls/_chat_calls.py
@@ -24,7 +24,7 @@
 from topazlug.configuration import _configuration
 from topazlug.crashes import _fingerprint
 from topazlug.limits import _quotas
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
 from topazlug.targets import _target_answer
 from topazlug.targets import _target_client
@@ -108,7 +108,7 @@
                 body=body,
             ),
         )
-        wanted = _place.PlaceRequest(
+        wanted = _placement.PlacementRequest(
             group=_ids.GroupName(pool.name),
             chat=_ranking.chat_hash(caller.name, call.chat_id),
             team=caller.name,
@@ -122,7 +122,7 @@
                 return self._run(call, wanted)
 
     def _run(
-        self, call: _Call, wanted: _place.PlaceRequest
+        self, call: _Call, wanted: _placement.PlacementRequest
     ) -> _caller_answer.CallerAnswer:
         return self._path.run(
             wanted,
@@ -133,7 +133,7 @@
         )
 
     def _attempt(
-        self, call: _Call, place: _place.Place, ticket: _quotas.Ticket
+        self, call: _Call, place: _placement.Placement, ticket: _quotas.Ticket
     ) -> _caller_answer.CallerAnswer:
         """Make one attempt; what it may have left behind is cancelled."""
         try:
@@ -148,7 +148,7 @@
             raise
 
     def _send(
-        self, call: _Call, place: _place.Place, ticket: _quotas.Ticket
+        self, call: _Call, place: _placement.Placement, ticket: _quotas.Ticket
     ) -> _caller_answer.CallerAnswer:
         waited = self._parts.clock.monotonic() - call.request.started
         self._parts.metrics.observe_queueing(
@@ -165,7 +165,7 @@
     def _whole(
         self,
         call: _Call,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         ticket: _quotas.Ticket,
     ) -> _caller_answer.CallerAnswer:
@@ -191,7 +191,7 @@
     def _stream(
         self,
         call: _Call,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         ticket: _quotas.Ticket,
     ) -> _caller_answer.CallerAnswer:
@@ -228,7 +228,7 @@
     def _relay(
         self,
         call: _Call,
-        place: _place.Place,
+        place: _placement.Placement,
         ticket: _quotas.Ticket,
         stream: _chat_stream.ChatStream,
         watch: _caller_watch.CallerWatch,
@@ -263,7 +263,7 @@
             before = now
             yield piece
 
-    def _cancel(self, call: _Call, place: _place.Place) -> None:
+    def _cancel(self, call: _Call, place: _placement.Placement) -> None:
         """Have the engine stop work that nobody waits for any more.
 
         An engine keeps a broken stream alive for a while, so that it can be
@@ -272,7 +272,7 @@
         self._spawn(self._send_cancel, call.request.request_id, place)
 
     def _send_cancel(
-        self, request_id: _ids.RequestId, place: _place.Place
+        self, request_id: _ids.RequestId, place: _placement.Placement
     ) -> None:
         request = _target_client.TargetRequest(
             method="POST",
@@ -304,7 +304,9 @@
             hit = bool(cached)
             self._parts.metrics.count_reuse(hit, cached or 0, prompt)
 
-    def _note_end(self, call: _Call, place: _place.Place, status: int) -> None:
+    def _note_end(
+        self, call: _Call, place: _placement.Placement, status: int
+    ) -> None:
         self._path.ended(
             call.caller,
             call.request,
@@ -338,7 +340,9 @@
     return pool
 
 
-def _log_fields(call: _Call, place: _place.Place) -> _logs.request_fields:
+def _log_fields(
+    call: _Call, place: _placement.Placement
+) -> _logs.request_fields:
     """Give the fields of a line, where the request's own context is gone."""
     return _logs.request_fields(
         request_id=call.request.request_id,
@@ -348,7 +352,7 @@
     )
 
 
-def _host(place: _place.Place) -> tuple[str, str]:
+def _host(place: _placement.Placement) -> tuple[str, str]:
     return "Host", f"{place.target.host}:{place.target.port}"
 
 
@@ -371,7 +375,9 @@
 
 
 def _caller_headers(
-    call: _Call, place: _place.Place, answer: _target_answer.TargetAnswer
+    call: _Call,
+    place: _placement.Placement,
+    answer: _target_answer.TargetAnswer,
 ) -> list[tuple[str, str]]:
     kind = answer.header("Content-Type") or "application/json"
     headers = [
--- a/src/topazlug/calls/_service_calls.py
+++ b/src/topazlug/calls/_service_calls.py
@@ -21,7 +21,7 @@
 from topazlug.configuration import _configuration
 from topazlug.crashes import _fingerprint
 from topazlug.limits import _quotas
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
 from topazlug.targets import _target_answer
 from topazlug.targets import _target_client
@@ -156,7 +156,7 @@
         return None
 
     def _run(self, call: _Call) -> _caller_answer.CallerAnswer:
-        wanted = _place.PlaceRequest(
+        wanted = _placement.PlacementRequest(
             group=_ids.GroupName(call.row.name),
             chat=_ranking.chat_hash(call.request.request_id),
             team=call.caller.name,
@@ -177,7 +177,7 @@
             raise
 
     def _attempt(
-        self, call: _Call, place: _place.Place, ticket: _quotas.Ticket
+        self, call: _Call, place: _placement.Placement, ticket: _quotas.Ticket
     ) -> _caller_answer.CallerAnswer:
         call.request.remaining()
         if call.claim is not None:
@@ -196,7 +196,7 @@
     def _keep(
         self,
         call: _Call,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         chunks: Iterator[bytes],
         ticket: _quotas.Ticket,
@@ -221,7 +221,7 @@
     def _relay(
         self,
         call: _Call,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         chunks: Iterator[bytes],
         ticket: _quotas.Ticket,
@@ -261,7 +261,7 @@
     def _rest(
         self,
         call: _Call,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         head: list[bytes],
         chunks: Iterator[bytes],
@@ -278,7 +278,7 @@
     def _end(
         self,
         call: _Call,
-        place: _place.Place,
+        place: _placement.Placement,
         status: int,
         ticket: _quotas.Ticket,
     ) -> None:
--- a/src/topazlug/forwarding/_app.py
+++ b/src/topazlug/forwarding/_app.py
@@ -22,7 +22,7 @@
 from topazlug.forwarding import _start_gate
 from topazlug.forwarding import _table
 from topazlug.forwarding import _wire
-from topazlug.routing import _owner_asks
+from topazlug.routing import _owner_client
 from topazlug.telemetry import _metrics
 
 _log = _logs.logger("forwarding")
@@ -197,7 +197,7 @@
         except _errors.RequestError as error:
             if error.retry_after is not None:
                 left = call.deadline - self._clock.monotonic()
-                longest = max(0.0, _owner_asks.LONGEST_RETURN_PART * left)
+                longest = max(0.0, _owner_client.MAX_RETURN_FRACTION * left)
                 error.retry_after = max(
                     min(error.retry_after, longest), error.refused_for
                 )
--- a/src/topazlug/forwarding/_call.py
+++ b/src/topazlug/forwarding/_call.py
@@ -8,7 +8,7 @@
 from topazlug import _ids
 from topazlug.forwarding import _table
 from topazlug.forwarding import _wire
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
 
 
@@ -66,7 +66,7 @@
         *,
         excluded: frozenset[_ids.ReplicaId] = frozenset(),
         is_resumed: bool = False,
-    ) -> _place.PlaceRequest:
+    ) -> _placement.PlacementRequest:
         """Give what is asked of the admission.
 
         Parameters
@@ -77,7 +77,7 @@
             Whether its caller has part of the answer: turned away now, that
             part would be lost as well, so no limit by rank holds it up.
         """
-        return _place.PlaceRequest(
+        return _placement.PlacementRequest(
             group=self.group,
             chat=self.chat,
             team=self.team_name,
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -290,7 +290,7 @@
         self._crashes.join(links)
         if _mechanisms.Mechanism.OWNERS not in self._options.without:
             self._admission.asks = self._owners.asks
-            self.targets.on_word(self._owners.asks.tell_backoff)
+            self.targets.on_word(self._owners.asks.report_backoff)
 
     def _take_size(self, daemons: int) -> None:
         if self._owners is not None:
--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -20,7 +20,7 @@
 from topazlug.limits import _retry_share
 from topazlug.placement import _mechanisms
 from topazlug.placement import _replica_view
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_answer
 from topazlug.targets import _target_client
 
@@ -60,7 +60,7 @@
     def __init__(
         self,
         *,
-        admission: _place.Admission,
+        admission: _placement.Admission,
         exchange: _exchange.Exchange,
         budget: _retry_share.RetryShare,
         views: _replica_view.ReplicaViews,
@@ -76,7 +76,7 @@
         self._views = views
         self._clock = clock
 
-    def release(self, place: _place.Place, *, failed: bool) -> None:
+    def release(self, place: _placement.Placement, *, failed: bool) -> None:
         """Give a place back, with how its stream ended."""
         view = self._views.of_start(place.target)
         view.note_outcome(failed=failed)
@@ -85,9 +85,9 @@
     def resume(
         self,
         call: _call.ForwardedCall,
-        broken: _place.Place,
+        broken: _placement.Placement,
         last_id: int | None,
-    ) -> tuple[_place.Place, _target_answer.TargetAnswer] | None:
+    ) -> tuple[_placement.Placement, _target_answer.TargetAnswer] | None:
         """Send a request again, to go on after an event.
 
         Returns
@@ -160,7 +160,7 @@
         self,
         *,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         tried: int,
         resumer: StreamResumer,
@@ -168,7 +168,7 @@
         clock: _clock.Clock,
     ) -> None:
         self._call = call
-        self._place = place
+        self._placement = place
         self._answer = answer
         self._tried = tried
         self._resumer = resumer
@@ -215,7 +215,7 @@
             watch.stop()
             self._answer.close()
             self._resumer.release(
-                self._place, failed=failed and not self._left
+                self._placement, failed=failed and not self._left
             )
 
     def _caller_left(self) -> None:
@@ -238,7 +238,7 @@
         _log.warning(
             "a stream ends early after event {last}: {why}",
             request_id=self._call.head.attempt,
-            replica=self._place.target.replica,
+            replica=self._placement.target.replica,
             last=self._reader.last_id,
             tried=self._tried,
             caller_left=self._left,
@@ -285,13 +285,13 @@
             return False
         self._reader.drop_rest()
         resumed = self._resumer.resume(
-            self._call, self._place, self._reader.last_id
+            self._call, self._placement, self._reader.last_id
         )
         if resumed is None:
             return False
-        self._resumer.release(self._place, failed=True)
+        self._resumer.release(self._placement, failed=True)
         self._tried += 1
-        self._place, self._answer = resumed
+        self._placement, self._answer = resumed
         return True
 
 
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -11,7 +11,7 @@
 from topazlug.placement import _context
 from topazlug.placement import _mechanisms
 from topazlug.placement import _replica_view
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_answer
 from topazlug.targets import _target_client
 from topazlug.targets import _targets
@@ -20,7 +20,9 @@
 class NoteUnreached(Protocol):
     """Takes word of a replica that took no connection."""
 
-    def __call__(self, place: _place.Place, *, is_silent: bool) -> None:
+    def __call__(
+        self, place: _placement.Placement, *, is_silent: bool
+    ) -> None:
         """Note it, and whether it did not refuse it either."""
 
 
@@ -82,7 +84,7 @@
         contexts: _context.ContextMemory,
         wire: _wire.ReplicaWire,
         note_unreached: NoteUnreached,
-        note_head: Callable[[_place.Place, int, int, float], None],
+        note_head: Callable[[_placement.Placement, int, int, float], None],
         clock: _clock.Clock,
         without: _mechanisms.Without = _mechanisms.NONE,
     ) -> None:
@@ -99,7 +101,7 @@
     def send(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         *,
         head_timeout: float,
         resume_after: int | None,
@@ -144,7 +146,7 @@
     def _request(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         resume_after: int | None,
     ) -> _target_client.TargetRequest:
         source = None
@@ -176,7 +178,7 @@
     def _note(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         sent_at: float,
     ) -> None:
--- a/src/topazlug/forwarding/_forwarder.py
+++ b/src/topazlug/forwarding/_forwarder.py
@@ -19,7 +19,7 @@
 from topazlug.limits import _retry_share
 from topazlug.placement import _mechanisms
 from topazlug.placement import _replica_view
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_answer
 
 _log = _logs.logger("forwarding")
@@ -81,7 +81,7 @@
         self,
         *,
         attempts: _attempts.Attempts,
-        admission: _place.Admission,
+        admission: _placement.Admission,
         exchange: _exchange.Exchange,
         resumer: _event_relay.StreamResumer,
         guard: _crash_guard.CrashGuard,
@@ -114,7 +114,7 @@
         # ends each replica which runs it ended eleven of them in eleven
         # seconds, with two to twelve others at each.
         self._guard.check(call.fingerprint)
-        tried: list[_place.Place] = []
+        tried: list[_placement.Placement] = []
         attempt = functools.partial(self._attempt, call, tried)
         with _caller_watch.watched(call.socket):
             try:
@@ -135,8 +135,8 @@
     def _attempt(
         self,
         call: _call.ForwardedCall,
-        tried: list[_place.Place],
-        place: _place.Place,
+        tried: list[_placement.Placement],
+        place: _placement.Placement,
     ) -> _caller_answer.CallerAnswer:
         if not tried:
             self._measures.sent(call)
@@ -157,7 +157,10 @@
                 raise
 
     def _patience(
-        self, call: _call.ForwardedCall, place: _place.Place, tried: int
+        self,
+        call: _call.ForwardedCall,
+        place: _placement.Placement,
+        tried: int,
     ) -> float:
         """Give how long one replica's answer is awaited.
 
@@ -182,7 +185,7 @@
     def _whole(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
     ) -> _caller_answer.CallerAnswer:
         """Read an answer whole, or its first part if it is very long."""
@@ -205,7 +208,7 @@
     def _long(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         head: bytes,
         chunks: Iterator[bytes],
@@ -230,7 +233,7 @@
     def _stream(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         tried: int,
     ) -> _caller_answer.CallerAnswer:
--- a/src/topazlug/forwarding/_forwarder_parts.py
+++ b/src/topazlug/forwarding/_forwarder_parts.py
@@ -18,7 +18,7 @@
 from topazlug.placement import _mechanisms
 from topazlug.placement import _owned_admission
 from topazlug.placement import _replica_view
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_client
 from topazlug.targets import _targets
 
@@ -118,7 +118,7 @@
             clock=self.clock,
         )
 
-    def _note_retry(self, request: _place.PlaceRequest) -> None:
+    def _note_retry(self, request: _placement.PlacementRequest) -> None:
         self.measures.retried(request)
         _log.info(
             "another replica of {group} is tried",
--- a/src/topazlug/forwarding/_measures.py
+++ b/src/topazlug/forwarding/_measures.py
@@ -7,7 +7,7 @@
 from topazlug import _ids
 from topazlug._generated import table
 from topazlug.forwarding import _call
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.telemetry import _metrics
 
 # The platform ranks requests by a number, not by two classes.
@@ -49,7 +49,7 @@
             call.team_name, _CLASS, self._clock.monotonic() - call.started
         )
 
-    def retried(self, request: _place.PlaceRequest) -> None:
+    def retried(self, request: _placement.PlacementRequest) -> None:
         """Note that another replica is tried."""
         self._metrics.count_retry(request.team, _CLASS)
 
--- a/src/topazlug/placement/_owned_admission.py
+++ b/src/topazlug/placement/_owned_admission.py
@@ -19,8 +19,8 @@
 from topazlug.placement import _owner_search
 from topazlug.placement import _replica_view
 from topazlug.placement import _view_admission
-from topazlug.routing import _owner_asks
-from topazlug.routing import _place
+from topazlug.routing import _owner_client
+from topazlug.routing import _placement
 from topazlug.targets import _targets
 
 _log = _logs.logger("forwarding")
@@ -53,7 +53,7 @@
 
     Attributes
     ----------
-    asks : OwnerAsks or None
+    asks : OwnerClient or None
         How owners are asked; None until this daemon has joined its fleet.
     """
 
@@ -78,11 +78,13 @@
             clock=clock,
             without=without,
         )
-        self.asks: _owner_asks.OwnerAsks | None = None
+        self.asks: _owner_client.OwnerClient | None = None
         # Replicas whose last answer told that work waits there.
         self._queueing: set[_ids.ReplicaId] = set()
 
-    def admit(self, request: _place.PlaceRequest) -> _place.Place:
+    def admit(
+        self, request: _placement.PlacementRequest
+    ) -> _placement.Placement:
         """Find a place.
 
         Raises
@@ -103,8 +105,10 @@
         return self._by_view(asks, request) if place is None else place
 
     def _by_latency(
-        self, asks: _owner_asks.OwnerAsks, request: _place.PlaceRequest
-    ) -> _place.Place:
+        self,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+    ) -> _placement.Placement:
         """Find a place where any replica does as well.
 
         Only if all of them have just started their owners are asked: they
@@ -116,8 +120,10 @@
         return self._alone.admit(request) if place is None else place
 
     def _by_view(
-        self, asks: _owner_asks.OwnerAsks, request: _place.PlaceRequest
-    ) -> _place.Place:
+        self,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+    ) -> _placement.Placement:
         """Find a place without an owner's word, and tell it afterwards.
 
         An owner that comes back would else take the replica for emptier
@@ -126,12 +132,14 @@
         """
         place = self._alone.admit(request)
         place.ask = asks.new_number()
-        asks.holdings.place_by_ask[place.ask] = place
+        asks.held_placements.placement_by_ask[place.ask] = place
         return place
 
     def _ask_in_time(
-        self, asks: _owner_asks.OwnerAsks, request: _place.PlaceRequest
-    ) -> _place.Place | None:
+        self,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+    ) -> _placement.Placement | None:
         """Ask owners, and once more if room is due while it may be on time.
 
         A place is kept for who was turned away. If that is due soon enough
@@ -156,8 +164,8 @@
 
     def _turned_away(
         self,
-        asks: _owner_asks.OwnerAsks,
-        request: _place.PlaceRequest,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
         full: _owner_search.Full,
     ) -> _errors.Overloaded:
         """Give the answer to a request that no replica has room for.
@@ -175,15 +183,17 @@
 
     def _keep_place(
         self,
-        asks: _owner_asks.OwnerAsks,
-        request: _place.PlaceRequest,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
         home: _ids.ReplicaId,
         seconds: float,
     ) -> None:
         if _mechanisms.Mechanism.KEPT_PLACES not in self._without:
-            asks.note_turned_away(request, home, seconds=seconds)
+            asks.report_rejection(request, home, seconds=seconds)
 
-    def note_unreached(self, place: _place.Place, *, is_silent: bool) -> None:
+    def note_unreached(
+        self, place: _placement.Placement, *, is_silent: bool
+    ) -> None:
         """Note that a replica took no connection.
 
         It may be about to start again, and its entry tells of that seconds
@@ -201,10 +211,14 @@
             _log.warning("zone {zone} is not reached", zone=target.zone)
         self._targets.cold.suspect([target])
         if self.asks is not None:
-            self.asks.tell_unreached(place.target.replica)
+            self.asks.report_unreached(place.target.replica)
 
     def note_head(
-        self, place: _place.Place, running: int, waiting: int, seconds: float
+        self,
+        place: _placement.Placement,
+        running: int,
+        waiting: int,
+        seconds: float,
     ) -> None:
         """Tell the replica's owner what the head of an answer said.
 
@@ -240,15 +254,15 @@
             read=place.request.chat if place.reads_context else 0,
         )
         place.reads_context = False
-        self.asks.tell(replica, word)
+        self.asks.report_response_head(replica, word)
 
-    def release(self, place: _place.Place) -> None:
+    def release(self, place: _placement.Placement) -> None:
         """Give a place back; a second time does nothing."""
         if place.released:
             return
         # Numbers of places that no owner counts are of another series.
         if self.asks is not None:
-            held = self.asks.holdings.place_by_ask
+            held = self.asks.held_placements.placement_by_ask
             if held.get(place.ask) is place:
-                self.asks.holdings.release(place)
+                self.asks.held_placements.release(place)
         self._alone.release(place)
--- a/src/topazlug/placement/_owner_search.py
+++ b/src/topazlug/placement/_owner_search.py
@@ -9,8 +9,8 @@
 from topazlug.placement import _mechanisms
 from topazlug.placement import _replica_view
 from topazlug.placement import _view_admission
-from topazlug.routing import _owner_asks
-from topazlug.routing import _place
+from topazlug.routing import _owner_client
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
 from topazlug.targets import _targets
 
@@ -81,8 +81,10 @@
         return _mechanisms.Mechanism.DISPLACED in self._without
 
     def search(
-        self, asks: _owner_asks.OwnerAsks, request: _place.PlaceRequest
-    ) -> _place.Place | None:
+        self,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+    ) -> _placement.Placement | None:
         """Ask owners in the order of the rank; None if none gave a word."""
         candidates = self._alone.candidates(request)
         ranked = _ranked(candidates, request, count=_MOST_ASKS)
@@ -90,7 +92,7 @@
         home = ranked[0]
         seat: _ids.ReplicaId | None = None
         wanted = list(ranked)
-        refusals: dict[_ids.ReplicaId, _owner_asks.OwnerAnswer] = {}
+        refusals: dict[_ids.ReplicaId, _owner_client.OwnerReply] = {}
         while wanted:
             replica = wanted.pop(0)
             answer = self._ask_one(
@@ -106,7 +108,7 @@
             elif verdict is messages.Verdict.granted:
                 place = self._take(asks, request, replica, answer, home)
                 if place is not None and not self._forgets_displaced:
-                    asks.note_displacement(place, home=home, seat=seat)
+                    asks.report_displacement(place, home=home, seat=seat)
                 return place
             elif verdict is messages.Verdict.elsewhere:
                 seat = _ids.ReplicaId(answer.reply.replica)
@@ -125,7 +127,7 @@
     def _warm_ones(
         self,
         candidates: list[_ids.ReplicaId],
-        request: _place.PlaceRequest,
+        request: _placement.PlacementRequest,
         ranked: list[_ids.ReplicaId],
     ) -> list[_ids.ReplicaId]:
         """Give whom to ask besides, where those asked have just started.
@@ -141,12 +143,12 @@
 
     def _ask_one(
         self,
-        asks: _owner_asks.OwnerAsks,
-        request: _place.PlaceRequest,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
         *,
         home: bool,
-    ) -> _owner_asks.OwnerAnswer | None:
+    ) -> _owner_client.OwnerReply | None:
         """Ask one owner, again while the request's context is being read.
 
         Whoever does not wait reads the same prompt once more, beside the
@@ -163,7 +165,7 @@
                 replica,
                 home=home,
                 may_wait=left > 0,
-                patience=min(
+                min_timeout=min(
                     _LONGEST_WORD_SECONDS, request.context_wait * _WORD_PART
                 ),
                 cold=self._alone.is_cold(replica),
@@ -177,7 +179,7 @@
 
     def _note_word(
         self,
-        request: _place.PlaceRequest,
+        request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
         reply: messages.AdmitReply,
     ) -> None:
@@ -201,11 +203,11 @@
 
     def _refused(
         self,
-        asks: _owner_asks.OwnerAsks,
-        request: _place.PlaceRequest,
-        refusals: dict[_ids.ReplicaId, _owner_asks.OwnerAnswer],
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+        refusals: dict[_ids.ReplicaId, _owner_client.OwnerReply],
         home: _ids.ReplicaId,
-    ) -> _place.Place | None:
+    ) -> _placement.Placement | None:
         """Do without an owner's leave, or turn the request away.
 
         What is only over a bound goes to the least loaded. What no replica
@@ -227,11 +229,11 @@
 
     def _least(
         self,
-        asks: _owner_asks.OwnerAsks,
-        request: _place.PlaceRequest,
-        refusals: dict[_ids.ReplicaId, _owner_asks.OwnerAnswer],
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+        refusals: dict[_ids.ReplicaId, _owner_client.OwnerReply],
         home: _ids.ReplicaId,
-    ) -> _place.Place | None:
+    ) -> _placement.Placement | None:
         """Take the least loaded of those that have no room.
 
         Replicas queue by rank what they can't run yet, better than requests
@@ -243,12 +245,12 @@
 
     def _take(
         self,
-        asks: _owner_asks.OwnerAsks,
-        request: _place.PlaceRequest,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
-        answer: _owner_asks.OwnerAnswer,
+        answer: _owner_client.OwnerReply,
         home: _ids.ReplicaId,
-    ) -> _place.Place | None:
+    ) -> _placement.Placement | None:
         """Take a place; None if the replica has left meanwhile.
 
         While owners were asked the list may have changed. The place would
@@ -256,7 +258,7 @@
         its owner would count it for as long as this daemon lives.
         """
         if not self._targets.is_usable(replica):
-            asks.holdings.send_release(answer.owner, answer.ask)
+            asks.held_placements.send_release(answer.owner, answer.ask)
             return None
         _log.info(
             "placed at {replica}: its owner {owner} counts {load}",
@@ -268,7 +270,7 @@
         )
         target = self._targets.target_by_replica[replica]
         self._views.of_start(target).in_flight += 1
-        place = _place.Place(
+        place = _placement.Placement(
             target=target,
             ask=answer.ask,
             owner=answer.owner,
@@ -276,13 +278,13 @@
             home=replica == home,
             reads_context=answer.reply.reads,
         )
-        asks.holdings.place_by_ask[place.ask] = place
+        asks.held_placements.placement_by_ask[place.ask] = place
         return place
 
 
 def _ranked(
     candidates: list[_ids.ReplicaId],
-    request: _place.PlaceRequest,
+    request: _placement.PlacementRequest,
     *,
     count: int,
 ) -> list[_ids.ReplicaId]:
@@ -293,7 +295,7 @@
 
 def _next_of_rank(
     candidates: list[_ids.ReplicaId],
-    request: _place.PlaceRequest,
+    request: _placement.PlacementRequest,
     asked: list[_ids.ReplicaId],
 ) -> list[_ids.ReplicaId]:
     """Give whom to ask in place of one that wants nothing, if any."""
--- a/src/topazlug/placement/_owners.py
+++ b/src/topazlug/placement/_owners.py
@@ -11,8 +11,8 @@
 from topazlug.peers import _peers
 from topazlug.routing import _ledger
 from topazlug.routing import _owner
-from topazlug.routing import _owner_asks
-from topazlug.routing import _owner_duties
+from topazlug.routing import _owner_client
+from topazlug.routing import _owner_endpoint
 from topazlug.routing import _ownership
 from topazlug.targets import _targets
 
@@ -75,7 +75,7 @@
 
     Attributes
     ----------
-    asks : OwnerAsks
+    asks : OwnerClient
         Asks for places.
     """
 
@@ -101,10 +101,10 @@
             rules=_Rules(),
             routing=routing,
             clock=clock,
-            start_part=_START_PART,
+            startup_fraction=_START_PART,
         )
         self._owner = owner
-        self.asks = _owner_asks.OwnerAsks(
+        self.asks = _owner_client.OwnerClient(
             daemon=daemon,
             owner=owner,
             ownership=self._ownership,
@@ -112,10 +112,10 @@
             timeout=_OWNER_SECONDS,
             clock=clock,
         )
-        self._duties = _owner_duties.OwnerDuties(
+        self._duties = _owner_endpoint.OwnerEndpoint(
             daemon=daemon,
             owner=owner,
-            holdings=self.asks.holdings,
+            held_placements=self.asks.held_placements,
             links=links,
             usable=lambda: self._daemons,
             routing=routing,
@@ -132,7 +132,7 @@
 
     def _update(self) -> None:
         replicas = self._targets.target_by_replica
-        self._owner.forget_ended_starts()
+        self._owner.reset_restarted_replicas()
         self._ownership.update(daemons=self._daemons, replicas=replicas)
 
     def owner_of(self, replica: _ids.ReplicaId) -> _ids.DaemonId | None:
--- a/src/topazlug/placement/_view_admission.py
+++ b/src/topazlug/placement/_view_admission.py
@@ -12,8 +12,8 @@
 from topazlug import _ids
 from topazlug import _logs
 from topazlug.placement import _replica_view
-from topazlug.routing import _no_target
-from topazlug.routing import _place
+from topazlug.routing import _no_usable_replica
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
 from topazlug.targets import _targets
 
@@ -54,7 +54,9 @@
         self._numbers = itertools.count(1)
         self._turns = itertools.count()
 
-    def admit(self, request: _place.PlaceRequest) -> _place.Place:
+    def admit(
+        self, request: _placement.PlacementRequest
+    ) -> _placement.Placement:
         """Find a place.
 
         Raises
@@ -80,7 +82,7 @@
         )
         target = self._targets.target_by_replica[chosen]
         self._views.of_start(target).in_flight += 1
-        return _place.Place(
+        return _placement.Placement(
             target=target,
             ask=_ids.AskNumber(next(self._numbers)),
             owner=None,
@@ -88,7 +90,9 @@
             home=home,
         )
 
-    def candidates(self, request: _place.PlaceRequest) -> list[_ids.ReplicaId]:
+    def candidates(
+        self, request: _placement.PlacementRequest
+    ) -> list[_ids.ReplicaId]:
         """Give the replicas that may take a request.
 
         Raises
@@ -104,7 +108,7 @@
             if replica not in request.excluded
         ]
         if not usable:
-            raise _no_target.none_usable(
+            raise _no_usable_replica.no_usable_replica_error(
                 self._targets, request, retry_after=_NO_TARGET_SECONDS
             )
         return self._views.sound(self._reachable(usable))
@@ -129,7 +133,9 @@
         return [one for one in candidates if not self.is_cold(one)]
 
     def _without_cold(
-        self, request: _place.PlaceRequest, candidates: list[_ids.ReplicaId]
+        self,
+        request: _placement.PlacementRequest,
+        candidates: list[_ids.ReplicaId],
     ) -> list[_ids.ReplicaId]:
         """Leave out replicas that have just started.
 
@@ -146,7 +152,7 @@
 
     def _by_context(
         self,
-        request: _place.PlaceRequest,
+        request: _placement.PlacementRequest,
         candidates: list[_ids.ReplicaId],
     ) -> tuple[_ids.ReplicaId, bool]:
         home = _ranking.first(candidates, request.chat)
@@ -163,7 +169,9 @@
         return least, False
 
     def _with_room(
-        self, request: _place.PlaceRequest, candidates: list[_ids.ReplicaId]
+        self,
+        request: _placement.PlacementRequest,
+        candidates: list[_ids.ReplicaId],
     ) -> list[_ids.ReplicaId]:
         """Leave out replicas whose owners have just had no room."""
         if request.rank < 0:
@@ -198,7 +206,7 @@
 
     def _check_room(
         self,
-        request: _place.PlaceRequest,
+        request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
         load: float,
     ) -> None:
@@ -233,7 +241,7 @@
         near = [one for one in candidates if expected(one) <= 1.25 * best]
         return near[next(self._turns) % len(near)]
 
-    def release(self, place: _place.Place) -> None:
+    def release(self, place: _placement.Placement) -> None:
         """Give a place back; a second time does nothing."""
         if place.released:
             return
--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -18,11 +18,11 @@
 from topazlug._generated import messages
 from topazlug._generated import settings as _settings_types
 from topazlug.routing import _holdings
-from topazlug.routing import _no_target
+from topazlug.routing import _no_usable_replica
 from topazlug.routing import _owner
-from topazlug.routing import _owner_asks
+from topazlug.routing import _owner_client
 from topazlug.routing import _ownership
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
 from topazlug.targets import _target_word
 from topazlug.targets import _targets
@@ -56,7 +56,7 @@
         self.load_by_replica: dict[_ids.ReplicaId, int] = {}
         self.seat: _ids.ReplicaId | None = None
         self.retry_after = 0.0
-        self.place: _place.Place | None = None
+        self.place: _placement.Placement | None = None
         self.is_worth_repeating = False
         self.has_old_loads = False
 
@@ -125,7 +125,7 @@
         self._routing = routing
         self._clock = clock
         self._fleet_size = fleet_size
-        self._asks = _owner_asks.OwnerAsks(
+        self._asks = _owner_client.OwnerClient(
             daemon=daemon,
             owner=owner,
             ownership=ownership,
@@ -133,11 +133,13 @@
             timeout=routing.owner_timeout,
             clock=clock,
         )
-        self.holdings = self._asks.holdings
+        self.held_placements = self._asks.held_placements
         self._full: dict[_ids.ReplicaId, _Full] = {}
         self.decided_alone = 0
 
-    def admit(self, request: _place.PlaceRequest) -> _place.Place:
+    def admit(
+        self, request: _placement.PlacementRequest
+    ) -> _placement.Placement:
         """Find a place, asking the owners in the chat's rank.
 
         Raises
@@ -150,8 +152,10 @@
         for _ in range(_SEARCHES):
             search = self._search(request)
             if search.place is not None:
-                self.holdings.place_by_ask[search.place.ask] = search.place
-                self._asks.note_displacement(
+                self.held_placements.placement_by_ask[search.place.ask] = (
+                    search.place
+                )
+                self._asks.report_displacement(
                     search.place, home=search.ranked[0], seat=search.seat
                 )
                 return search.place
@@ -162,11 +166,11 @@
             retry_after=max(0.5, search.retry_after),
         )
 
-    def _search(self, request: _place.PlaceRequest) -> _Round:
+    def _search(self, request: _placement.PlacementRequest) -> _Round:
         """Ask for a place once, in the order of the ranks of now."""
         ranked = self._rank(request)
         if not ranked:
-            raise _no_target.none_usable(
+            raise _no_usable_replica.no_usable_replica_error(
                 self._targets, request, retry_after=_NO_TARGET_SECONDS
             )
         search = _Round(ranked)
@@ -177,7 +181,9 @@
             search.place = self._decide_alone(request, ranked)
         return search
 
-    def _rank(self, request: _place.PlaceRequest) -> list[_ids.ReplicaId]:
+    def _rank(
+        self, request: _placement.PlacementRequest
+    ) -> list[_ids.ReplicaId]:
         usable = self._targets.usable(request.group)
         candidates = [name for name in usable if name not in request.excluded]
         count = max(self._routing.candidates, min(len(candidates), 8))
@@ -185,8 +191,8 @@
         return [_ids.ReplicaId(name) for name in best]
 
     def _try_ranked(
-        self, request: _place.PlaceRequest, search: _Round
-    ) -> _place.Place | None:
+        self, request: _placement.PlacementRequest, search: _Round
+    ) -> _placement.Placement | None:
         for replica in search.ranked:
             if self._clock.monotonic() > request.deadline:
                 raise _errors.DeadlineExceeded("no place before the deadline")
@@ -197,12 +203,12 @@
 
     def _try(
         self,
-        request: _place.PlaceRequest,
+        request: _placement.PlacementRequest,
         search: _Round,
         replica: _ids.ReplicaId,
         *,
         redirects: int = _REDIRECTS,
-    ) -> _place.Place | None:
+    ) -> _placement.Placement | None:
         if replica in search.asked:
             return None
         if replica != search.ranked[0] and self._is_known_full(replica):
@@ -259,8 +265,8 @@
         return full is not None and self._clock.monotonic() < full.until
 
     def _wait(
-        self, request: _place.PlaceRequest, search: _Round
-    ) -> _place.Place | None:
+        self, request: _placement.PlacementRequest, search: _Round
+    ) -> _placement.Placement | None:
         """Queue at the replica that had the least load."""
         replica = search.least
         if replica is None:
@@ -292,15 +298,17 @@
         return None
 
     def _decide_alone(
-        self, request: _place.PlaceRequest, ranked: list[_ids.ReplicaId]
-    ) -> _place.Place | None:
+        self,
+        request: _placement.PlacementRequest,
+        ranked: list[_ids.ReplicaId],
+    ) -> _placement.Placement | None:
         """Admit without any owner, within this daemon's share of the slots.
 
         With no owner in reach, as in a cut between zones, refusing all
         would be silence. Shares of the slots add up to no more than all of
         them, so the engines still aren't swamped.
         """
-        held = self.holdings.load_by_replica()
+        held = self.held_placements.load_by_replica()
         for replica in ranked:
             target = self._targets.target_by_replica.get(replica)
             if target is None:
@@ -316,29 +324,29 @@
 
     def _new_place(
         self,
-        request: _place.PlaceRequest,
+        request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
         ask: _ids.AskNumber,
         owner: _ids.DaemonId | None,
         *,
         home: bool,
-    ) -> _place.Place | None:
+    ) -> _placement.Placement | None:
         target = self._targets.target_by_replica.get(replica)
         # It may have gone, or asked for quiet, while its owner was asked.
         if target is None or self._targets.quiet.wants_nothing(target):
             if owner is not None:
-                self.holdings.send_release(owner, ask)
+                self.held_placements.send_release(owner, ask)
             return None
-        return _place.Place(
+        return _placement.Placement(
             target=target, ask=ask, owner=owner, request=request, home=home
         )
 
-    def tell_backoff(
+    def report_backoff(
         self, target: _targets.Target, word: _target_word.TargetWord
     ) -> None:
         """Tell a target's owner of a backoff that it asked for."""
-        self._asks.tell_backoff(target, word)
+        self._asks.report_backoff(target, word)
 
-    def release(self, place: _place.Place) -> None:
+    def release(self, place: _placement.Placement) -> None:
         """Give a place back; a second time does nothing."""
-        self.holdings.release(place)
+        self.held_placements.release(place)
--- a/src/topazlug/routing/_displaced.py
+++ b/src/topazlug/routing/_displaced_chats.py
@@ -71,7 +71,7 @@
         while len(self._seat_by_chat) > self._capacity:
             self._seat_by_chat.popitem(last=False)
 
-    def forget_ended_starts(
+    def remove_restarted(
         self, target_by_replica: Mapping[_ids.ReplicaId, _targets.Target]
     ) -> None:
         """Forget the seats on replicas that started again."""
--- a/src/topazlug/routing/_group_accounts.py
+++ b/src/topazlug/routing/_group_accounts.py
@@ -123,7 +123,7 @@
         self, summary: messages.LoadSummary, report: messages.LoadReport
     ) -> None:
         """Note a collector's answer to a report."""
-        self._view_of(_ids.GroupName(summary.group)).take(
+        self._view_of(_ids.GroupName(summary.group)).apply_summary(
             summary,
             own=sum(entry.load for entry in report.loads),
             now=self._clock.monotonic(),
--- a/src/topazlug/routing/_group_load.py
+++ b/src/topazlug/routing/_group_load.py
@@ -48,7 +48,7 @@
 
 
 @final
-class Collector:
+class LoadCollector:
     """Adds up what owners report of a group."""
 
     def __init__(self, *, clock: _clock.Clock, interval: float) -> None:
@@ -56,7 +56,7 @@
         self._interval = interval
         self._reports: dict[_ids.GroupName, dict[_ids.ReplicaId, _Report]] = {}
 
-    def take(
+    def add_report(
         self, sender: _ids.DaemonId, report: messages.LoadReport
     ) -> messages.LoadSummary:
         """Note a report and give the total.
@@ -106,7 +106,7 @@
     interval: float = 0.0
     next_report: float = 0.0
 
-    def take(
+    def apply_summary(
         self, summary: messages.LoadSummary, *, own: int, now: float
     ) -> None:
         """Note the collector's answer to a report."""
--- a/src/topazlug/routing/_holdings.py
+++ b/src/topazlug/routing/_holdings.py
@@ -17,7 +17,7 @@
 from topazlug._generated import messages
 from topazlug.routing import _owner
 from topazlug.routing import _ownership
-from topazlug.routing import _place
+from topazlug.routing import _placement
 
 _OWED_SECONDS = 300.0
 _SETTLE_TIMEOUT = 1.0
@@ -57,7 +57,7 @@
 
     Attributes
     ----------
-    place_by_ask : dict
+    placement_by_ask : dict
         Places in use.
     pending_by_ask : dict
         Owners that were asked and have not answered yet.
@@ -78,20 +78,20 @@
         self._links = links
         self._clock = clock
         self._owed_until: dict[_ids.DaemonId, float] = {}
-        self.place_by_ask: dict[_ids.AskNumber, _place.Place] = {}
+        self.placement_by_ask: dict[_ids.AskNumber, _placement.Placement] = {}
         self.pending_by_ask: dict[_ids.AskNumber, _ids.DaemonId] = {}
 
     def load_by_replica(self) -> dict[_ids.ReplicaId, int]:
         """Give the load units held on each replica."""
         held: dict[_ids.ReplicaId, int] = {}
-        for place in self.place_by_ask.values():
+        for place in self.placement_by_ask.values():
             replica = place.target.replica
             held[replica] = held.get(replica, 0) + place.request.weight
         return held
 
-    def release(self, place: _place.Place) -> None:
+    def release(self, place: _placement.Placement) -> None:
         """Give a place back; a second time does nothing."""
-        if self.place_by_ask.pop(place.ask, None) is None:
+        if self.placement_by_ask.pop(place.ask, None) is None:
             return
         if place.owner is not None:
             self.send_release(place.owner, place.ask)
@@ -140,7 +140,7 @@
         """
         held: dict[_ids.DaemonId, list[messages.HeldPlace]] = {}
         pending: dict[_ids.DaemonId, list[int]] = {}
-        for place in self.place_by_ask.values():
+        for place in self.placement_by_ask.values():
             self._reassign(place)
             if place.owner is not None:
                 held.setdefault(place.owner, []).append(_held_place(place))
@@ -171,7 +171,7 @@
         """
         if owner in self.pending_by_ask.values():
             return
-        places = self.place_by_ask.values()
+        places = self.placement_by_ask.values()
         if any(place.owner == owner for place in places):
             return
         message = messages.Renew(held=[], pending=[])
@@ -189,7 +189,7 @@
             if now > until:
                 del self._owed_until[owner]
 
-    def _reassign(self, place: _place.Place) -> None:
+    def _reassign(self, place: _placement.Placement) -> None:
         owner = self._ownership.owner_of(place.target.replica)
         if owner is not None and owner != place.owner:
             if place.owner is not None:
@@ -197,7 +197,7 @@
             place.owner = owner
 
 
-def _held_place(place: _place.Place) -> messages.HeldPlace:
+def _held_place(place: _placement.Placement) -> messages.HeldPlace:
     return messages.HeldPlace(
         ask=place.ask,
         replica=place.target.replica,
--- a/src/topazlug/routing/_ledger.py
+++ b/src/topazlug/routing/_ledger.py
@@ -30,7 +30,7 @@
 UNRANKED = -1
 
 
-class Held(msgspec.Struct, gc=False):
+class LedgerEntry(msgspec.Struct, gc=False):
     """One place in use."""
 
     weight: int
@@ -40,11 +40,11 @@
     rank: int = UNRANKED
 
 
-class Waiting(msgspec.Struct):
+class QueuedRequest(msgspec.Struct):
     """One ask in the queue."""
 
     key: _place_key.PlaceKey
-    held: Held
+    held: LedgerEntry
     deadline: float
     grant: Callable[[], None]
     refuse: Callable[[messages.Verdict], None]
@@ -101,12 +101,14 @@
         self.cold = _cold_rate.ColdRate()
         self.returns = _returns.Returns()
         self.backoff = _shared_backoff.SharedBackoff()
-        self.held_by_key: dict[_place_key.PlaceKey, Held] = {}
-        self.waiting_by_key: dict[_place_key.PlaceKey, Waiting] = {}
-        self._interactive = _fair_queue.FairQueue[Waiting](
+        self.held_by_key: dict[_place_key.PlaceKey, LedgerEntry] = {}
+        self.queued_by_key: dict[_place_key.PlaceKey, QueuedRequest] = {}
+        self._interactive = _fair_queue.FairQueue[QueuedRequest](
+            capacity=queue_capacity
+        )
+        self._batch = _fair_queue.FairQueue[QueuedRequest](
             capacity=queue_capacity
         )
-        self._batch = _fair_queue.FairQueue[Waiting](capacity=queue_capacity)
         self._since_batch = 0
         self._release_interval = 0.0
         self._last_release: float | None = None
@@ -175,7 +177,7 @@
         all asks are over a bound taken from what runs, and it would rise by
         one place a report; what waits is about to run somewhere.
         """
-        return self.seen_load() + len(self.waiting_by_key)
+        return self.seen_load() + len(self.queued_by_key)
 
     def _foreign_load(self) -> int:
         """Load that the engine keeps reporting beyond what is counted.
@@ -200,7 +202,7 @@
         self._reports.clear()
         self._counts.clear()
 
-    def hold(self, key: _place_key.PlaceKey, held: Held) -> None:
+    def hold(self, key: _place_key.PlaceKey, held: LedgerEntry) -> None:
         """Count a place; a repeated one is counted once."""
         if key in self.held_by_key:
             return
@@ -211,7 +213,7 @@
         if held.batch:
             self.batch_load += held.weight
 
-    def let_in(self, key: _place_key.PlaceKey, held: Held) -> None:
+    def let_in(self, key: _place_key.PlaceKey, held: LedgerEntry) -> None:
         """Count a place that an ask gets now."""
         self.hold(key, held)
         self.backoff.note_let_in()
@@ -236,7 +238,7 @@
         bool
             Whether a place was freed.
         """
-        waiting = self.waiting_by_key.pop(key, None)
+        waiting = self.queued_by_key.pop(key, None)
         if waiting is not None:
             self._queue_of(waiting).remove(waiting)
         held = self.held_by_key.pop(key, None)
@@ -267,11 +269,11 @@
         """Give the smoothed seconds between two releases, 0 unknown."""
         return self._release_interval
 
-    def lapse(self, waiting: Waiting) -> bool:
+    def lapse(self, waiting: QueuedRequest) -> bool:
         """Take an ask out of the queue, if it still waits there."""
-        if self.waiting_by_key.get(waiting.key) is not waiting:
+        if self.queued_by_key.get(waiting.key) is not waiting:
             return False
-        del self.waiting_by_key[waiting.key]
+        del self.queued_by_key[waiting.key]
         return self._queue_of(waiting).remove(waiting)
 
     def expected_wait(self, *, batch: bool) -> float:
@@ -289,27 +291,27 @@
         """
         return bool(len(self._interactive) or (batch and len(self._batch)))
 
-    def enqueue(self, waiting: Waiting, *, team_weight: float) -> None:
+    def enqueue(self, waiting: QueuedRequest, *, team_weight: float) -> None:
         """Let an ask wait for its turn; the one that gives way is refused."""
-        self.waiting_by_key[waiting.key] = waiting
+        self.queued_by_key[waiting.key] = waiting
         evicted = self._queue_of(waiting).push(
             waiting, team=waiting.held.team, weight=team_weight
         )
         if evicted is None:
             return
-        del self.waiting_by_key[evicted.key]
+        del self.queued_by_key[evicted.key]
         evicted.refuse(messages.Verdict.full)
 
     def pump(self, *, limit: int, now: float, mean: float) -> None:
         """Grant queued asks while there is room."""
-        while self.waiting_by_key:
+        while self.queued_by_key:
             queue = self._next_queue(limit=limit, now=now, mean=mean)
             if queue is None:
                 return
             waiting = queue.pop()
             if waiting is None:
                 return
-            del self.waiting_by_key[waiting.key]
+            del self.queued_by_key[waiting.key]
             if waiting.deadline < now:
                 waiting.refuse(messages.Verdict.full)
                 continue
@@ -318,7 +320,7 @@
 
     def _next_queue(
         self, *, limit: int, now: float, mean: float
-    ) -> _fair_queue.FairQueue[Waiting] | None:
+    ) -> _fair_queue.FairQueue[QueuedRequest] | None:
         """Choose the class whose turn it is.
 
         Interactive work goes first, but every eighth turn is batch work's:
@@ -346,7 +348,9 @@
         )
         return verdict is Judgement.FREE
 
-    def _queue_of(self, waiting: Waiting) -> _fair_queue.FairQueue[Waiting]:
+    def _queue_of(
+        self, waiting: QueuedRequest
+    ) -> _fair_queue.FairQueue[QueuedRequest]:
         return self._batch if waiting.held.batch else self._interactive
 
     def refuse_all(self, verdict: messages.Verdict) -> None:
@@ -354,7 +358,7 @@
         for queue in (self._interactive, self._batch):
             for waiting in queue.drain():
                 waiting.refuse(verdict)
-        self.waiting_by_key.clear()
+        self.queued_by_key.clear()
 
     def keep_only(
         self,
@@ -371,7 +375,7 @@
         for ask, place in held.items():
             self.hold(
                 _place_key.PlaceKey(daemon, ask),
-                Held(
+                LedgerEntry(
                     weight=place.weight,
                     team=_ids.TeamName(place.team),
                     batch=place.batch,
@@ -382,5 +386,5 @@
     def drop_daemon(self, daemon: _ids.DaemonId, *, now: float) -> None:
         """Free all that a dead daemon held."""
         self.keep_only(daemon, {}, set(), now=now)
-        for key in [k for k in self.waiting_by_key if k.daemon == daemon]:
+        for key in [k for k in self.queued_by_key if k.daemon == daemon]:
             self.release(key, now=now)
--- a/src/topazlug/routing/_no_target.py
+++ b/src/topazlug/routing/_no_usable_replica.py
@@ -1,13 +1,13 @@
 """What to tell a request whose group has no replica that may get it."""
 
 from topazlug import _errors
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _targets
 
 
-def none_usable(
+def no_usable_replica_error(
     targets: _targets.TargetDirectory,
-    request: _place.PlaceRequest,
+    request: _placement.PlacementRequest,
     *,
     retry_after: float,
 ) -> _errors.RequestError:
@@ -17,7 +17,7 @@
     ----------
     targets : TargetDirectory
         Replicas.
-    request : PlaceRequest
+    request : PlacementRequest
         What has no place.
     retry_after : float
         Seconds after which a repeat makes sense, where nobody says when a
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -17,7 +17,7 @@
 from topazlug._generated import settings as _settings_types
 from topazlug.capacity import _place_key
 from topazlug.capacity import _start_room
-from topazlug.routing import _displaced
+from topazlug.routing import _displaced_chats
 from topazlug.routing import _group_accounts
 from topazlug.routing import _ledger
 from topazlug.routing import _owner_answers
@@ -68,7 +68,7 @@
         Settings.
     clock : Clock
         Time.
-    start_part : float
+    startup_fraction : float
         Part of a replica's slots that is let in whatever the mean is, just
         after this daemon has started.
     """
@@ -82,7 +82,7 @@
         rules: GroupRules,
         routing: _settings_types.RoutingSettings,
         clock: _clock.Clock,
-        start_part: float = 0.0,
+        startup_fraction: float = 0.0,
     ) -> None:
         self._daemon = daemon
         self._ownership = ownership
@@ -93,31 +93,31 @@
         self.ledger_by_replica: dict[_ids.ReplicaId, _ledger.ReplicaLedger] = (
             {}
         )
-        self.accounts = _group_accounts.GroupAccounts(
+        self.group_limits = _group_accounts.GroupAccounts(
             ledger_by_replica=self.ledger_by_replica,
             targets=targets,
             bounds=rules,
             clock=clock,
         )
-        self.displaced = _displaced.DisplacedChats(
+        self.displaced = _displaced_chats.DisplacedChats(
             capacity=routing.displaced_capacity
         )
         self._answers = _owner_answers.OwnerAnswers()
         self.count_by_verdict = self._answers.count_by_verdict
         self._queue = _owner_queue.OwnerQueue(
-            accounts=self.accounts,
+            group_limits=self.group_limits,
             answers=self._answers,
             targets=targets,
             weight_of=rules.weight_of,
             clock=clock,
         )
         self._judge = _owner_judge.OwnerJudge(
-            accounts=self.accounts,
+            group_limits=self.group_limits,
             answers=self._answers,
             queue=self._queue,
             targets=targets,
             start=_start_room.StartRoom(
-                part=start_part, started_at=clock.monotonic()
+                part=startup_fraction, started_at=clock.monotonic()
             ),
             clock=clock,
         )
@@ -174,7 +174,7 @@
         if target is not None:
             self._targets.cold.suspect([target])
 
-    def note_backoff(
+    def record_backoff(
         self, sender: _ids.DaemonId, note: messages.Backoff
     ) -> None:
         """Note that a replica asked a daemon for a backoff."""
@@ -184,7 +184,7 @@
                 sender, seconds=note.seconds, now=self._clock.monotonic()
             )
 
-    def note_turned_away(self, note: messages.TurnedAway) -> None:
+    def record_rejection(self, note: messages.TurnedAway) -> None:
         """Note that a request found no place anywhere and may come back."""
         ledger = self.ledger_by_replica.get(_ids.ReplicaId(note.replica))
         if ledger is not None and note.request:
@@ -220,7 +220,7 @@
 
     def _find(self, key: _place_key.PlaceKey) -> _ledger.ReplicaLedger | None:
         for ledger in self.ledger_by_replica.values():
-            if key in ledger.held_by_key or key in ledger.waiting_by_key:
+            if key in ledger.held_by_key or key in ledger.queued_by_key:
                 return ledger
         return None
 
@@ -323,7 +323,7 @@
                 handover.setdefault(after, []).extend(entries)
         return handover
 
-    def forget_ended_starts(self) -> None:
+    def reset_restarted_replicas(self) -> None:
         """Begin anew with replicas that started again under their id.
 
         The new start runs nothing of what is counted and holds no context.
@@ -339,7 +339,9 @@
             # Nothing is held there yet: there is no count to distrust.
             fresh.careful_until = 0.0
             self.ledger_by_replica[replica] = fresh
-        self.displaced.forget_ended_starts(self._targets.target_by_replica)
+        self.displaced.remove_restarted(
+            self._targets.target_by_replica
+        )
 
     def turn_careful(self) -> None:
         """Distrust all counts for a while, after a pause of this daemon."""
@@ -361,14 +363,14 @@
     ) -> None:
         """Note a collector's answer, and grant what now fits."""
         group = _ids.GroupName(summary.group)
-        self.accounts.take_summary(summary, report)
-        for ledger in self.accounts.ledgers_of(group):
+        self.group_limits.take_summary(summary, report)
+        for ledger in self.group_limits.ledgers_of(group):
             self._queue.pump(ledger)
 
     def waiting(self) -> int:
         """Give the asks that wait in this owner's queues."""
         ledgers = self.ledger_by_replica.values()
-        return sum(len(ledger.waiting_by_key) for ledger in ledgers)
+        return sum(len(ledger.queued_by_key) for ledger in ledgers)
 
     def _ledger_of(
         self, replica: _ids.ReplicaId
--- a/src/topazlug/routing/_owner_asks.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -18,7 +18,7 @@
 from topazlug.routing import _holdings
 from topazlug.routing import _owner
 from topazlug.routing import _ownership
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_word
 from topazlug.targets import _targets
 
@@ -27,10 +27,10 @@
 _FIRST_SILENT_SECONDS = 0.1
 # A caller comes back after a third of the time that it has left at most; the
 # rest is for the time that its answer takes to reach it.
-LONGEST_RETURN_PART = 0.3
+MAX_RETURN_FRACTION = 0.3
 
 
-class OwnerAnswer(NamedTuple):
+class OwnerReply(NamedTuple):
     """What an owner said to one ask."""
 
     ask: _ids.AskNumber
@@ -39,7 +39,7 @@
 
 
 @final
-class OwnerAsks:
+class OwnerClient:
     """Asks owners, each for one place on one replica.
 
     Parameters
@@ -59,7 +59,7 @@
 
     Attributes
     ----------
-    holdings : Holdings
+    held_placements : Holdings
         Places that this daemon holds of owners.
     passed_over : int
         Asks that got no word of an owner.
@@ -84,7 +84,7 @@
         self._numbers = itertools.count(1)
         self._silent_until: dict[_ids.DaemonId, float] = {}
         self._silences: dict[_ids.DaemonId, int] = {}
-        self.holdings = _holdings.Holdings(
+        self.held_placements = _holdings.Holdings(
             daemon=daemon,
             owner=owner,
             ownership=ownership,
@@ -99,21 +99,21 @@
 
     def ask(
         self,
-        request: _place.PlaceRequest,
+        request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
         *,
         home: bool,
         wait: float = 0.0,
         total: int = 0,
         may_wait: bool = False,
-        patience: float = 0.0,
+        min_timeout: float = 0.0,
         cold: bool = False,
-    ) -> OwnerAnswer | None:
+    ) -> OwnerReply | None:
         """Ask a replica's owner for a place.
 
         Parameters
         ----------
-        request : PlaceRequest
+        request : PlacementRequest
             What needs a place.
         replica : ReplicaId
             Where.
@@ -125,7 +125,7 @@
             Load of the whole group if it is known, else 0.
         may_wait : bool
             Whether the owner may answer that the context is being read.
-        patience : float
+        min_timeout : float
             Seconds that this request can wait for the owner's word, if that
             is longer than the usual timeout.
         cold : bool
@@ -133,7 +133,7 @@
 
         Returns
         -------
-        OwnerAnswer or None
+        OwnerReply or None
             None if there is no owner, or no word of it.
         """
         owner = self._ownership.owner_of(replica)
@@ -157,27 +157,27 @@
             total=total,
             rank=request.rank,
             request=request.prompt,
-            longest=max(0.0, request.deadline - now) * LONGEST_RETURN_PART,
+            longest=max(0.0, request.deadline - now) * MAX_RETURN_FRACTION,
             shared=request.shared_tokens,
             may_wait=may_wait,
             cold=cold,
         )
-        self.holdings.pending_by_ask[ask] = owner
+        self.held_placements.pending_by_ask[ask] = owner
         try:
-            timeout = max(self._timeout, patience) + wait
+            timeout = max(self._timeout, min_timeout) + wait
             reply = self._exchange(owner, message, timeout)
         except BaseException:
             # The caller left while its ask waited: a turn that comes later
             # would be granted to nobody and its slot lost.
-            self.holdings.send_release(owner, ask)
+            self.held_placements.send_release(owner, ask)
             raise
         finally:
-            del self.holdings.pending_by_ask[ask]
+            del self.held_placements.pending_by_ask[ask]
         if reply is None:
             self._pass_over(owner, ask, since=now, waited=wait > 0)
             return None
         self._silences.pop(owner, None)
-        return OwnerAnswer(ask, owner, reply)
+        return OwnerReply(ask, owner, reply)
 
     def _exchange(
         self, owner: _ids.DaemonId, message: messages.AdmitAsk, timeout: float
@@ -230,26 +230,28 @@
                 seconds=pause,
                 silences=silences + 1,
             )
-        self.holdings.send_release(owner, ask)
+        self.held_placements.send_release(owner, ask)
 
-    def tell(self, replica: _ids.ReplicaId, word: messages.EngineWord) -> None:
+    def report_response_head(
+        self, replica: _ids.ReplicaId, word: messages.EngineWord
+    ) -> None:
         """Tell a replica's owner what the head of an answer said."""
         owner = self._ownership.owner_of(replica)
         if owner == self._daemon:
             self._owner.take_word(word)
         elif owner is not None:
-            self.holdings.send(owner, word)
+            self.held_placements.send(owner, word)
 
-    def tell_unreached(self, replica: _ids.ReplicaId) -> None:
+    def report_unreached(self, replica: _ids.ReplicaId) -> None:
         """Tell a replica's owner that it took no connection."""
         owner = self._ownership.owner_of(replica)
         note = messages.Unreached(replica=replica)
         if owner == self._daemon:
             self._owner.note_unreached(note)
         elif owner is not None:
-            self.holdings.send(owner, note)
+            self.held_placements.send(owner, note)
 
-    def tell_backoff(
+    def report_backoff(
         self, target: _targets.Target, word: _target_word.TargetWord
     ) -> None:
         """Tell a target's owner that it has asked this daemon for a backoff.
@@ -270,13 +272,13 @@
             seconds=word.backoff,
         )
         if owner == self._daemon:
-            self._owner.note_backoff(self._daemon, note)
+            self._owner.record_backoff(self._daemon, note)
         else:
-            self.holdings.send(owner, note)
+            self.held_placements.send(owner, note)
 
-    def note_turned_away(
+    def report_rejection(
         self,
-        request: _place.PlaceRequest,
+        request: _placement.PlacementRequest,
         home: _ids.ReplicaId,
         *,
         seconds: float,
@@ -290,13 +292,13 @@
         )
         owner = self._ownership.owner_of(home)
         if owner == self._daemon:
-            self._owner.note_turned_away(note)
+            self._owner.record_rejection(note)
         elif owner is not None:
-            self.holdings.send(owner, note)
+            self.held_placements.send(owner, note)
 
-    def note_displacement(
+    def report_displacement(
         self,
-        place: _place.Place,
+        place: _placement.Placement,
         *,
         home: _ids.ReplicaId,
         seat: _ids.ReplicaId | None,
@@ -329,4 +331,4 @@
         if owner == self._daemon:
             self._owner.displaced.note(note)
         elif owner is not None:
-            self.holdings.send(owner, note)
+            self.held_placements.send(owner, note)
--- a/src/topazlug/routing/_owner_duties.py
+++ b/src/topazlug/routing/_owner_endpoint.py
@@ -33,7 +33,7 @@
 
 
 @final
-class OwnerDuties:
+class OwnerEndpoint:
     """Ties an `Owner` to the peers' streams.
 
     Parameters
@@ -42,7 +42,7 @@
         This daemon.
     owner : Owner
         Ledgers.
-    holdings : Holdings
+    held_placements : Holdings
         What this daemon itself holds of owners.
     links : PeerLinks
         Streams.
@@ -59,7 +59,7 @@
         *,
         daemon: _ids.DaemonId,
         owner: _owner.Owner,
-        holdings: _holdings.Holdings,
+        held_placements: _holdings.Holdings,
         links: _peers.PeerLinks,
         usable: Callable[[], Mapping[_ids.DaemonId, Any]],
         routing: _settings_types.RoutingSettings,
@@ -67,12 +67,12 @@
     ) -> None:
         self._daemon = daemon
         self._owner = owner
-        self._holdings = holdings
+        self._holdings = held_placements
         self._links = links
         self._usable = usable
         self._routing = routing
         self._clock = clock
-        self._collector = _group_load.Collector(
+        self._collector = _group_load.LoadCollector(
             clock=clock, interval=routing.load_interval
         )
         self._reporting: set[str] = set()
@@ -105,7 +105,7 @@
     def _on_turned_away(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.note_turned_away(message)
+        self._owner.record_rejection(message)
 
     def _on_unreached(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
@@ -115,7 +115,7 @@
     def _on_backoff(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.note_backoff(sender, message)
+        self._owner.record_backoff(sender, message)
 
     def _on_release(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
@@ -142,7 +142,7 @@
     def _on_report(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        reply(self._collector.take(sender, message))
+        reply(self._collector.add_report(sender, message))
 
     def on_transfer(self, transfers: list[_ownership.Transfer]) -> None:
         """Follow a change of owners: hand over, and renew at once."""
@@ -205,7 +205,7 @@
 
     def report(self) -> None:
         """Send the reports that are due now."""
-        for report in self._owner.accounts.due_reports():
+        for report in self._owner.group_limits.due_reports():
             if report.group not in self._reporting:
                 self._reporting.add(report.group)
                 gevent.spawn(self._report, report)
@@ -226,7 +226,7 @@
         if collector is None:
             return None
         if collector == self._daemon:
-            return self._collector.take(self._daemon, report)
+            return self._collector.add_report(self._daemon, report)
         try:
             answer = self._links.call(
                 collector, report, timeout=_REPORT_TIMEOUT
--- a/src/topazlug/routing/_owner_judge.py
+++ b/src/topazlug/routing/_owner_judge.py
@@ -28,7 +28,7 @@
 
     Parameters
     ----------
-    accounts : GroupAccounts
+    group_limits : GroupAccounts
         Loads of groups.
     answers : OwnerAnswers
         Answers asks.
@@ -45,14 +45,14 @@
     def __init__(
         self,
         *,
-        accounts: _group_accounts.GroupAccounts,
+        group_limits: _group_accounts.GroupAccounts,
         answers: _owner_answers.OwnerAnswers,
         queue: _owner_queue.OwnerQueue,
         targets: _targets.TargetDirectory,
         start: _start_room.StartRoom,
         clock: _clock.Clock,
     ) -> None:
-        self._accounts = accounts
+        self._accounts = group_limits
         self._answers = answers
         self._queue = queue
         self._targets = targets
@@ -152,7 +152,7 @@
         reply: _owner_answers.Reply,
     ) -> None:
         key = _place_key.PlaceKey(sender, _ids.AskNumber(ask.ask))
-        held = _ledger.Held(
+        held = _ledger.LedgerEntry(
             weight=ask.weight,
             team=_ids.TeamName(ask.team),
             batch=ask.batch,
@@ -260,7 +260,7 @@
         self,
         ledger: _ledger.ReplicaLedger,
         key: _place_key.PlaceKey,
-        held: _ledger.Held,
+        held: _ledger.LedgerEntry,
         ask: messages.AdmitAsk,
         reply: _owner_answers.Reply,
     ) -> None:
@@ -293,7 +293,7 @@
     def _judge_return(
         self,
         ledger: _ledger.ReplicaLedger,
-        held: _ledger.Held,
+        held: _ledger.LedgerEntry,
         judgement: _ledger.Judgement,
     ) -> _ledger.Judgement:
         """Let a chat back in whose last turn is still counted.
--- a/src/topazlug/routing/_owner_queue.py
+++ b/src/topazlug/routing/_owner_queue.py
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    accounts : GroupAccounts
+    group_limits : GroupAccounts
         Loads of groups.
     answers : OwnerAnswers
         Answers asks.
@@ -39,13 +39,13 @@
     def __init__(
         self,
         *,
-        accounts: _group_accounts.GroupAccounts,
+        group_limits: _group_accounts.GroupAccounts,
         answers: _owner_answers.OwnerAnswers,
         targets: _targets.TargetDirectory,
         weight_of: Callable[[_ids.TeamName], float],
         clock: _clock.Clock,
     ) -> None:
-        self._accounts = accounts
+        self._accounts = group_limits
         self._answers = answers
         self._targets = targets
         self._weight_of = weight_of
@@ -55,13 +55,13 @@
         self,
         ledger: _ledger.ReplicaLedger,
         key: _place_key.PlaceKey,
-        held: _ledger.Held,
+        held: _ledger.LedgerEntry,
         wait: float,
         reply: _owner_answers.Reply,
     ) -> None:
         """Let an ask wait for its turn, for so many seconds."""
         expected = ledger.expected_wait(batch=held.batch)
-        waiting = _ledger.Waiting(
+        waiting = _ledger.QueuedRequest(
             key=key,
             held=held,
             deadline=self._clock.monotonic() + wait,
@@ -74,13 +74,13 @@
         )
         ledger.enqueue(waiting, team_weight=self._weight_of(held.team))
         self.pump(ledger)
-        if wait <= SHORT_WAIT and key in ledger.waiting_by_key:
+        if wait <= SHORT_WAIT and key in ledger.queued_by_key:
             gevent.spawn(self._lapse, ledger, waiting, wait)
 
     def _lapse(
         self,
         ledger: _ledger.ReplicaLedger,
-        waiting: _ledger.Waiting,
+        waiting: _ledger.QueuedRequest,
         wait: float,
     ) -> None:
         """Answer a short wait when it is over.
@@ -109,7 +109,7 @@
 
     def pump(self, ledger: _ledger.ReplicaLedger) -> None:
         """Grant what waits and now fits."""
-        if not ledger.waiting_by_key:
+        if not ledger.queued_by_key:
             return
         if not self._targets.is_in_service(ledger.replica):
             ledger.refuse_all(messages.Verdict.expired)
--- a/src/topazlug/routing/_place.py
+++ b/src/topazlug/routing/_placement.py
@@ -9,7 +9,7 @@
 from topazlug.targets import _targets
 
 
-class PlaceRequest(msgspec.Struct, frozen=True):
+class PlacementRequest(msgspec.Struct, frozen=True):
     """One request that needs a place on a replica.
 
     Attributes
@@ -60,7 +60,7 @@
 
 
 @final
-class Place:
+class Placement:
     """A place in use on a replica; it must be released once.
 
     Attributes
@@ -83,7 +83,7 @@
         target: _targets.Target,
         ask: _ids.AskNumber,
         owner: _ids.DaemonId | None,
-        request: PlaceRequest,
+        request: PlacementRequest,
         home: bool,
         reads_context: bool = False,
     ) -> None:
@@ -99,7 +99,7 @@
 class Admission(Protocol):
     """What finds a place, whatever the policy."""
 
-    def admit(self, request: PlaceRequest) -> Place:
+    def admit(self, request: PlacementRequest) -> Placement:
         """Find a place.
 
         Raises
@@ -110,5 +110,5 @@
             The group has no usable replica.
         """
 
-    def release(self, place: Place) -> None:
+    def release(self, place: Placement) -> None:
         """Give a place back."""
--- a/src/topazlug/routing/_policies.py
+++ b/src/topazlug/routing/_policies.py
@@ -16,8 +16,8 @@
 from topazlug import _ids
 from topazlug._generated import settings as _settings_types
 from topazlug.configuration import _rules
-from topazlug.routing import _no_target
-from topazlug.routing import _place
+from topazlug.routing import _no_usable_replica
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
 from topazlug.targets import _targets
 
@@ -64,11 +64,11 @@
 
 def admission_of(
     name: _settings_types.RoutingPolicy, parts: Parts
-) -> _place.Admission:
+) -> _placement.Admission:
     """Give what finds places under a policy."""
     policy = _POLICY_BY_NAME[name]
     if isinstance(policy, _Owners):
-        admission: _place.Admission = parts.owners_admission
+        admission: _placement.Admission = parts.owners_admission
         return admission
     return BaselineAdmission(policy=policy, parts=parts)
 
@@ -76,7 +76,7 @@
 class _View(msgspec.Struct):
     """What one daemon knows by itself."""
 
-    request: _place.PlaceRequest
+    request: _placement.PlacementRequest
     usable: list[_ids.ReplicaId]
     own_load: dict[_ids.ReplicaId, int]
     reported: dict[_ids.ReplicaId, int]
@@ -152,7 +152,9 @@
         """Note what an engine says of its load."""
         self._reported[replica] = running
 
-    def admit(self, request: _place.PlaceRequest) -> _place.Place:
+    def admit(
+        self, request: _placement.PlacementRequest
+    ) -> _placement.Placement:
         """Find a place; raises NoTarget."""
         usable = [
             replica
@@ -160,7 +162,7 @@
             if replica not in request.excluded
         ]
         if not usable:
-            raise _no_target.none_usable(
+            raise _no_usable_replica.no_usable_replica_error(
                 self._parts.targets, request, retry_after=_NO_TARGET_SECONDS
             )
         view = _View(
@@ -172,7 +174,7 @@
         )
         replica = choose(self._policy, view)
         self._own_load[replica] = self._own_load.get(replica, 0) + 1
-        return _place.Place(
+        return _placement.Placement(
             target=self._parts.targets.target_by_replica[replica],
             ask=_ids.AskNumber(next(self._numbers)),
             owner=None,
@@ -180,7 +182,7 @@
             home=False,
         )
 
-    def release(self, place: _place.Place) -> None:
+    def release(self, place: _placement.Placement) -> None:
         """Give a place back; a second time does nothing."""
         if place.released:
             return
--- a/src/topazlug/routing/_routing_parts.py
+++ b/src/topazlug/routing/_routing_assembly.py
@@ -18,9 +18,9 @@
 from topazlug.peers import _peers
 from topazlug.routing import _admission
 from topazlug.routing import _owner
-from topazlug.routing import _owner_duties
+from topazlug.routing import _owner_endpoint
 from topazlug.routing import _ownership
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.routing import _policies
 from topazlug.targets import _listed_targets
 from topazlug.targets import _target_client
@@ -39,7 +39,7 @@
 
 
 @final
-class RoutingParts:
+class RoutingAssembly:
     """Everything that decides where a request goes.
 
     Parameters
@@ -96,10 +96,10 @@
             clock=self._clock,
             fleet_size=lambda: len(self._fleet.membership.usable()),
         )
-        self.duties = _owner_duties.OwnerDuties(
+        self.duties = _owner_endpoint.OwnerEndpoint(
             daemon=self._fleet.daemon_id,
             owner=self.owner,
-            holdings=self.owners_admission.holdings,
+            held_placements=self.owners_admission.held_placements,
             links=self._fleet.links,
             usable=self._fleet.membership.usable,
             routing=settings.routing,
@@ -124,7 +124,7 @@
             interval=settings.routing.poll_interval,
             clock=self._clock,
         )
-        self.admission: _place.Admission = _policies.admission_of(
+        self.admission: _placement.Admission = _policies.admission_of(
             settings.routing.policy, self
         )
 
@@ -172,7 +172,7 @@
         self._fleet.membership.on_target_fact(self.targets.take_fact)
         self._fleet.membership.on_pause(self._paused)
         self.targets.on_word(self._tell_leaving)
-        self.targets.on_word(self.owners_admission.tell_backoff)
+        self.targets.on_word(self.owners_admission.report_backoff)
         self._fleet.configuration.on_change(self._configuration_changed)
         self.targets.on_change(self._update_ownership)
 
--- a/tests/topazlug/callers/test_callers.py
+++ b/tests/topazlug/callers/test_callers.py
@@ -43,7 +43,7 @@
             return b""
 
 
-def post(rig, body, *, path=fixtures.CHAT, **options):
+def post(rig, body, *, path=fixtures.CHAT_PATH, **options):
     return rig.send("POST", path, body=body, **options)
 
 
@@ -97,7 +97,9 @@
 
     def test_huge_in_chunks(self, rig):
         head = wire_fixtures.raw_request(
-            "POST", fixtures.CHAT, headers=[("Transfer-Encoding", "chunked")]
+            "POST",
+            fixtures.CHAT_PATH,
+            headers=[("Transfer-Encoding", "chunked")],
         )
         chunks = b"4000\r\n" + b"x" * 0x4000 + b"\r\n"
         data = sent(rig, head + chunks * 20)
@@ -105,13 +107,13 @@
 
     def test_slow(self, rig):
         head = wire_fixtures.raw_request(
-            "POST", fixtures.CHAT, headers=[("Content-Length", "10")]
+            "POST", fixtures.CHAT_PATH, headers=[("Content-Length", "10")]
         )
         assert refusal(sent(rig, head + b"x")) == (408, "body_too_slow")
 
     def test_cut(self, rig):
         head = wire_fixtures.raw_request(
-            "POST", fixtures.CHAT, headers=[("Content-Length", "10")]
+            "POST", fixtures.CHAT_PATH, headers=[("Content-Length", "10")]
         )
         sent(rig, head + b"x", half_close=True)
         rig.wait_idle()
@@ -126,7 +128,7 @@
         """
         head = wire_fixtures.raw_request(
             "POST",
-            fixtures.CHAT,
+            fixtures.CHAT_PATH,
             headers=[("Content-Length", "99999")],
             key="wrong",
         )
@@ -142,7 +144,7 @@
         "method, path, status, code",
         [
             ("GET", "/", 404, "path_not_found"),
-            ("GET", fixtures.CHAT, 405, "method_not_allowed"),
+            ("GET", fixtures.CHAT_PATH, 405, "method_not_allowed"),
             ("DELETE", "/v1/models", 405, "method_not_allowed"),
             ("GET", "/v1/services/none/x", 404, "service_not_found"),
             ("GET", "/v1/services/", 404, "service_not_found"),
@@ -341,7 +343,7 @@
     [
         b"GET ",
         b"POST ",
-        fixtures.CHAT.encode(),
+        fixtures.CHAT_PATH.encode(),
         b" HTTP/1.1\r\n",
         b"Host: x\r\n",
         f"Authorization: Bearer {fixtures.KEY}\r\n".encode(),
--- a/tests/topazlug/calls/test_attempts.py
+++ b/tests/topazlug/calls/test_attempts.py
@@ -57,11 +57,11 @@
             clock=_clock.SystemClock(),
             count_retry=self.retried.append,
         )
-        request = fixtures.place_request(deadline=1e12)
+        request = fixtures.placement_request(deadline=1e12)
         try:
             return attempts.run(request, attempt, repeatable=repeatable)
         finally:
-            assert not self.entry.admission.holdings.place_by_ask
+            assert not self.entry.admission.held_placements.placement_by_ask
             assert len(set(self.tried)) == len(self.tried)
 
 
--- a/tests/topazlug/calls/test_chat_calls.py
+++ b/tests/topazlug/calls/test_chat_calls.py
@@ -263,10 +263,10 @@
         body = wire_fixtures.chat_body("where?", max_tokens=100000, **options)
         sock = rig.connect()
         sock.sendall(
-            wire_fixtures.raw_request("POST", fixtures.CHAT, body=body)
+            wire_fixtures.raw_request("POST", fixtures.CHAT_PATH, body=body)
         )
         fixtures.wait_until(ready)
-        assert rig.held() == 1
+        assert rig.held_load() == 1
         sock.close()
         fixtures.wait_until(lambda: events(engine)["cancel"] == 1)
         assert engine._scheduler.running == 0
@@ -293,7 +293,7 @@
         body = wire_fixtures.chat_body("q", stream=True, max_tokens=100000)
         sock = rig.connect()
         sock.sendall(
-            wire_fixtures.raw_request("POST", fixtures.CHAT, body=body)
+            wire_fixtures.raw_request("POST", fixtures.CHAT_PATH, body=body)
         )
         seen = b""
         while b"id: 3" not in seen:
@@ -318,7 +318,7 @@
         )
         sock = rig.connect()
         sock.sendall(
-            wire_fixtures.raw_request("POST", fixtures.CHAT, body=body)
+            wire_fixtures.raw_request("POST", fixtures.CHAT_PATH, body=body)
         )
         fixtures.wait_until(lambda: bool(events(engine)["start"]))
         rig.wait_idle()
@@ -394,7 +394,7 @@
 
     def script(self, sock):
         while asked := wire_fixtures.read_request(sock):
-            if fixtures.CHAT.encode() not in asked:
+            if fixtures.CHAT_PATH.encode() not in asked:
                 sock.sendall(wire_fixtures.http_answer(b"", status="404 No"))
                 continue
             own = self.answer(asked)
@@ -467,7 +467,9 @@
             body = wire_fixtures.chat_body(question, stream=stream)
             with rig.connect() as sock:
                 sock.sendall(
-                    wire_fixtures.raw_request("POST", fixtures.CHAT, body=body)
+                    wire_fixtures.raw_request(
+                        "POST", fixtures.CHAT_PATH, body=body
+                    )
                 )
             return
         answer = ask(rig, question, stream=stream)
--- a/tests/topazlug/calls/test_service_calls.py
+++ b/tests/topazlug/calls/test_service_calls.py
@@ -125,9 +125,9 @@
         service = rig.service("s1")
         service._leaving = True
         rig.service("s2")
-        while not rig.signs.told:
+        while not rig.leaving_targets.told:
             call(rig)
-        assert rig.signs.told == ["s1"]
+        assert rig.leaving_targets.told == ["s1"]
 
 
 class TestClaims:
@@ -180,7 +180,7 @@
                     "POST", PREFIX + "/c", headers=headers
                 )
             )
-            fixtures.wait_until(lambda: rig.held() == 1)
+            fixtures.wait_until(lambda: rig.held_load() == 1)
         service.faults.freeze = False
         rig.wait_idle()
         fixtures.wait_until(
--- a/tests/topazlug/fleet_fakes.py
+++ b/tests/topazlug/fleet_fakes.py
@@ -87,6 +87,6 @@
         elif isinstance(message, messages.Renew):
             owner.renew(self._sender, message)
         elif isinstance(message, messages.Backoff):
-            owner.note_backoff(self._sender, message)
+            owner.record_backoff(self._sender, message)
         else:
             owner.displaced.note(message)
--- a/tests/topazlug/placement/owner_fixtures.py
+++ b/tests/topazlug/placement/owner_fixtures.py
@@ -12,7 +12,7 @@
 from topazlug.placement import _owners
 from topazlug.placement import _replica_view
 from topazlug.placement import _view_admission
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _targets
 
 # Daemons that have run for so long count as started.
@@ -74,7 +74,7 @@
     def renew(self):
         """Let all daemons tell owners what they hold."""
         for daemon in self.daemons:
-            daemon.owners.asks.holdings.renew()
+            daemon.owners.asks.held_placements.renew()
 
     def report(self):
         """Let all daemons tell collectors their replicas' load."""
@@ -116,7 +116,7 @@
             clock=fleet.clock,
         )
         self.admission.asks = self.owners.asks
-        self.targets.on_word(self.owners.asks.tell_backoff)
+        self.targets.on_word(self.owners.asks.report_backoff)
 
     def admit(self, chat, **changes):
         """Find a place for one request of a chat."""
@@ -129,7 +129,7 @@
             "deadline": 1e9,
         }
         return self.admission.admit(
-            _place.PlaceRequest(**{**request, **changes})
+            _placement.PlacementRequest(**{**request, **changes})
         )
 
 
--- a/tests/topazlug/placement/test_view_admission.py
+++ b/tests/topazlug/placement/test_view_admission.py
@@ -28,7 +28,7 @@
     def test_take_turns(self, replicas):
         """Half of the replicas of a group get all requests."""
         alone = admission(replicas)
-        request = routing_fixtures.place_request(
+        request = routing_fixtures.placement_request(
             group=fixtures.GROUP, keeps_context=False, deadline=1e12
         )
         counts = collections.Counter()
--- a/tests/topazlug/routing/test_admission.py
+++ b/tests/topazlug/routing/test_admission.py
@@ -29,7 +29,7 @@
 
 
 def admit(entry, number, **changes):
-    request = fixtures.place_request(chat=chat(number), **changes)
+    request = fixtures.placement_request(chat=chat(number), **changes)
     return entry.admission.admit(request)
 
 
@@ -178,7 +178,7 @@
         entry = fleet.entry_by_name["d1"]
         admit(entry, 1)
         fleet.silent.clear()
-        entry.admission.holdings.renew()
+        entry.admission.held_placements.renew()
         assert fleet.owned_load() == 1
 
 
@@ -240,16 +240,16 @@
 
     def test_mean_of_a_group_is_of_all_in_service(self, fleet):
         owner = fleet.entry_by_name["d2"]
-        before = owner.owner.accounts.total(fixtures.POOL).replicas
+        before = owner.owner.group_limits.total(fixtures.POOL).replicas
         owner.targets.take_word(fixtures.target("r1"), BACKOFF)
-        assert owner.owner.accounts.total(fixtures.POOL).replicas == before
+        assert owner.owner.group_limits.total(fixtures.POOL).replicas == before
 
     def test_what_several_daemons_were_asked_for_holds_for_all(self, fleet):
         """Each daemon has a request turned away before it knows."""
         d1, d2, d3 = fleet.entry_by_name.values()
         home = admit(d1, 1).target
         for entry in (d1, d2):
-            entry.targets.on_word(entry.admission.tell_backoff)
+            entry.targets.on_word(entry.admission.report_backoff)
             entry.targets.take_word(home, BACKOFF)
         assert admit(d3, 1).target.replica != home.replica
         assert not d3.targets.is_usable(home.replica)
@@ -265,9 +265,9 @@
             entry.targets.take_list(
                 [again if one == home else one for one in others]
             )
-            entry.owner.forget_ended_starts()
+            entry.owner.reset_restarted_replicas()
         for entry in (d1, d2):
-            entry.targets.on_word(entry.admission.tell_backoff)
+            entry.targets.on_word(entry.admission.report_backoff)
             entry.targets.take_word(home, BACKOFF)
         assert admit(d3, 1).target == again
 
@@ -315,11 +315,11 @@
         """
         entry = fleet.entry_by_name["d1"]
         place = admit(entry, chat_owned_by(entry, "d2"))
-        entry.admission.holdings.renew()
+        entry.admission.held_placements.renew()
         fleet.lost.add(messages.Release)
         entry.admission.release(place)
         assert fleet.owned_load() == 1
-        entry.admission.holdings.renew()
+        entry.admission.held_placements.renew()
         fixtures.wait_until(lambda: fleet.owned_load() == 0)
 
     def test_settles_an_answer_that_was_lost(self, fleet):
@@ -335,12 +335,12 @@
         fleet.lost.add(messages.Release)
         entry.admission.release(place)
         fleet.silent.add("d2")
-        entry.admission.holdings.renew()
+        entry.admission.held_placements.renew()
         assert fleet.owned_load() == 1
         fleet.silent.clear()
-        entry.admission.holdings.renew()
+        entry.admission.held_placements.renew()
         fixtures.wait_until(lambda: fleet.owned_load() == 0)
-        assert entry.admission.holdings.renew() == 0
+        assert entry.admission.held_placements.renew() == 0
 
     def test_tells_a_new_owner(self, fleet):
         entry = fleet.entry_by_name["d1"]
@@ -351,7 +351,7 @@
                 daemons=["d1", "d3"],
                 replicas=other.targets.target_by_replica,
             )
-        entry.admission.holdings.renew()
+        entry.admission.held_placements.renew()
         assert fleet.owned_load() == 1
         assert not fleet.entry_by_name["d2"].owner.ledger_by_replica
 
@@ -423,11 +423,11 @@
     @staticmethod
     def queued(entry):
         (ledger,) = entry.owner.ledger_by_replica.values()
-        return len(ledger.waiting_by_key)
+        return len(ledger.queued_by_key)
 
     @staticmethod
     def free(entry):
-        (place,) = entry.admission.holdings.place_by_ask.values()
+        (place,) = entry.admission.held_placements.placement_by_ask.values()
         entry.admission.release(place)
 
     def test_freed_slot_goes_to_the_first(self, entry):
@@ -482,7 +482,7 @@
             [_ownership.Transfer(_ids.ReplicaId("r0"), entry.daemon, None)]
         )
         place = task.get(timeout=20)
-        assert place.ask in entry.admission.holdings.place_by_ask
+        assert place.ask in entry.admission.held_placements.placement_by_ask
 
 
 class TestOverload:
--- a/tests/topazlug/routing/test_displaced.py
+++ b/tests/topazlug/routing/test_displaced_chats.py
@@ -1,7 +1,7 @@
 """Displaced chats: remembered within bounds, handed over with homes."""
 
 from topazlug._generated import messages
-from topazlug.routing import _displaced
+from topazlug.routing import _displaced_chats
 
 
 def note(chat, replica="r9", home="r0"):
@@ -11,7 +11,7 @@
 
 
 def with_chats(count, *, capacity=100):
-    made = _displaced.DisplacedChats(capacity=capacity)
+    made = _displaced_chats.DisplacedChats(capacity=capacity)
     for chat in range(count):
         made.note(note(chat))
     return made
--- a/tests/topazlug/routing/test_group_load.py
+++ b/tests/topazlug/routing/test_group_load.py
@@ -23,25 +23,27 @@
 
 @pytest.fixture
 def collector(clock):
-    return _group_load.Collector(clock=clock, interval=0.1)
+    return _group_load.LoadCollector(clock=clock, interval=0.1)
 
 
 class TestCollector:
     def test_adds_up_the_last_reports(self, collector):
-        collector.take("d1", report(r1=5, r2=1))
-        collector.take("d1", report(r1=2))
-        summary = collector.take("d2", report(r3=4))
+        collector.add_report("d1", report(r1=5, r2=1))
+        collector.add_report("d1", report(r1=2))
+        summary = collector.add_report("d2", report(r3=4))
         assert (summary.total, summary.replicas) == (7, 3)
 
     def test_silent_owner_is_left_out(self, collector, clock):
-        collector.take("d1", report(r1=9))
+        collector.add_report("d1", report(r1=9))
         clock.advance(3.1)
-        summary = collector.take("d2", report(r2=4))
+        summary = collector.add_report("d2", report(r2=4))
         assert (summary.total, summary.replicas) == (4, 1)
 
     def test_interval_grows_with_the_reporters(self, collector):
         for number in range(200):
-            summary = collector.take(f"d{number}", report(**{f"r{number}": 1}))
+            summary = collector.add_report(
+                f"d{number}", report(**{f"r{number}": 1})
+            )
         assert summary.interval > 1.0
 
     def test_all_choose_the_same_collector(self):
@@ -57,7 +59,7 @@
         made = _group_load.GroupView()
         fields = {"group": "pool", "total": 30, "replicas": 6, "interval": 0.1}
         summary = messages.LoadSummary(**{**fields, **changes})
-        made.take(summary, own=10, now=100.0)
+        made.apply_summary(summary, own=10, now=100.0)
         return made
 
     def test_own_part_is_replaced_by_what_is_counted_now(self):
--- a/tests/topazlug/routing/test_ledger.py
+++ b/tests/topazlug/routing/test_ledger.py
@@ -28,7 +28,7 @@
 
 
 def held(weight=1, *, batch=False, team="acme"):
-    return _ledger.Held(weight=weight, team=team, batch=batch)
+    return _ledger.LedgerEntry(weight=weight, team=team, batch=batch)
 
 
 class Waiter:
@@ -37,7 +37,7 @@
     def __init__(self, ledger, ask, *, daemon="d1", deadline=1e9, **options):
         self.fate = None
         ledger.enqueue(
-            _ledger.Waiting(
+            _ledger.QueuedRequest(
                 key=key(daemon, ask),
                 held=held(**options),
                 deadline=deadline,
@@ -180,14 +180,14 @@
             del model[old]
 
     def queue(self, ledger, model, daemon, ask):
-        if key(daemon, ask) in ledger.waiting_by_key | model:
+        if key(daemon, ask) in ledger.queued_by_key | model:
             return
         Waiter(ledger, ask, daemon=daemon)
 
     def pump(self, ledger, model):
-        before = dict(ledger.waiting_by_key)
+        before = dict(ledger.queued_by_key)
         ledger.pump(**NO_LIMIT)
-        for waiting in before.keys() - ledger.waiting_by_key.keys():
+        for waiting in before.keys() - ledger.queued_by_key.keys():
             model[waiting] = before[waiting].held
 
 
--- a/tests/topazlug/routing/test_policies.py
+++ b/tests/topazlug/routing/test_policies.py
@@ -37,7 +37,7 @@
 
 
 def replicas(admission, count, **changes):
-    request = fixtures.place_request(**changes)
+    request = fixtures.placement_request(**changes)
     return [admission.admit(request).target.replica for _ in range(count)]
 
 
@@ -75,7 +75,7 @@
     @pytest.mark.parametrize("name", list(POLICY))
     def test_second_release_does_nothing(self, make, name):
         admission = make(name)
-        place = admission.admit(fixtures.place_request())
+        place = admission.admit(fixtures.placement_request())
         for _ in range(2):
             admission.release(place)
         if isinstance(admission, _policies.BaselineAdmission):
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -41,7 +41,7 @@
 from topazlug.routing import _admission
 from topazlug.routing import _owner
 from topazlug.routing import _ownership
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
 from topazlug.targets import _target_client
 from topazlug.targets import _target_word
@@ -53,7 +53,7 @@
 ME = _ids.DaemonId("d1")
 POOL = _ids.GroupName("pool")
 SERVICE = _ids.GroupName("letters")
-CHAT = "/v1/chat/completions"
+CHAT_PATH = "/v1/chat/completions"
 ROWS = {
     "teams": [
         {"name": "acme", "keys": [{"hash": _tokens.hash_of(KEY)}]},
@@ -183,9 +183,9 @@
     )
 
 
-def place_request(**changes: Any) -> _place.PlaceRequest:
+def placement_request(**changes: Any) -> _placement.PlacementRequest:
     """Make a request for a place, with the values most tests share."""
-    request = _place.PlaceRequest(
+    request = _placement.PlacementRequest(
         group=POOL,
         chat=_ranking.chat_hash("c"),
         team=_ids.TeamName("acme"),
@@ -255,15 +255,15 @@
         self.servers: list[Any] = []
         self.store = claim_fakes.FakeStore()
         self.budget = _retry_budget.RetryBudget(ratio=1.0)
-        self.signs = Signs()
-        self.retried: list[_place.PlaceRequest] = []
+        self.leaving_targets = Signs()
+        self.retried: list[_placement.PlacementRequest] = []
         self.quotas = Tickets()
         self.clock = _clock.SystemClock()
         self.entry = Entry(
             ME, targets=[], daemons=[ME], clock=self.clock, links=NoLinks()
         )
         self.limits = _settings_types.LimitSettings(**limits)
-        self.entry.targets.on_word(self.signs.take_word)
+        self.entry.targets.on_word(self.leaving_targets.take_word)
         self.connections = _target_client.TargetConnections(
             connect_timeout=1.0,
             clock=self.clock,
@@ -375,7 +375,7 @@
         self.servers.append(server)
         self.list_target(name, server.server_port, **changes)
 
-    def held(self) -> int:
+    def held_load(self) -> int:
         """Give the places that the owner counts."""
         ledgers = self.entry.owner.ledger_by_replica.values()
         return sum(ledger.load for ledger in ledgers)
@@ -383,8 +383,8 @@
     def wait_idle(self) -> None:
         """Wait until no request runs and no place is in use."""
         wait_until(lambda: not self.app.in_progress, "all requests ended")
-        wait_until(lambda: not self.held(), "all places given back")
-        assert not self.entry.admission.holdings.place_by_ask
+        wait_until(lambda: not self.held_load(), "all places given back")
+        assert not self.entry.admission.held_placements.placement_by_ask
         assert not self.quotas.out
 
     def connect(self) -> socket.socket:
@@ -415,7 +415,7 @@
         """Send one chat request."""
         headers = options.pop("headers", ())
         body = wire_fixtures.chat_body(question, stream=stream, **options)
-        return self.send("POST", CHAT, headers=headers, body=body)
+        return self.send("POST", CHAT_PATH, headers=headers, body=body)
 
     def stop(self) -> None:
         """End the listener and all targets."""
