--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -261,7 +261,7 @@
     def chats() -> _displaced_chats.DisplacedChats:
         made = _displaced_chats.DisplacedChats(capacity=_DISPLACED)
         for number in range(_DISPLACED):
-            made.note(_displaced_entry(number))
+            made.record(_displaced_entry(number))
         return made
 
     held = sizes.held_bytes(chats) / _DISPLACED
--- a/src/topazlug/placement/_owner_search.py
+++ b/src/topazlug/placement/_owner_search.py
@@ -90,13 +90,16 @@
         ranked = _ranked(candidates, request, count=_MOST_ASKS)
         ranked += self._warm_ones(candidates, request, ranked)
         home = ranked[0]
-        seat: _ids.ReplicaId | None = None
+        displaced_to: _ids.ReplicaId | None = None
         wanted = list(ranked)
         refusals: dict[_ids.ReplicaId, _owner_client.OwnerReply] = {}
         while wanted:
             replica = wanted.pop(0)
             answer = self._ask_one(
-                asks, request, replica, home=replica == home and seat is None
+                asks,
+                request,
+                replica,
+                home=replica == home and displaced_to is None,
             )
             if answer is None:
                 return None
@@ -108,12 +111,18 @@
             elif verdict is messages.Verdict.granted:
                 place = self._take(asks, request, replica, answer, home)
                 if place is not None and not self._forgets_displaced:
-                    asks.report_displacement(place, home=home, seat=seat)
+                    asks.report_displacement(
+                        place, home=home, displaced_to=displaced_to
+                    )
                 return place
             elif verdict is messages.Verdict.elsewhere:
-                seat = _ids.ReplicaId(answer.reply.replica)
-                others = [one for one in ranked if one != seat]
-                wanted = [seat, *others] if seat in candidates else others
+                displaced_to = _ids.ReplicaId(answer.reply.replica)
+                others = [one for one in ranked if one != displaced_to]
+                wanted = (
+                    [displaced_to, *others]
+                    if displaced_to in candidates
+                    else others
+                )
             elif verdict in _REFUSALS:
                 refusals[replica] = answer
             else:
--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -54,7 +54,7 @@
         self.ranked = ranked
         self.asked: set[_ids.ReplicaId] = set()
         self.load_by_replica: dict[_ids.ReplicaId, int] = {}
-        self.seat: _ids.ReplicaId | None = None
+        self.displaced_to: _ids.ReplicaId | None = None
         self.retry_after = 0.0
         self.place: _placement.Placement | None = None
         self.is_worth_repeating = False
@@ -156,7 +156,9 @@
                     search.place
                 )
                 self._asks.report_displacement(
-                    search.place, home=search.ranked[0], seat=search.seat
+                    search.place,
+                    home=search.ranked[0],
+                    displaced_to=search.displaced_to,
                 )
                 return search.place
             if not search.is_worth_repeating:
@@ -216,7 +218,7 @@
             search.has_old_loads = True
             return None
         is_home = replica == search.ranked[0]
-        has_context = replica == (search.seat or search.ranked[0])
+        has_context = replica == (search.displaced_to or search.ranked[0])
         answer = self._asks.ask(
             request,
             replica,
@@ -227,11 +229,11 @@
             return None
         ask, owner, reply = answer
         if reply.verdict is messages.Verdict.elsewhere:
-            seat = _ids.ReplicaId(reply.replica)
-            search.seat = seat
+            displaced_to = _ids.ReplicaId(reply.replica)
+            search.displaced_to = displaced_to
             place = None
-            if seat not in request.excluded:
-                place = self._try(request, search, seat, redirects=0)
+            if displaced_to not in request.excluded:
+                place = self._try(request, search, displaced_to, redirects=0)
             if place is not None:
                 return place
             # The displaced seat is full: the home itself is asked again,
--- a/src/topazlug/routing/_displaced_chats.py
+++ b/src/topazlug/routing/_displaced_chats.py
@@ -56,7 +56,7 @@
         self._seat_by_chat.move_to_end(chat)
         return seat.replica
 
-    def note(self, entry: messages.Displaced) -> None:
+    def record(self, entry: messages.Displaced) -> None:
         """Remember, or forget when the entry names no replica."""
         chat = _ids.ChatHash(entry.chat)
         if not entry.replica:
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -156,14 +156,16 @@
     def _send_elsewhere(
         self, ask: messages.AdmitAsk, reply: _owner_answers.Reply
     ) -> bool:
-        seat = self.displaced.find(
+        displaced_to = self.displaced.find(
             _ids.ChatHash(ask.chat), home=_ids.ReplicaId(ask.replica)
         )
-        if seat is None or seat == ask.replica:
+        if displaced_to is None or displaced_to == ask.replica:
             return False
-        if not self._targets.is_in_service(seat):
+        if not self._targets.is_in_service(displaced_to):
             return False
-        self._answers.give(reply, messages.Verdict.elsewhere, replica=seat)
+        self._answers.give(
+            reply, messages.Verdict.elsewhere, replica=displaced_to
+        )
         return True
 
     def note_unreached(self, note: messages.Unreached) -> None:
@@ -339,9 +341,7 @@
             # Nothing is held there yet: there is no count to distrust.
             fresh.careful_until = 0.0
             self.ledger_by_replica[replica] = fresh
-        self.displaced.remove_restarted(
-            self._targets.target_by_replica
-        )
+        self.displaced.remove_restarted(self._targets.target_by_replica)
 
     def turn_careful(self) -> None:
         """Distrust all counts for a while, after a pause of this daemon."""
--- a/src/topazlug/routing/_owner_client.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -301,7 +301,7 @@
         place: _placement.Placement,
         *,
         home: _ids.ReplicaId,
-        seat: _ids.ReplicaId | None,
+        displaced_to: _ids.ReplicaId | None,
     ) -> None:
         """Tell the home's owner where its chat went.
 
@@ -314,11 +314,11 @@
             Where it is now.
         home : ReplicaId
             First of its rank.
-        seat : ReplicaId or None
+        displaced_to : ReplicaId or None
             The seat that the owner remembered.
         """
         replica = place.target.replica
-        unmoved = replica == seat or (place.home and not seat)
+        unmoved = replica == displaced_to or (place.home and not displaced_to)
         if unmoved or place.request.excluded:
             return
         owner = self._ownership.owner_of(home)
@@ -329,6 +329,6 @@
             replica="" if place.home else replica,
         )
         if owner == self._daemon:
-            self._owner.displaced.note(note)
+            self._owner.displaced.record(note)
         elif owner is not None:
             self.held_placements.send(owner, note)
--- a/src/topazlug/routing/_owner_endpoint.py
+++ b/src/topazlug/routing/_owner_endpoint.py
@@ -131,13 +131,13 @@
     def _on_displaced(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.displaced.note(message)
+        self._owner.displaced.record(message)
 
     def _on_displaced_batch(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
         for entry in message.entries:
-            self._owner.displaced.note(entry)
+            self._owner.displaced.record(entry)
 
     def _on_report(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
--- a/tests/topazlug/calls/test_service_calls.py
+++ b/tests/topazlug/calls/test_service_calls.py
@@ -125,9 +125,9 @@
         service = rig.service("s1")
         service._leaving = True
         rig.service("s2")
-        while not rig.leaving_targets.told:
+        while not rig.leaving_targets.replicas:
             call(rig)
-        assert rig.leaving_targets.told == ["s1"]
+        assert rig.leaving_targets.replicas == ["s1"]
 
 
 class TestClaims:
--- a/tests/topazlug/fleet_fakes.py
+++ b/tests/topazlug/fleet_fakes.py
@@ -89,4 +89,4 @@
         elif isinstance(message, messages.Backoff):
             owner.record_backoff(self._sender, message)
         else:
-            owner.displaced.note(message)
+            owner.displaced.record(message)
--- a/tests/topazlug/routing/test_owner.py
+++ b/tests/topazlug/routing/test_owner.py
@@ -139,7 +139,7 @@
         note = messages.Displaced(
             group=fixtures.POOL, home="r0", chat=7, replica="r1"
         )
-        entry.owner.displaced.note(note)
+        entry.owner.displaced.record(note)
         moved = _ownership.Transfer(R0, entry.daemon, PEER)
         assert entry.owner.transfer([moved]) == {PEER: [note]}
         assert len(entry.owner.displaced) == 0
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -91,13 +91,13 @@
     """Keeps which targets said that they are leaving."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.replicas: list[str] = []
 
     def take_word(
         self, target: _targets.Target, word: _target_word.TargetWord
     ) -> None:
         if word.leaving:
-            self.told.append(target.replica)
+            self.replicas.append(target.replica)
 
 
 class Tickets:
