--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -17,7 +17,7 @@
 from topazlug import _ids
 from topazlug._generated import messages
 from topazlug._generated import settings as _settings_types
-from topazlug.routing import _holdings
+from topazlug.routing import _held_placements
 from topazlug.routing import _no_usable_replica
 from topazlug.routing import _owner
 from topazlug.routing import _owner_client
@@ -32,12 +32,12 @@
 # A returning chat waits so long for the replica that holds its context.
 # Recomputing the context costs more, and where places come free often, as
 # each 70 ms at 15 requests/s, most such waits end with one.
-_CONTEXT_WAIT = 0.2
-_REDIRECTS = 1
-_FULL_SECONDS = 0.25
-_NO_TARGET_SECONDS = 1.0
-_SEARCHES = 4
-_MOVED = (messages.Verdict.not_owner, messages.Verdict.expired)
+_CONTEXT_WAIT_SECONDS = 0.2
+_MAX_REDIRECTS = 1
+_FULL_CACHE_SECONDS = 0.25
+_NO_TARGET_RETRY_SECONDS = 1.0
+_MAX_SEARCHES = 4
+_OWNERSHIP_CHANGED = (messages.Verdict.not_owner, messages.Verdict.expired)
 
 
 class _Full(NamedTuple):
@@ -47,7 +47,7 @@
     until: float
 
 
-class _Round:
+class _Search:
     """What one request has learned while it looks for a place."""
 
     def __init__(self, ranked: list[_ids.ReplicaId]) -> None:
@@ -56,23 +56,23 @@
         self.load_by_replica: dict[_ids.ReplicaId, int] = {}
         self.displaced_to: _ids.ReplicaId | None = None
         self.retry_after = 0.0
-        self.place: _placement.Placement | None = None
-        self.is_worth_repeating = False
-        self.has_old_loads = False
+        self.placement: _placement.Placement | None = None
+        self.should_retry = False
+        self.has_stale_loads = False
 
-    def note(
+    def record_rejection(
         self, replica: _ids.ReplicaId, reply: messages.AdmitReply
     ) -> None:
         self.retry_after = max(self.retry_after, reply.retry_after)
         self.load_by_replica[replica] = reply.load
 
     @property
-    def least(self) -> _ids.ReplicaId | None:
+    def least_loaded(self) -> _ids.ReplicaId | None:
         """Give the replica that said it has the least load."""
         loads = self.load_by_replica
         return min(loads, key=loads.__getitem__) if loads else None
 
-    def total(self, replicas: int) -> int:
+    def group_load(self, replicas: int) -> int:
         """Give the group's load if all owners have just told theirs.
 
         The mean that owners go by lags. When calls come in a burst, each
@@ -80,7 +80,7 @@
         them must lie below the true mean; the caller would wait for the
         next report.
         """
-        if self.has_old_loads or len(self.load_by_replica) < replicas:
+        if self.has_stale_loads or len(self.load_by_replica) < replicas:
             return 0
         return sum(self.load_by_replica.values())
 
@@ -116,7 +116,7 @@
         owner: _owner.Owner,
         ownership: _ownership.Ownership,
         targets: _targets.TargetDirectory,
-        links: _holdings.Links,
+        links: _held_placements.Links,
         routing: _settings_types.RoutingSettings,
         clock: _clock.Clock,
         fleet_size: Callable[[], int],
@@ -125,7 +125,7 @@
         self._routing = routing
         self._clock = clock
         self._fleet_size = fleet_size
-        self._asks = _owner_client.OwnerClient(
+        self._client = _owner_client.OwnerClient(
             daemon=daemon,
             owner=owner,
             ownership=ownership,
@@ -133,9 +133,9 @@
             timeout=routing.owner_timeout,
             clock=clock,
         )
-        self.held_placements = self._asks.held_placements
-        self._full: dict[_ids.ReplicaId, _Full] = {}
-        self.decided_alone = 0
+        self.held_placements = self._client.held_placements
+        self._full_by_replica: dict[_ids.ReplicaId, _Full] = {}
+        self.admitted_without_owner = 0
 
     def admit(
         self, request: _placement.PlacementRequest
@@ -149,38 +149,38 @@
         NoTarget
             The group has no usable replica.
         """
-        for _ in range(_SEARCHES):
+        for _ in range(_MAX_SEARCHES):
             search = self._search(request)
-            if search.place is not None:
-                self.held_placements.placement_by_ask[search.place.ask] = (
-                    search.place
+            if search.placement is not None:
+                self.held_placements.placement_by_ask[search.placement.ask] = (
+                    search.placement
                 )
-                self._asks.report_displacement(
-                    search.place,
+                self._client.report_displacement(
+                    search.placement,
                     home=search.ranked[0],
                     displaced_to=search.displaced_to,
                 )
-                return search.place
-            if not search.is_worth_repeating:
+                return search.placement
+            if not search.should_retry:
                 break
         raise _errors.Overloaded(
             f"no place is free on {request.group}",
             retry_after=max(0.5, search.retry_after),
         )
 
-    def _search(self, request: _placement.PlacementRequest) -> _Round:
+    def _search(self, request: _placement.PlacementRequest) -> _Search:
         """Ask for a place once, in the order of the ranks of now."""
         ranked = self._rank(request)
         if not ranked:
             raise _no_usable_replica.no_usable_replica_error(
-                self._targets, request, retry_after=_NO_TARGET_SECONDS
+                self._targets, request, retry_after=_NO_TARGET_RETRY_SECONDS
             )
-        search = _Round(ranked)
-        search.place = self._try_ranked(request, search)
-        if search.place is None:
-            search.place = self._wait(request, search)
-        if search.place is None and search.least is None:
-            search.place = self._decide_alone(request, ranked)
+        search = _Search(ranked)
+        search.placement = self._try_ranked(request, search)
+        if search.placement is None:
+            search.placement = self._wait_in_queue(request, search)
+        if search.placement is None and search.least_loaded is None:
+            search.placement = self._admit_without_owner(request, ranked)
         return search
 
     def _rank(
@@ -193,37 +193,43 @@
         return [_ids.ReplicaId(name) for name in best]
 
     def _try_ranked(
-        self, request: _placement.PlacementRequest, search: _Round
+        self, request: _placement.PlacementRequest, search: _Search
     ) -> _placement.Placement | None:
         for replica in search.ranked:
             if self._clock.monotonic() > request.deadline:
                 raise _errors.DeadlineExceeded("no place before the deadline")
-            place = self._try(request, search, replica)
-            if place is not None:
-                return place
+            placement = self._try_replica(request, search, replica)
+            if placement is not None:
+                return placement
         return None
 
-    def _try(
+    def _try_replica(
         self,
         request: _placement.PlacementRequest,
-        search: _Round,
+        search: _Search,
         replica: _ids.ReplicaId,
         *,
-        redirects: int = _REDIRECTS,
+        redirects: int = _MAX_REDIRECTS,
     ) -> _placement.Placement | None:
         if replica in search.asked:
             return None
         if replica != search.ranked[0] and self._is_known_full(replica):
-            search.load_by_replica[replica] = self._full[replica].load
-            search.has_old_loads = True
+            search.load_by_replica[replica] = self._full_by_replica[
+                replica
+            ].load
+            search.has_stale_loads = True
             return None
         is_home = replica == search.ranked[0]
         has_context = replica == (search.displaced_to or search.ranked[0])
-        answer = self._asks.ask(
+        answer = self._client.ask(
             request,
             replica,
             home=is_home and redirects > 0,
-            wait=_CONTEXT_WAIT if request.returning and has_context else 0.0,
+            wait=(
+                _CONTEXT_WAIT_SECONDS
+                if request.returning and has_context
+                else 0.0
+            ),
         )
         if answer is None:
             return None
@@ -231,29 +237,33 @@
         if reply.verdict is messages.Verdict.elsewhere:
             displaced_to = _ids.ReplicaId(reply.replica)
             search.displaced_to = displaced_to
-            place = None
+            placement = None
             if displaced_to not in request.excluded:
-                place = self._try(request, search, displaced_to, redirects=0)
-            if place is not None:
-                return place
+                placement = self._try_replica(
+                    request, search, displaced_to, redirects=0
+                )
+            if placement is not None:
+                return placement
             # The displaced seat is full: the home itself is asked again,
             # and this time counts the chat as its own.
-            return self._try(request, search, replica, redirects=0)
+            return self._try_replica(request, search, replica, redirects=0)
         search.asked.add(replica)
         if reply.backoff > 0:
             self._targets.take_told_backoff(replica, reply.backoff)
             search.retry_after = max(search.retry_after, reply.backoff)
             return None
         if reply.verdict is messages.Verdict.granted:
-            return self._new_place(request, replica, ask, owner, home=is_home)
+            return self._new_placement(
+                request, replica, ask, owner, home=is_home
+            )
         if reply.verdict in (
             messages.Verdict.full,
             messages.Verdict.over_bound,
         ):
-            search.note(replica, reply)
+            search.record_rejection(replica, reply)
         if reply.verdict is messages.Verdict.full:
-            until = self._clock.monotonic() + _FULL_SECONDS
-            self._full[replica] = _Full(reply.load, until)
+            until = self._clock.monotonic() + _FULL_CACHE_SECONDS
+            self._full_by_replica[replica] = _Full(reply.load, until)
         return None
 
     def _is_known_full(self, replica: _ids.ReplicaId) -> bool:
@@ -263,43 +273,45 @@
         same: five times the messages, just when there are most calls. Its
         place, when one comes free, is for those who wait in its queue.
         """
-        full = self._full.get(replica)
+        full = self._full_by_replica.get(replica)
         return full is not None and self._clock.monotonic() < full.until
 
-    def _wait(
-        self, request: _placement.PlacementRequest, search: _Round
+    def _wait_in_queue(
+        self, request: _placement.PlacementRequest, search: _Search
     ) -> _placement.Placement | None:
         """Queue at the replica that had the least load."""
-        replica = search.least
+        replica = search.least_loaded
         if replica is None:
             return None
         wait = request.deadline - self._clock.monotonic()
         if wait <= 0:
             raise _errors.DeadlineExceeded("no place before the deadline")
         replicas = len(self._targets.in_service(request.group))
-        answer = self._asks.ask(
+        answer = self._client.ask(
             request,
             replica,
             home=False,
             wait=wait,
-            total=search.total(replicas),
+            total=search.group_load(replicas),
         )
         if answer is None:
             # The owner died or fell silent while the ask waited there; the
             # call has time left and another owner may have a place.
-            search.is_worth_repeating = True
+            search.should_retry = True
             return None
         ask, owner, reply = answer
         if reply.verdict is messages.Verdict.granted:
             is_home = replica == search.ranked[0]
-            place = self._new_place(request, replica, ask, owner, home=is_home)
-            search.is_worth_repeating = place is None
-            return place
-        search.is_worth_repeating = reply.verdict in _MOVED
-        search.note(replica, reply)
+            placement = self._new_placement(
+                request, replica, ask, owner, home=is_home
+            )
+            search.should_retry = placement is None
+            return placement
+        search.should_retry = reply.verdict in _OWNERSHIP_CHANGED
+        search.record_rejection(replica, reply)
         return None
 
-    def _decide_alone(
+    def _admit_without_owner(
         self,
         request: _placement.PlacementRequest,
         ranked: list[_ids.ReplicaId],
@@ -318,13 +330,13 @@
             share = math.ceil(target.slots / max(1, self._fleet_size()))
             if held.get(replica, 0) >= share:
                 continue
-            self.decided_alone += 1
-            ask = self._asks.new_number()
+            self.admitted_without_owner += 1
+            ask = self._client.new_number()
             home = replica == ranked[0]
-            return self._new_place(request, replica, ask, None, home=home)
+            return self._new_placement(request, replica, ask, None, home=home)
         return None
 
-    def _new_place(
+    def _new_placement(
         self,
         request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
@@ -347,8 +359,8 @@
         self, target: _targets.Target, word: _target_word.TargetWord
     ) -> None:
         """Tell a target's owner of a backoff that it asked for."""
-        self._asks.report_backoff(target, word)
+        self._client.report_backoff(target, word)
 
-    def release(self, place: _placement.Placement) -> None:
+    def release(self, placement: _placement.Placement) -> None:
         """Give a place back; a second time does nothing."""
-        self.held_placements.release(place)
+        self.held_placements.release(placement)
--- a/src/topazlug/routing/_owner_judge.py
+++ b/src/topazlug/routing/_admission_control.py
@@ -13,30 +13,30 @@
 from topazlug.capacity import _context_reads
 from topazlug.capacity import _place_key
 from topazlug.capacity import _start_room
-from topazlug.routing import _group_accounts
+from topazlug.routing import _group_limits
 from topazlug.routing import _ledger
-from topazlug.routing import _owner_answers
 from topazlug.routing import _owner_queue
+from topazlug.routing import _owner_replies
 from topazlug.targets import _targets
 
 _log = _logs.logger("owner")
 
 
 @final
-class OwnerJudge:
+class AdmissionControl:
     """Judges asks against the ledgers of an owner's replicas.
 
     Parameters
     ----------
-    group_limits : GroupAccounts
+    group_limits : GroupLimits
         Loads of groups.
-    answers : OwnerAnswers
+    replies : OwnerReplies
         Answers asks.
     queue : OwnerQueue
         Takes those that may wait.
     targets : TargetDirectory
         Which replicas there are, and which are cold.
-    start : StartRoom
+    startup_limit : StartRoom
         What holds while this owner has just started.
     clock : Clock
         Time.
@@ -45,26 +45,26 @@
     def __init__(
         self,
         *,
-        group_limits: _group_accounts.GroupAccounts,
-        answers: _owner_answers.OwnerAnswers,
+        group_limits: _group_limits.GroupLimits,
+        replies: _owner_replies.OwnerReplies,
         queue: _owner_queue.OwnerQueue,
         targets: _targets.TargetDirectory,
-        start: _start_room.StartRoom,
+        startup_limit: _start_room.StartRoom,
         clock: _clock.Clock,
     ) -> None:
-        self._accounts = group_limits
-        self._answers = answers
+        self._group_limits = group_limits
+        self._replies = replies
         self._queue = queue
         self._targets = targets
-        self._start = start
+        self._startup_limit = startup_limit
         self._clock = clock
 
-    def judge(
+    def decide(
         self,
         sender: _ids.DaemonId,
         ask: messages.AdmitAsk,
         ledger: _ledger.ReplicaLedger,
-        reply: _owner_answers.Reply,
+        reply: _owner_replies.Reply,
     ) -> None:
         """Grant an ask, let it wait, or turn it away.
 
@@ -79,13 +79,13 @@
         reply : callable
             Called once with the verdict, now or later.
         """
-        if self._is_in_backoff(ledger, reply):
+        if self._reject_in_backoff(ledger, reply):
             return
-        if not self._is_too_cold(ask, ledger, reply):
-            self._judge(sender, ask, ledger, reply)
+        if not self._reject_cold(ask, ledger, reply):
+            self._decide(sender, ask, ledger, reply)
 
-    def _is_in_backoff(
-        self, ledger: _ledger.ReplicaLedger, reply: _owner_answers.Reply
+    def _reject_in_backoff(
+        self, ledger: _ledger.ReplicaLedger, reply: _owner_replies.Reply
     ) -> bool:
         """Turn an ask away while its replica wants no request of anybody."""
         left = ledger.backoff.left(now=self._clock.monotonic())
@@ -96,7 +96,7 @@
             replica=ledger.replica,
             retry_after=round(left, 3),
         )
-        self._answers.give(
+        self._replies.send(
             reply,
             messages.Verdict.full,
             load=ledger.load,
@@ -105,11 +105,11 @@
         )
         return True
 
-    def _is_too_cold(
+    def _reject_cold(
         self,
         ask: messages.AdmitAsk,
         ledger: _ledger.ReplicaLedger,
-        reply: _owner_answers.Reply,
+        reply: _owner_replies.Reply,
     ) -> bool:
         """Turn an ask away while its replica has just started.
 
@@ -119,19 +119,19 @@
         target = self._targets.target_by_replica[ledger.replica]
         if ask.cold and not self._targets.cold.is_cold(target):
             self._targets.cold.suspect([target])
-        tolerated = self._tolerated(ledger)
-        if tolerated is None:
+        rate = self._tolerated_rate(ledger)
+        if rate is None:
             return False
-        if ledger.cold.has_room(tolerated, now=self._clock.monotonic()):
+        if ledger.cold_rate.has_room(rate, now=self._clock.monotonic()):
             return False
-        wait = ledger.cold.wait(tolerated)
+        wait = ledger.cold_rate.wait(rate)
         _log.info(
             "no room at {replica}: it has just started",
             replica=ledger.replica,
-            tolerated=tolerated,
+            tolerated=rate,
             retry_after=round(wait, 3),
         )
-        self._answers.give(
+        self._replies.send(
             reply,
             messages.Verdict.full,
             load=ledger.load,
@@ -140,50 +140,52 @@
         )
         return True
 
-    def _tolerated(self, ledger: _ledger.ReplicaLedger) -> float | None:
+    def _tolerated_rate(self, ledger: _ledger.ReplicaLedger) -> float | None:
         target = self._targets.target_by_replica[ledger.replica]
         return self._targets.cold.tolerated(target)
 
-    def _judge(
+    def _decide(
         self,
         sender: _ids.DaemonId,
         ask: messages.AdmitAsk,
         ledger: _ledger.ReplicaLedger,
-        reply: _owner_answers.Reply,
+        reply: _owner_replies.Reply,
     ) -> None:
         key = _place_key.PlaceKey(sender, _ids.AskNumber(ask.ask))
-        held = _ledger.LedgerEntry(
+        entry = _ledger.LedgerEntry(
             weight=ask.weight,
             team=_ids.TeamName(ask.team),
             batch=ask.batch,
             chat=_ids.ChatHash(ask.chat),
             rank=ask.rank,
         )
-        total = self._accounts.total(ledger.group)
+        total = self._group_limits.total(ledger.group)
         if ask.total > total.load:
             total = total._replace(load=ask.total)
         limit = max(
-            self._accounts.limit(ledger.group, total),
-            self._start.limit(ledger.slots, now=self._clock.monotonic()),
+            self._group_limits.limit(ledger.group, total),
+            self._startup_limit.limit(
+                ledger.slots, now=self._clock.monotonic()
+            ),
         )
-        judgement = ledger.judge(
+        fit = ledger.check_capacity(
             weight=ask.weight,
             batch=ask.batch,
             limit=limit,
             now=self._clock.monotonic(),
             mean=total.mean,
         )
-        if judgement is _ledger.Judgement.OVER_BOUND:
-            judgement = self._judge_return(ledger, held, judgement)
+        if fit is _ledger.Fit.OVER_BOUND:
+            fit = self._recheck_returning_chat(ledger, entry, fit)
         if ask.rank != _ledger.UNRANKED:
-            if not self._has_room(ledger, ask):
-                self._turn_away(ledger, ask, reply)
+            if not self._has_rank_capacity(ledger, ask):
+                self._reject(ledger, ask, reply)
                 return
-            if judgement is _ledger.Judgement.FULL:
-                judgement = _ledger.Judgement.FREE
-        ahead = ledger.has_ahead(batch=ask.batch)
-        if judgement is _ledger.Judgement.FREE and not ahead:
-            self._grant(ledger, key, held, ask, reply)
+            if fit is _ledger.Fit.FULL:
+                fit = _ledger.Fit.FREE
+        has_queued = ledger.has_queued_ahead(batch=ask.batch)
+        if fit is _ledger.Fit.FREE and not has_queued:
+            self._grant(ledger, key, entry, ask, reply)
             return
         if ask.wait <= 0:
             _log.info(
@@ -195,45 +197,45 @@
                 limit=limit,
                 mean=round(total.mean, 2),
                 home=ask.home,
-                places_of_chat=ledger.places_of(held.chat),
-                judgement=judgement.name.lower(),
+                places_of_chat=ledger.placement_count(entry.chat),
+                judgement=fit.name.lower(),
             )
             verdict = messages.Verdict.full
-            if judgement is _ledger.Judgement.OVER_BOUND:
+            if fit is _ledger.Fit.OVER_BOUND:
                 verdict = messages.Verdict.over_bound
-            is_cold = self._tolerated(ledger) is not None
-            self._answers.give(reply, verdict, load=ledger.load, cold=is_cold)
+            is_cold = self._tolerated_rate(ledger) is not None
+            self._replies.send(reply, verdict, load=ledger.load, cold=is_cold)
             return
         # What waits for the bound does not wait for a release: the bound
         # rises with the group's load.
-        is_full = judgement is _ledger.Judgement.FULL
-        expected = ledger.expected_wait(batch=held.batch)
+        is_full = fit is _ledger.Fit.FULL
+        expected = ledger.expected_wait(batch=entry.batch)
         if expected > ask.wait and (
-            is_full or ask.wait <= _owner_queue.SHORT_WAIT
+            is_full or ask.wait <= _owner_queue.SHORT_WAIT_SECONDS
         ):
-            self._queue.refuse(ledger, expected, reply)
+            self._queue.reject(ledger, expected, reply)
             return
-        self._queue.enqueue(ledger, key, held, ask.wait, reply)
+        self._queue.enqueue(ledger, key, entry, ask.wait, reply)
 
-    def _has_room(
+    def _has_rank_capacity(
         self, ledger: _ledger.ReplicaLedger, ask: messages.AdmitAsk
     ) -> bool:
         now = self._clock.monotonic()
-        ledger.room.note_asked(ask.rank, now=now)
-        load = ledger.seen_load()
-        is_due = ledger.returns.is_due(ask.request, now=now)
-        kept = ledger.returns.kept(ask.rank, now=now, is_due=is_due)
-        return ledger.room.has_room(
+        ledger.rank_limits.note_asked(ask.rank, now=now)
+        load = ledger.observed_load()
+        is_due = ledger.reservations.is_due(ask.request, now=now)
+        kept = ledger.reservations.kept(ask.rank, now=now, is_due=is_due)
+        return ledger.rank_limits.has_room(
             ask.rank, load=load, promised=kept, is_due=is_due, now=now
         )
 
-    def _turn_away(
+    def _reject(
         self,
         ledger: _ledger.ReplicaLedger,
         ask: messages.AdmitAsk,
-        reply: _owner_answers.Reply,
+        reply: _owner_replies.Reply,
     ) -> None:
-        after = ledger.returns.after(
+        after = ledger.reservations.after(
             ask.rank,
             interval=ledger.release_interval,
             longest=ask.longest,
@@ -245,11 +247,11 @@
             replica=ledger.replica,
             rank=ask.rank,
             load=ledger.load,
-            limit=ledger.room.limit,
+            limit=ledger.rank_limits.limit,
             home=ask.home,
             retry_after=round(after, 3),
         )
-        self._answers.give(
+        self._replies.send(
             reply,
             messages.Verdict.full,
             load=ledger.load,
@@ -260,42 +262,42 @@
         self,
         ledger: _ledger.ReplicaLedger,
         key: _place_key.PlaceKey,
-        held: _ledger.LedgerEntry,
+        entry: _ledger.LedgerEntry,
         ask: messages.AdmitAsk,
-        reply: _owner_answers.Reply,
+        reply: _owner_replies.Reply,
     ) -> None:
         """Count a place, unless its context is being read there just now."""
         now = self._clock.monotonic()
         turn = _context_reads.Turn.KNOWN
         if ask.shared >= _context_reads.LEAST_SHARED_TOKENS:
-            turn = ledger.reads.turn(held.chat, now=now)
+            turn = ledger.context_reads.turn(entry.chat, now=now)
         if turn is _context_reads.Turn.WAIT and ask.may_wait:
-            self._answers.give(
+            self._replies.send(
                 reply,
                 messages.Verdict.reading,
                 load=ledger.load,
-                retry_after=ledger.reads.wait(held.chat, now=now),
+                retry_after=ledger.context_reads.wait(entry.chat, now=now),
             )
             return
-        ledger.let_in(key, held)
-        if self._tolerated(ledger) is not None:
-            ledger.cold.note_sent()
-        ledger.returns.forget(ask.request)
+        ledger.admit(key, entry)
+        if self._tolerated_rate(ledger) is not None:
+            ledger.cold_rate.note_sent()
+        ledger.reservations.forget(ask.request)
         first = turn is _context_reads.Turn.FIRST
         if first:
-            ledger.reads.begin(held.chat, key, now=now)
+            ledger.context_reads.begin(entry.chat, key, now=now)
         else:
-            ledger.reads.note_use(held.chat, now=now)
-        self._answers.give(
+            ledger.context_reads.note_use(entry.chat, now=now)
+        self._replies.send(
             reply, messages.Verdict.granted, load=ledger.load, reads=first
         )
 
-    def _judge_return(
+    def _recheck_returning_chat(
         self,
         ledger: _ledger.ReplicaLedger,
-        held: _ledger.LedgerEntry,
-        judgement: _ledger.Judgement,
-    ) -> _ledger.Judgement:
+        entry: _ledger.LedgerEntry,
+        fit: _ledger.Fit,
+    ) -> _ledger.Fit:
         """Let a chat back in whose last turn is still counted.
 
         A chat that returns at once through another daemon overtakes the
@@ -305,6 +307,6 @@
         its home, at a displaced chat's seat, and at the next of its rank
         while its home comes and goes.
         """
-        if ledger.load < ledger.slots and ledger.holds_chat(held.chat):
-            return _ledger.Judgement.FREE
-        return judgement
+        if ledger.load < ledger.slots and ledger.holds_chat_once(entry.chat):
+            return _ledger.Fit.FREE
+        return fit
--- a/src/topazlug/routing/_displaced_chats.py
+++ b/src/topazlug/routing/_displaced_chats.py
@@ -16,7 +16,7 @@
 from topazlug.targets import _targets
 
 
-class _Seat(msgspec.Struct, gc=False):
+class _Displacement(msgspec.Struct, gc=False):
     group: _ids.GroupName
     home: _ids.ReplicaId
     replica: _ids.ReplicaId
@@ -34,12 +34,14 @@
 
     def __init__(self, *, capacity: int) -> None:
         self._capacity = capacity
-        self._seat_by_chat: collections.OrderedDict[_ids.ChatHash, _Seat]
-        self._seat_by_chat = collections.OrderedDict()
-        self._start_by_replica: dict[_ids.ReplicaId, int] = {}
+        self._displacement_by_chat: collections.OrderedDict[
+            _ids.ChatHash, _Displacement
+        ]
+        self._displacement_by_chat = collections.OrderedDict()
+        self._incarnation_by_replica: dict[_ids.ReplicaId, int] = {}
 
     def __len__(self) -> int:
-        return len(self._seat_by_chat)
+        return len(self._displacement_by_chat)
 
     def find(
         self, chat: _ids.ChatHash, *, home: _ids.ReplicaId
@@ -50,46 +52,46 @@
         has the same owner, the seat of the one before must not count: the
         chat would be sent away from a replica that is well.
         """
-        seat = self._seat_by_chat.get(chat)
-        if seat is None or seat.home != home:
+        displacement = self._displacement_by_chat.get(chat)
+        if displacement is None or displacement.home != home:
             return None
-        self._seat_by_chat.move_to_end(chat)
-        return seat.replica
+        self._displacement_by_chat.move_to_end(chat)
+        return displacement.replica
 
     def record(self, entry: messages.Displaced) -> None:
         """Remember, or forget when the entry names no replica."""
         chat = _ids.ChatHash(entry.chat)
         if not entry.replica:
-            self._seat_by_chat.pop(chat, None)
+            self._displacement_by_chat.pop(chat, None)
             return
-        self._seat_by_chat[chat] = _Seat(
+        self._displacement_by_chat[chat] = _Displacement(
             group=_ids.GroupName(entry.group),
             home=_ids.ReplicaId(entry.home),
             replica=_ids.ReplicaId(entry.replica),
         )
-        self._seat_by_chat.move_to_end(chat)
-        while len(self._seat_by_chat) > self._capacity:
-            self._seat_by_chat.popitem(last=False)
+        self._displacement_by_chat.move_to_end(chat)
+        while len(self._displacement_by_chat) > self._capacity:
+            self._displacement_by_chat.popitem(last=False)
 
     def remove_restarted(
         self, target_by_replica: Mapping[_ids.ReplicaId, _targets.Target]
     ) -> None:
         """Forget the seats on replicas that started again."""
-        before = self._start_by_replica
-        self._start_by_replica = {
+        previous = self._incarnation_by_replica
+        self._incarnation_by_replica = {
             replica: target.incarnation
             for replica, target in target_by_replica.items()
         }
         restarted = {
             replica
-            for replica, start in self._start_by_replica.items()
-            if before.get(replica, start) != start
+            for replica, incarnation in self._incarnation_by_replica.items()
+            if previous.get(replica, incarnation) != incarnation
         }
-        for chat, seat in list(self._seat_by_chat.items()):
-            if seat.replica in restarted:
-                del self._seat_by_chat[chat]
+        for chat, displacement in list(self._displacement_by_chat.items()):
+            if displacement.replica in restarted:
+                del self._displacement_by_chat[chat]
 
-    def take_out(
+    def remove_by_home(
         self, homes: set[_ids.ReplicaId]
     ) -> dict[_ids.ReplicaId, list[messages.Displaced]]:
         """Remove the chats of homes that now have another owner.
@@ -100,16 +102,16 @@
             Entries by home, to be handed over.
         """
         entries: dict[_ids.ReplicaId, list[messages.Displaced]] = {}
-        for chat, seat in list(self._seat_by_chat.items()):
-            if seat.home not in homes:
+        for chat, displacement in list(self._displacement_by_chat.items()):
+            if displacement.home not in homes:
                 continue
-            del self._seat_by_chat[chat]
-            entries.setdefault(seat.home, []).append(
+            del self._displacement_by_chat[chat]
+            entries.setdefault(displacement.home, []).append(
                 messages.Displaced(
-                    group=seat.group,
-                    home=seat.home,
+                    group=displacement.group,
+                    home=displacement.home,
                     chat=chat,
-                    replica=seat.replica,
+                    replica=displacement.replica,
                 )
             )
         return entries
--- a/src/topazlug/routing/_group_accounts.py
+++ b/src/topazlug/routing/_group_limits.py
@@ -40,7 +40,7 @@
 
 
 @final
-class GroupAccounts:
+class GroupLimits:
     """Loads of the groups that this daemon owns replicas of.
 
     Parameters
@@ -67,7 +67,9 @@
         self._targets = targets
         self._bounds = bounds
         self._clock = clock
-        self._view_by_group: dict[_ids.GroupName, _group_load.GroupView] = {}
+        self._estimate_by_group: dict[
+            _ids.GroupName, _group_load.GroupEstimate
+        ] = {}
 
     def total(self, group: _ids.GroupName) -> GroupTotal:
         """Give a group's load now."""
@@ -76,7 +78,7 @@
         # What another owner admits raises the mean too. Counted on the
         # replica alone, every one looks over the bound while links are cut
         # and all calls wait.
-        load = self._view_of(group).estimate(
+        load = self._estimate_of(group).estimate(
             own=sum(own),
             own_replicas=len(own),
             replicas=replicas,
@@ -106,8 +108,8 @@
         now = self._clock.monotonic()
         loads: dict[_ids.GroupName, list[messages.ReplicaLoad]] = {}
         for ledger in self._ledger_by_replica.values():
-            view = self._view_of(ledger.group)
-            if now < view.next_report:
+            estimate = self._estimate_of(ledger.group)
+            if now < estimate.next_report:
                 continue
             loads.setdefault(ledger.group, []).append(
                 messages.ReplicaLoad(
@@ -119,11 +121,11 @@
             for group, entries in loads.items()
         ]
 
-    def take_summary(
+    def apply_summary(
         self, summary: messages.LoadSummary, report: messages.LoadReport
     ) -> None:
         """Note a collector's answer to a report."""
-        self._view_of(_ids.GroupName(summary.group)).apply_summary(
+        self._estimate_of(_ids.GroupName(summary.group)).apply_summary(
             summary,
             own=sum(entry.load for entry in report.loads),
             now=self._clock.monotonic(),
@@ -143,9 +145,9 @@
             skews[group] = largest / mean if mean else 0.0
         return skews
 
-    def _view_of(self, group: _ids.GroupName) -> _group_load.GroupView:
-        view = self._view_by_group.get(group)
-        if view is None:
-            view = _group_load.GroupView()
-            self._view_by_group[group] = view
-        return view
+    def _estimate_of(self, group: _ids.GroupName) -> _group_load.GroupEstimate:
+        estimate = self._estimate_by_group.get(group)
+        if estimate is None:
+            estimate = _group_load.GroupEstimate()
+            self._estimate_by_group[group] = estimate
+        return estimate
--- a/src/topazlug/routing/_group_load.py
+++ b/src/topazlug/routing/_group_load.py
@@ -20,7 +20,7 @@
 _STALE_SECONDS = 3.0
 # The total lags by one report. While load falls, the true mean is below the
 # one that owners go by, and what they admit at the limit is over the bound.
-_MARGIN = 1
+_LAG_MARGIN = 1
 # A load counts for this many of the intervals that its reporter was given:
 # in a group of 143 owners the interval alone is longer than three seconds.
 _STALE_INTERVALS = 2.5
@@ -28,7 +28,7 @@
 _COLLECTOR_BYTES_PER_SECOND = 8192
 # A small group's mean jumps with each call, so its lag costs most there; its
 # collector may spend more on fresh figures.
-_SMALL_GROUP = 16
+_SMALL_GROUP_REPORTERS = 16
 _SMALL_GROUP_BYTES_PER_SECOND = 25600
 
 
@@ -73,26 +73,26 @@
             by_replica[_ids.ReplicaId(entry.replica)] = _Report(
                 load=entry.load, reporter=sender, at=now
             )
-        for replica, kept in list(by_replica.items()):
-            if now - kept.at > stale:
+        for replica, stored in list(by_replica.items()):
+            if now - stored.at > stale:
                 del by_replica[replica]
         return messages.LoadSummary(
             group=group,
-            total=sum(kept.load for kept in by_replica.values()),
+            total=sum(stored.load for stored in by_replica.values()),
             replicas=len(by_replica),
             interval=self._interval_of(by_replica),
         )
 
     def _interval_of(self, by_replica: dict[_ids.ReplicaId, _Report]) -> float:
-        reporters = {kept.reporter for kept in by_replica.values()}
+        reporters = {stored.reporter for stored in by_replica.values()}
         cost = len(reporters) * _REPORT_BYTES
         budget = _COLLECTOR_BYTES_PER_SECOND
-        if len(reporters) <= _SMALL_GROUP:
+        if len(reporters) <= _SMALL_GROUP_REPORTERS:
             budget = _SMALL_GROUP_BYTES_PER_SECOND
         return max(self._interval, cost / budget)
 
 
-class GroupView(msgspec.Struct):
+class GroupEstimate(msgspec.Struct):
     """What one owner knows of a group's load.
 
     The collector's total lags by one report; the owner's own part of it is
@@ -156,7 +156,7 @@
        loads", SODA 2018.
     """
     mean = (total + 1) / max(1, replicas)
-    limit = math.ceil(bound * mean) + allowance - _MARGIN
+    limit = math.ceil(bound * mean) + allowance - _LAG_MARGIN
     # Some replica is always at the mean or below it, so this floor leaves
     # a place for every call; without it a fleet at low load admits nothing.
     return max(1, math.ceil(mean), limit)
--- a/src/topazlug/routing/_holdings.py
+++ b/src/topazlug/routing/_held_placements.py
@@ -19,8 +19,8 @@
 from topazlug.routing import _ownership
 from topazlug.routing import _placement
 
-_OWED_SECONDS = 300.0
-_SETTLE_TIMEOUT = 1.0
+_UNCONFIRMED_SECONDS = 300.0
+_CONFIRM_TIMEOUT = 1.0
 
 
 class Links(Protocol):
@@ -39,7 +39,7 @@
 
 
 @final
-class Holdings:
+class HeldPlacements:
     """Places that this daemon holds, and asks without an answer.
 
     Parameters
@@ -77,34 +77,34 @@
         self._ownership = ownership
         self._links = links
         self._clock = clock
-        self._owed_until: dict[_ids.DaemonId, float] = {}
+        self._unconfirmed_until: dict[_ids.DaemonId, float] = {}
         self.placement_by_ask: dict[_ids.AskNumber, _placement.Placement] = {}
         self.pending_by_ask: dict[_ids.AskNumber, _ids.DaemonId] = {}
 
     def load_by_replica(self) -> dict[_ids.ReplicaId, int]:
         """Give the load units held on each replica."""
         held: dict[_ids.ReplicaId, int] = {}
-        for place in self.placement_by_ask.values():
-            replica = place.target.replica
-            held[replica] = held.get(replica, 0) + place.request.weight
+        for placement in self.placement_by_ask.values():
+            replica = placement.target.replica
+            held[replica] = held.get(replica, 0) + placement.request.weight
         return held
 
-    def release(self, place: _placement.Placement) -> None:
+    def release(self, placement: _placement.Placement) -> None:
         """Give a place back; a second time does nothing."""
-        if self.placement_by_ask.pop(place.ask, None) is None:
+        if self.placement_by_ask.pop(placement.ask, None) is None:
             return
-        if place.owner is not None:
-            self.send_release(place.owner, place.ask)
+        if placement.owner is not None:
+            self.send_release(placement.owner, placement.ask)
 
     def send_release(self, owner: _ids.DaemonId, ask: _ids.AskNumber) -> None:
         """Tell an owner that an ask's place, or its turn, is free."""
         if owner == self._daemon:
             self._owner.release(self._daemon, [ask])
             return
-        self._owe(owner)
+        self._mark_unconfirmed(owner)
         self.send(owner, messages.Release(asks=[ask]))
 
-    def _owe(self, owner: _ids.DaemonId) -> None:
+    def _mark_unconfirmed(self, owner: _ids.DaemonId) -> None:
         """Have the next renewals tell an owner what this daemon holds.
 
         A release may be lost with its stream, and so may the answer to an
@@ -112,7 +112,9 @@
         and the replica looks fuller than it is for good. It is told until
         it was reached, or has been gone for a while.
         """
-        self._owed_until[owner] = self._clock.monotonic() + _OWED_SECONDS
+        self._unconfirmed_until[owner] = (
+            self._clock.monotonic() + _UNCONFIRMED_SECONDS
+        )
 
     def send(self, owner: _ids.DaemonId, message: msgspec.Struct) -> None:
         """Send one way, if the owner can be reached."""
@@ -122,7 +124,7 @@
             # The next renewal carries the whole truth.
             return
 
-    def renew(self, only: set[_ids.DaemonId] | None = None) -> int:
+    def renew(self, owners: set[_ids.DaemonId] | None = None) -> int:
         """Tell each owner all that this daemon holds of it.
 
         Owners that were sent a release since their last renewal hear of it
@@ -130,7 +132,7 @@
 
         Parameters
         ----------
-        only : set of DaemonId or None
+        owners : set of DaemonId or None
             Owners to tell; None for all.
 
         Returns
@@ -140,18 +142,20 @@
         """
         held: dict[_ids.DaemonId, list[messages.HeldPlace]] = {}
         pending: dict[_ids.DaemonId, list[int]] = {}
-        for place in self.placement_by_ask.values():
-            self._reassign(place)
-            if place.owner is not None:
-                held.setdefault(place.owner, []).append(_held_place(place))
+        for placement in self.placement_by_ask.values():
+            self._update_owner(placement)
+            if placement.owner is not None:
+                held.setdefault(placement.owner, []).append(
+                    _held_place_message(placement)
+                )
         for ask, owner in self.pending_by_ask.items():
             pending.setdefault(owner, []).append(ask)
         current = set(held) | set(pending)
-        self._forget_debts()
-        told = current | set(self._owed_until)
-        if only is not None:
-            told &= only
-        for owner in told:
+        self._remove_expired()
+        recipients = current | set(self._unconfirmed_until)
+        if owners is not None:
+            recipients &= owners
+        for owner in recipients:
             message = messages.Renew(
                 held=held.get(owner, []), pending=pending.get(owner, [])
             )
@@ -160,10 +164,10 @@
             elif owner in current:
                 self.send(owner, message)
             else:
-                gevent.spawn(self._settle, owner)
-        return len(told)
+                gevent.spawn(self._confirm_nothing_held, owner)
+        return len(recipients)
 
-    def _settle(self, owner: _ids.DaemonId) -> None:
+    def _confirm_nothing_held(self, owner: _ids.DaemonId) -> None:
         """Tell an owner that nothing is held of it, until it confirms.
 
         A message that was sent may still be lost with its stream, so only
@@ -171,38 +175,38 @@
         """
         if owner in self.pending_by_ask.values():
             return
-        places = self.placement_by_ask.values()
-        if any(place.owner == owner for place in places):
+        placements = self.placement_by_ask.values()
+        if any(placement.owner == owner for placement in placements):
             return
         message = messages.Renew(held=[], pending=[])
-        owed_until = self._owed_until.get(owner)
+        unconfirmed_until = self._unconfirmed_until.get(owner)
         try:
-            self._links.call(owner, message, timeout=_SETTLE_TIMEOUT)
+            self._links.call(owner, message, timeout=_CONFIRM_TIMEOUT)
         except _errors.PeerUnreachable:
             return
-        if self._owed_until.get(owner) == owed_until:
-            self._owed_until.pop(owner, None)
+        if self._unconfirmed_until.get(owner) == unconfirmed_until:
+            self._unconfirmed_until.pop(owner, None)
 
-    def _forget_debts(self) -> None:
+    def _remove_expired(self) -> None:
         now = self._clock.monotonic()
-        for owner, until in list(self._owed_until.items()):
+        for owner, until in list(self._unconfirmed_until.items()):
             if now > until:
-                del self._owed_until[owner]
+                del self._unconfirmed_until[owner]
 
-    def _reassign(self, place: _placement.Placement) -> None:
-        owner = self._ownership.owner_of(place.target.replica)
-        if owner is not None and owner != place.owner:
-            if place.owner is not None:
-                self._owe(place.owner)
-            place.owner = owner
+    def _update_owner(self, placement: _placement.Placement) -> None:
+        owner = self._ownership.owner_of(placement.target.replica)
+        if owner is not None and owner != placement.owner:
+            if placement.owner is not None:
+                self._mark_unconfirmed(placement.owner)
+            placement.owner = owner
 
 
-def _held_place(place: _placement.Placement) -> messages.HeldPlace:
+def _held_place_message(placement: _placement.Placement) -> messages.HeldPlace:
     return messages.HeldPlace(
-        ask=place.ask,
-        replica=place.target.replica,
-        weight=place.request.weight,
-        team=place.request.team,
-        batch=place.request.batch,
-        rank=place.request.rank,
+        ask=placement.ask,
+        replica=placement.target.replica,
+        weight=placement.request.weight,
+        team=placement.request.team,
+        batch=placement.request.batch,
+        rank=placement.request.rank,
     )
--- a/src/topazlug/routing/_ledger.py
+++ b/src/topazlug/routing/_ledger.py
@@ -24,7 +24,7 @@
 from topazlug.limits import _fair_queue
 
 _INTERVAL_SMOOTHING = 0.1
-_BATCH_TURN = 8
+_BATCH_TURN_INTERVAL = 8
 _REPORTS_KEPT = 3
 # Work that is not held to a limit by rank.
 UNRANKED = -1
@@ -44,13 +44,13 @@
     """One ask in the queue."""
 
     key: _place_key.PlaceKey
-    held: LedgerEntry
+    entry: LedgerEntry
     deadline: float
     grant: Callable[[], None]
-    refuse: Callable[[messages.Verdict], None]
+    reject: Callable[[messages.Verdict], None]
 
 
-class Judgement(enum.Enum):
+class Fit(enum.Enum):
     """What a ledger says to one more place."""
 
     FREE = enum.auto()
@@ -95,13 +95,13 @@
         self.batch_slots = batch_slots
         self.load = 0
         self.batch_load = 0
-        self.careful_until = 0.0
-        self.reads = _context_reads.ContextReads()
-        self.room = _rank_room.RankRoom(slots=slots)
-        self.cold = _cold_rate.ColdRate()
-        self.returns = _returns.Returns()
+        self.uncertain_until = 0.0
+        self.context_reads = _context_reads.ContextReads()
+        self.rank_limits = _rank_room.RankRoom(slots=slots)
+        self.cold_rate = _cold_rate.ColdRate()
+        self.reservations = _returns.Returns()
         self.backoff = _shared_backoff.SharedBackoff()
-        self.held_by_key: dict[_place_key.PlaceKey, LedgerEntry] = {}
+        self.entry_by_key: dict[_place_key.PlaceKey, LedgerEntry] = {}
         self.queued_by_key: dict[_place_key.PlaceKey, QueuedRequest] = {}
         self._interactive = _fair_queue.FairQueue[QueuedRequest](
             capacity=queue_capacity
@@ -109,21 +109,21 @@
         self._batch = _fair_queue.FairQueue[QueuedRequest](
             capacity=queue_capacity
         )
-        self._since_batch = 0
+        self._turns_since_batch = 0
         self._release_interval = 0.0
         self._last_release: float | None = None
         self._reports: collections.deque[int] = collections.deque(
             maxlen=_REPORTS_KEPT
         )
         # Highest load since the last report.
-        self._peak = 0
-        self._counts: collections.deque[int] = collections.deque(
+        self._peak_load = 0
+        self._peak_loads: collections.deque[int] = collections.deque(
             maxlen=_REPORTS_KEPT
         )
 
-    def judge(
+    def check_capacity(
         self, *, weight: int, batch: bool, limit: int, now: float, mean: float
-    ) -> Judgement:
+    ) -> Fit:
         """Say whether one more place fits.
 
         Parameters
@@ -146,12 +146,12 @@
         """
         load = self.effective_load(now=now, mean=mean)
         if load + weight > self.slots and self.load:
-            return Judgement.FULL
+            return Fit.FULL
         if batch and self.batch_load + weight > self.batch_slots:
-            return Judgement.FULL
+            return Fit.FULL
         if load + weight > limit:
-            return Judgement.OVER_BOUND
-        return Judgement.FREE
+            return Fit.OVER_BOUND
+        return Fit.FREE
 
     def effective_load(self, *, now: float, mean: float) -> int:
         """Give the load to reckon with, in load units.
@@ -161,14 +161,14 @@
         bound. Until they had time to renew, the engine's own report counts
         when it is higher, and the group's mean when there is no report.
         """
-        if now < self.careful_until:
+        if now < self.uncertain_until:
             guess = self._reports[-1] if self._reports else math.ceil(mean)
             return max(self.load, guess)
-        return self.seen_load()
+        return self.observed_load()
 
-    def seen_load(self) -> int:
+    def observed_load(self) -> int:
         """Give the load, with what another owner admits here counted in."""
-        return self.load + self._foreign_load()
+        return self.load + self._load_of_other_owners()
 
     def demand(self) -> int:
         """Give the load with what waits counted in.
@@ -177,9 +177,9 @@
         all asks are over a bound taken from what runs, and it would rise by
         one place a report; what waits is about to run somewhere.
         """
-        return self.seen_load() + len(self.queued_by_key)
+        return self.observed_load() + len(self.queued_by_key)
 
-    def _foreign_load(self) -> int:
+    def _load_of_other_owners(self) -> int:
         """Load that the engine keeps reporting beyond what is counted.
 
         While daemons disagree on the owner, another one admits too. Reports
@@ -189,46 +189,46 @@
         """
         if len(self._reports) < _REPORTS_KEPT:
             return 0
-        return max(0, min(self._reports) - max(self._counts))
+        return max(0, min(self._reports) - max(self._peak_loads))
 
-    def take_report(self, running: int) -> None:
+    def add_engine_report(self, running: int) -> None:
         """Note the engine's own lagging figure."""
         self._reports.append(running)
-        self._counts.append(self._peak)
-        self._peak = self.load
+        self._peak_loads.append(self._peak_load)
+        self._peak_load = self.load
 
-    def forget_reports(self) -> None:
+    def clear_reports(self) -> None:
         """Drop figures that say nothing of now."""
         self._reports.clear()
-        self._counts.clear()
+        self._peak_loads.clear()
 
-    def hold(self, key: _place_key.PlaceKey, held: LedgerEntry) -> None:
+    def hold(self, key: _place_key.PlaceKey, entry: LedgerEntry) -> None:
         """Count a place; a repeated one is counted once."""
-        if key in self.held_by_key:
+        if key in self.entry_by_key:
             return
-        self.held_by_key[key] = held
-        self.load += held.weight
-        self.room.note_held(held.rank)
-        self._peak = max(self._peak, self.load)
-        if held.batch:
-            self.batch_load += held.weight
-
-    def let_in(self, key: _place_key.PlaceKey, held: LedgerEntry) -> None:
+        self.entry_by_key[key] = entry
+        self.load += entry.weight
+        self.rank_limits.note_held(entry.rank)
+        self._peak_load = max(self._peak_load, self.load)
+        if entry.batch:
+            self.batch_load += entry.weight
+
+    def admit(self, key: _place_key.PlaceKey, entry: LedgerEntry) -> None:
         """Count a place that an ask gets now."""
-        self.hold(key, held)
+        self.hold(key, entry)
         self.backoff.note_let_in()
 
-    def holds_chat(self, chat: _ids.ChatHash) -> bool:
+    def holds_chat_once(self, chat: _ids.ChatHash) -> bool:
         """Say whether exactly one place is this chat's.
 
         Only one is overlooked: a caller that sends many turns of one chat
         at once must not get past the bound with them.
         """
-        return self.places_of(chat) == 1
+        return self.placement_count(chat) == 1
 
-    def places_of(self, chat: _ids.ChatHash) -> int:
+    def placement_count(self, chat: _ids.ChatHash) -> int:
         """Give how many places are a chat's."""
-        return sum(held.chat == chat for held in self.held_by_key.values())
+        return sum(entry.chat == chat for entry in self.entry_by_key.values())
 
     def release(self, key: _place_key.PlaceKey, *, now: float) -> bool:
         """Free a place, or take its ask out of the queue.
@@ -238,17 +238,17 @@
         bool
             Whether a place was freed.
         """
-        waiting = self.queued_by_key.pop(key, None)
-        if waiting is not None:
-            self._queue_of(waiting).remove(waiting)
-        held = self.held_by_key.pop(key, None)
-        if held is None:
+        queued = self.queued_by_key.pop(key, None)
+        if queued is not None:
+            self._queue_of(queued).remove(queued)
+        entry = self.entry_by_key.pop(key, None)
+        if entry is None:
             return False
-        self.load -= held.weight
-        self.room.note_released(held.rank)
-        if held.batch:
-            self.batch_load -= held.weight
-        self.reads.note_ended(key)
+        self.load -= entry.weight
+        self.rank_limits.note_released(entry.rank)
+        if entry.batch:
+            self.batch_load -= entry.weight
+        self.context_reads.note_ended(key)
         self._note_release(now)
         return True
 
@@ -269,12 +269,12 @@
         """Give the smoothed seconds between two releases, 0 unknown."""
         return self._release_interval
 
-    def lapse(self, waiting: QueuedRequest) -> bool:
+    def remove_queued(self, queued: QueuedRequest) -> bool:
         """Take an ask out of the queue, if it still waits there."""
-        if self.queued_by_key.get(waiting.key) is not waiting:
+        if self.queued_by_key.get(queued.key) is not queued:
             return False
-        del self.queued_by_key[waiting.key]
-        return self._queue_of(waiting).remove(waiting)
+        del self.queued_by_key[queued.key]
+        return self._queue_of(queued).remove(queued)
 
     def expected_wait(self, *, batch: bool) -> float:
         """Give the seconds that an ask queued now would wait."""
@@ -283,7 +283,7 @@
             ahead += len(self._batch)
         return (ahead + 1) * self._release_interval
 
-    def has_ahead(self, *, batch: bool) -> bool:
+    def has_queued_ahead(self, *, batch: bool) -> bool:
         """Say whether a queued ask has a better claim to a free slot.
 
         Interactive work does not stand behind queued batch work: that may
@@ -291,32 +291,32 @@
         """
         return bool(len(self._interactive) or (batch and len(self._batch)))
 
-    def enqueue(self, waiting: QueuedRequest, *, team_weight: float) -> None:
+    def enqueue(self, queued: QueuedRequest, *, team_weight: float) -> None:
         """Let an ask wait for its turn; the one that gives way is refused."""
-        self.queued_by_key[waiting.key] = waiting
-        evicted = self._queue_of(waiting).push(
-            waiting, team=waiting.held.team, weight=team_weight
+        self.queued_by_key[queued.key] = queued
+        evicted = self._queue_of(queued).push(
+            queued, team=queued.entry.team, weight=team_weight
         )
         if evicted is None:
             return
         del self.queued_by_key[evicted.key]
-        evicted.refuse(messages.Verdict.full)
+        evicted.reject(messages.Verdict.full)
 
-    def pump(self, *, limit: int, now: float, mean: float) -> None:
+    def grant_queued(self, *, limit: int, now: float, mean: float) -> None:
         """Grant queued asks while there is room."""
         while self.queued_by_key:
             queue = self._next_queue(limit=limit, now=now, mean=mean)
             if queue is None:
                 return
-            waiting = queue.pop()
-            if waiting is None:
+            queued = queue.pop()
+            if queued is None:
                 return
-            del self.queued_by_key[waiting.key]
-            if waiting.deadline < now:
-                waiting.refuse(messages.Verdict.full)
+            del self.queued_by_key[queued.key]
+            if queued.deadline < now:
+                queued.reject(messages.Verdict.full)
                 continue
-            self.let_in(waiting.key, waiting.held)
-            waiting.grant()
+            self.admit(queued.key, queued.entry)
+            queued.grant()
 
     def _next_queue(
         self, *, limit: int, now: float, mean: float
@@ -329,62 +329,62 @@
         """
         batch_fits = self._fits(batch=True, limit=limit, now=now, mean=mean)
         batch_waits = len(self._batch) > 0 and batch_fits
-        due = self._since_batch >= _BATCH_TURN - 1
+        due = self._turns_since_batch >= _BATCH_TURN_INTERVAL - 1
         if batch_waits and (due or not len(self._interactive)):
-            self._since_batch = 0
+            self._turns_since_batch = 0
             return self._batch
         if not len(self._interactive):
             return None
         if not self._fits(batch=False, limit=limit, now=now, mean=mean):
             return None
-        self._since_batch += 1
+        self._turns_since_batch += 1
         return self._interactive
 
     def _fits(
         self, *, batch: bool, limit: int, now: float, mean: float
     ) -> bool:
-        verdict = self.judge(
+        verdict = self.check_capacity(
             weight=1, batch=batch, limit=limit, now=now, mean=mean
         )
-        return verdict is Judgement.FREE
+        return verdict is Fit.FREE
 
     def _queue_of(
-        self, waiting: QueuedRequest
+        self, queued: QueuedRequest
     ) -> _fair_queue.FairQueue[QueuedRequest]:
-        return self._batch if waiting.held.batch else self._interactive
+        return self._batch if queued.entry.batch else self._interactive
 
-    def refuse_all(self, verdict: messages.Verdict) -> None:
+    def reject_all(self, verdict: messages.Verdict) -> None:
         """Send everybody in the queue away, to look for another place."""
         for queue in (self._interactive, self._batch):
-            for waiting in queue.drain():
-                waiting.refuse(verdict)
+            for queued in queue.drain():
+                queued.reject(verdict)
         self.queued_by_key.clear()
 
-    def keep_only(
+    def reconcile(
         self,
         daemon: _ids.DaemonId,
-        held: dict[_ids.AskNumber, messages.HeldPlace],
+        entry: dict[_ids.AskNumber, messages.HeldPlace],
         pending: set[_ids.AskNumber],
         *,
         now: float,
     ) -> None:
         """Make the places of one entry daemon what it says they are."""
-        for key in [k for k in self.held_by_key if k.daemon == daemon]:
-            if key.ask not in held and key.ask not in pending:
+        for key in [k for k in self.entry_by_key if k.daemon == daemon]:
+            if key.ask not in entry and key.ask not in pending:
                 self.release(key, now=now)
-        for ask, place in held.items():
+        for ask, placement in entry.items():
             self.hold(
                 _place_key.PlaceKey(daemon, ask),
                 LedgerEntry(
-                    weight=place.weight,
-                    team=_ids.TeamName(place.team),
-                    batch=place.batch,
-                    rank=place.rank,
+                    weight=placement.weight,
+                    team=_ids.TeamName(placement.team),
+                    batch=placement.batch,
+                    rank=placement.rank,
                 ),
             )
 
     def drop_daemon(self, daemon: _ids.DaemonId, *, now: float) -> None:
         """Free all that a dead daemon held."""
-        self.keep_only(daemon, {}, set(), now=now)
+        self.reconcile(daemon, {}, set(), now=now)
         for key in [k for k in self.queued_by_key if k.daemon == daemon]:
             self.release(key, now=now)
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -17,18 +17,18 @@
 from topazlug._generated import settings as _settings_types
 from topazlug.capacity import _place_key
 from topazlug.capacity import _start_room
+from topazlug.routing import _admission_control
 from topazlug.routing import _displaced_chats
-from topazlug.routing import _group_accounts
+from topazlug.routing import _group_limits
 from topazlug.routing import _ledger
-from topazlug.routing import _owner_answers
-from topazlug.routing import _owner_judge
 from topazlug.routing import _owner_queue
+from topazlug.routing import _owner_replies
 from topazlug.routing import _ownership
 from topazlug.targets import _targets
 
 _log = _logs.logger("owner")
 
-CAREFUL_SECONDS = 2.5
+UNCERTAIN_SECONDS = 2.5
 
 
 class GroupRules(Protocol):
@@ -93,7 +93,7 @@
         self.ledger_by_replica: dict[_ids.ReplicaId, _ledger.ReplicaLedger] = (
             {}
         )
-        self.group_limits = _group_accounts.GroupAccounts(
+        self.group_limits = _group_limits.GroupLimits(
             ledger_by_replica=self.ledger_by_replica,
             targets=targets,
             bounds=rules,
@@ -102,32 +102,32 @@
         self.displaced = _displaced_chats.DisplacedChats(
             capacity=routing.displaced_capacity
         )
-        self._answers = _owner_answers.OwnerAnswers()
-        self.count_by_verdict = self._answers.count_by_verdict
+        self._replies = _owner_replies.OwnerReplies()
+        self.count_by_verdict = self._replies.count_by_verdict
         self._queue = _owner_queue.OwnerQueue(
             group_limits=self.group_limits,
-            answers=self._answers,
+            replies=self._replies,
             targets=targets,
             weight_of=rules.weight_of,
             clock=clock,
         )
-        self._judge = _owner_judge.OwnerJudge(
+        self._admission_control = _admission_control.AdmissionControl(
             group_limits=self.group_limits,
-            answers=self._answers,
+            replies=self._replies,
             queue=self._queue,
             targets=targets,
-            start=_start_room.StartRoom(
+            startup_limit=_start_room.StartRoom(
                 part=startup_fraction, started_at=clock.monotonic()
             ),
             clock=clock,
         )
-        self._heard_at: dict[_ids.DaemonId, float] = {}
+        self._last_received_at: dict[_ids.DaemonId, float] = {}
 
     def ask(
         self,
         sender: _ids.DaemonId,
         ask: messages.AdmitAsk,
-        reply: _owner_answers.Reply,
+        reply: _owner_replies.Reply,
     ) -> None:
         """Judge one ask; a queued one is answered when its turn comes.
 
@@ -140,21 +140,21 @@
         reply : callable
             Called once with the verdict, now or later.
         """
-        self._heard_at[sender] = self._clock.monotonic()
+        self._last_received_at[sender] = self._clock.monotonic()
         replica = _ids.ReplicaId(ask.replica)
         if self._ownership.owner_of(replica) != self._daemon:
-            self._answers.give(reply, messages.Verdict.not_owner)
+            self._replies.send(reply, messages.Verdict.not_owner)
             return
-        ledger = self._ledger_of(replica)
+        ledger = self._get_or_open_ledger(replica)
         if ledger is None or not self._targets.is_in_service(replica):
-            self._answers.give(reply, messages.Verdict.expired)
+            self._replies.send(reply, messages.Verdict.expired)
             return
-        if ask.home and self._send_elsewhere(ask, reply):
+        if ask.home and self._redirect_displaced(ask, reply):
             return
-        self._judge.judge(sender, ask, ledger, reply)
+        self._admission_control.decide(sender, ask, ledger, reply)
 
-    def _send_elsewhere(
-        self, ask: messages.AdmitAsk, reply: _owner_answers.Reply
+    def _redirect_displaced(
+        self, ask: messages.AdmitAsk, reply: _owner_replies.Reply
     ) -> bool:
         displaced_to = self.displaced.find(
             _ids.ChatHash(ask.chat), home=_ids.ReplicaId(ask.replica)
@@ -163,12 +163,12 @@
             return False
         if not self._targets.is_in_service(displaced_to):
             return False
-        self._answers.give(
+        self._replies.send(
             reply, messages.Verdict.elsewhere, replica=displaced_to
         )
         return True
 
-    def note_unreached(self, note: messages.Unreached) -> None:
+    def record_unreached(self, note: messages.Unreached) -> None:
         """Note that a replica took no connection from a daemon."""
         target = self._targets.target_by_replica.get(
             _ids.ReplicaId(note.replica)
@@ -190,39 +190,41 @@
         """Note that a request found no place anywhere and may come back."""
         ledger = self.ledger_by_replica.get(_ids.ReplicaId(note.replica))
         if ledger is not None and note.request:
-            ledger.returns.note(
+            ledger.reservations.note(
                 note.request,
                 note.rank,
                 seconds=note.seconds,
                 now=self._clock.monotonic(),
             )
 
-    def take_word(self, word: messages.EngineWord) -> None:
+    def record_response_head(self, head: messages.EngineWord) -> None:
         """Note what the head of an answer told of a replica owned here."""
-        ledger = self.ledger_by_replica.get(_ids.ReplicaId(word.replica))
+        ledger = self.ledger_by_replica.get(_ids.ReplicaId(head.replica))
         if ledger is None:
             return
         now = self._clock.monotonic()
-        ledger.room.take_report(
-            word.running, word.waiting, slow=word.slow, now=now
+        ledger.rank_limits.take_report(
+            head.running, head.waiting, slow=head.slow, now=now
         )
-        if word.read:
-            ledger.reads.note_read(_ids.ChatHash(word.read), now=now)
+        if head.read:
+            ledger.context_reads.note_read(_ids.ChatHash(head.read), now=now)
 
     def release(self, sender: _ids.DaemonId, asks: Iterable[int]) -> None:
         """Free places of an entry daemon, on whichever ledger they are."""
         now = self._clock.monotonic()
         for ask in asks:
             key = _place_key.PlaceKey(sender, _ids.AskNumber(ask))
-            ledger = self._find(key)
+            ledger = self._find_ledger(key)
             if ledger is None:
                 continue
             ledger.release(key, now=now)
-            self._queue.pump(ledger)
+            self._queue.grant_queued(ledger)
 
-    def _find(self, key: _place_key.PlaceKey) -> _ledger.ReplicaLedger | None:
+    def _find_ledger(
+        self, key: _place_key.PlaceKey
+    ) -> _ledger.ReplicaLedger | None:
         for ledger in self.ledger_by_replica.values():
-            if key in ledger.held_by_key or key in ledger.queued_by_key:
+            if key in ledger.entry_by_key or key in ledger.queued_by_key:
                 return ledger
         return None
 
@@ -234,21 +236,21 @@
         refuse all. The full list heals that.
         """
         now = self._clock.monotonic()
-        self._heard_at[sender] = now
+        self._last_received_at[sender] = now
         pending = {_ids.AskNumber(ask) for ask in renew.pending}
         held: dict[
             _ids.ReplicaId, dict[_ids.AskNumber, messages.HeldPlace]
         ] = {}
-        for place in renew.held:
-            replica = _ids.ReplicaId(place.replica)
+        for placement in renew.held:
+            replica = _ids.ReplicaId(placement.replica)
             by_ask = held.setdefault(replica, {})
-            by_ask[_ids.AskNumber(place.ask)] = place
+            by_ask[_ids.AskNumber(placement.ask)] = placement
         for replica in held:
             if self._ownership.owner_of(replica) == self._daemon:
-                self._ledger_of(replica)
+                self._get_or_open_ledger(replica)
         for replica, ledger in self.ledger_by_replica.items():
-            ledger.keep_only(sender, held.get(replica, {}), pending, now=now)
-            self._queue.pump(ledger)
+            ledger.reconcile(sender, held.get(replica, {}), pending, now=now)
+            self._queue.grant_queued(ledger)
 
     def refresh_slots(self) -> None:
         """Take over what the table and the list now say of slots."""
@@ -257,7 +259,7 @@
             if target is None:
                 continue
             ledger.slots, ledger.batch_slots = self._slots_of(target)
-            self._queue.pump(ledger)
+            self._queue.grant_queued(ledger)
 
     def _slots_of(self, target: _targets.Target) -> tuple[int, int]:
         """Give a replica's slots, and how many batch work may take."""
@@ -267,7 +269,7 @@
         reserve = self._rules.batch_reserve_of(target.group)
         return slots, max(1, math.floor(slots * (1 - reserve)))
 
-    def drop_silent(self, *, longest: float) -> None:
+    def drop_unresponsive(self, *, max_silence: float) -> None:
         """Free what daemons held that have not been heard of for long.
 
         A daemon that lost power gives nothing back, and where nobody says
@@ -276,18 +278,18 @@
 
         Parameters
         ----------
-        longest : float
+        max_silence : float
             Seconds; longer than daemons take between two renewals.
         """
         now = self._clock.monotonic()
-        for daemon, heard_at in list(self._heard_at.items()):
-            if now - heard_at <= longest or daemon == self._daemon:
+        for daemon, received_at in list(self._last_received_at.items()):
+            if now - received_at <= max_silence or daemon == self._daemon:
                 continue
-            del self._heard_at[daemon]
+            del self._last_received_at[daemon]
             _log.info(
                 "no word of {daemon} for {seconds:.1f} s: its places are free",
                 daemon=daemon,
-                seconds=now - heard_at,
+                seconds=now - received_at,
             )
             self.drop_daemon(daemon)
 
@@ -296,9 +298,9 @@
         now = self._clock.monotonic()
         for ledger in self.ledger_by_replica.values():
             ledger.drop_daemon(daemon, now=now)
-            self._queue.pump(ledger)
+            self._queue.grant_queued(ledger)
 
-    def transfer(
+    def apply_transfers(
         self, transfers: list[_ownership.Transfer]
     ) -> Mapping[_ids.DaemonId, list[messages.Displaced]]:
         """Take up gained replicas and lay down lost ones.
@@ -311,15 +313,15 @@
         lost: dict[_ids.ReplicaId, _ids.DaemonId | None] = {}
         for change in transfers:
             if change.after == self._daemon:
-                self._ledger_of(change.replica)
+                self._get_or_open_ledger(change.replica)
             elif change.before == self._daemon:
                 lost[change.replica] = change.after
         for replica in lost:
             ledger = self.ledger_by_replica.pop(replica, None)
             if ledger is not None:
-                ledger.refuse_all(messages.Verdict.not_owner)
+                ledger.reject_all(messages.Verdict.not_owner)
         handover: dict[_ids.DaemonId, list[messages.Displaced]] = {}
-        for home, entries in self.displaced.take_out(set(lost)).items():
+        for home, entries in self.displaced.remove_by_home(set(lost)).items():
             after = lost[home]
             if after is not None:
                 handover.setdefault(after, []).extend(entries)
@@ -336,43 +338,43 @@
             target = self._targets.target_by_replica.get(replica)
             if target is None or target.incarnation == ledger.incarnation:
                 continue
-            ledger.refuse_all(messages.Verdict.expired)
-            fresh = self._open(target)
+            ledger.reject_all(messages.Verdict.expired)
+            fresh = self._open_ledger(target)
             # Nothing is held there yet: there is no count to distrust.
-            fresh.careful_until = 0.0
+            fresh.uncertain_until = 0.0
             self.ledger_by_replica[replica] = fresh
         self.displaced.remove_restarted(self._targets.target_by_replica)
 
-    def turn_careful(self) -> None:
+    def mark_counts_uncertain(self) -> None:
         """Distrust all counts for a while, after a pause of this daemon."""
-        until = self._clock.monotonic() + CAREFUL_SECONDS
+        until = self._clock.monotonic() + UNCERTAIN_SECONDS
         for ledger in self.ledger_by_replica.values():
-            ledger.careful_until = until
-            ledger.forget_reports()
+            ledger.uncertain_until = until
+            ledger.clear_reports()
 
-    def take_engine_report(
+    def record_engine_report(
         self, replica: _ids.ReplicaId, running: int
     ) -> None:
         """Note what an engine says of its load."""
         ledger = self.ledger_by_replica.get(replica)
         if ledger is not None:
-            ledger.take_report(running)
+            ledger.add_engine_report(running)
 
-    def take_summary(
+    def apply_summary(
         self, summary: messages.LoadSummary, report: messages.LoadReport
     ) -> None:
         """Note a collector's answer, and grant what now fits."""
         group = _ids.GroupName(summary.group)
-        self.group_limits.take_summary(summary, report)
+        self.group_limits.apply_summary(summary, report)
         for ledger in self.group_limits.ledgers_of(group):
-            self._queue.pump(ledger)
+            self._queue.grant_queued(ledger)
 
     def waiting(self) -> int:
         """Give the asks that wait in this owner's queues."""
         ledgers = self.ledger_by_replica.values()
         return sum(len(ledger.queued_by_key) for ledger in ledgers)
 
-    def _ledger_of(
+    def _get_or_open_ledger(
         self, replica: _ids.ReplicaId
     ) -> _ledger.ReplicaLedger | None:
         ledger = self.ledger_by_replica.get(replica)
@@ -381,11 +383,11 @@
         target = self._targets.target_by_replica.get(replica)
         if target is None:
             return None
-        ledger = self._open(target)
+        ledger = self._open_ledger(target)
         self.ledger_by_replica[replica] = ledger
         return ledger
 
-    def _open(self, target: _targets.Target) -> _ledger.ReplicaLedger:
+    def _open_ledger(self, target: _targets.Target) -> _ledger.ReplicaLedger:
         slots, batch_slots = self._slots_of(target)
         ledger = _ledger.ReplicaLedger(
             replica=target.replica,
@@ -395,6 +397,6 @@
             queue_capacity=self._routing.queue_per_replica,
             incarnation=target.incarnation,
         )
-        ledger.careful_until = self._clock.monotonic() + CAREFUL_SECONDS
+        ledger.uncertain_until = self._clock.monotonic() + UNCERTAIN_SECONDS
         _log.info("own {replica}", replica=target.replica)
         return ledger
--- a/src/topazlug/routing/_owner_client.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -15,7 +15,7 @@
 from topazlug import _ids
 from topazlug import _logs
 from topazlug._generated import messages
-from topazlug.routing import _holdings
+from topazlug.routing import _held_placements
 from topazlug.routing import _owner
 from topazlug.routing import _ownership
 from topazlug.routing import _placement
@@ -23,8 +23,8 @@
 from topazlug.targets import _targets
 
 _log = _logs.logger("admission")
-_SILENT_SECONDS = 1.0
-_FIRST_SILENT_SECONDS = 0.1
+_MAX_SKIP_SECONDS = 1.0
+_INITIAL_SKIP_SECONDS = 0.1
 # A caller comes back after a third of the time that it has left at most; the
 # rest is for the time that its answer takes to reach it.
 MAX_RETURN_FRACTION = 0.3
@@ -61,7 +61,7 @@
     ----------
     held_placements : Holdings
         Places that this daemon holds of owners.
-    passed_over : int
+    unanswered_count : int
         Asks that got no word of an owner.
     """
 
@@ -71,7 +71,7 @@
         daemon: _ids.DaemonId,
         owner: _owner.Owner,
         ownership: _ownership.Ownership,
-        links: _holdings.Links,
+        links: _held_placements.Links,
         timeout: float,
         clock: _clock.Clock,
     ) -> None:
@@ -82,16 +82,16 @@
         self._timeout = timeout
         self._clock = clock
         self._numbers = itertools.count(1)
-        self._silent_until: dict[_ids.DaemonId, float] = {}
-        self._silences: dict[_ids.DaemonId, int] = {}
-        self.held_placements = _holdings.Holdings(
+        self._skip_until: dict[_ids.DaemonId, float] = {}
+        self._consecutive_timeouts: dict[_ids.DaemonId, int] = {}
+        self.held_placements = _held_placements.HeldPlacements(
             daemon=daemon,
             owner=owner,
             ownership=ownership,
             links=links,
             clock=clock,
         )
-        self.passed_over = 0
+        self.unanswered_count = 0
 
     def new_number(self) -> _ids.AskNumber:
         """Give the number of a new ask."""
@@ -140,8 +140,8 @@
         if owner is None:
             return None
         now = self._clock.monotonic()
-        if now < self._silent_until.get(owner, 0.0):
-            self.passed_over += 1
+        if now < self._skip_until.get(owner, 0.0):
+            self.unanswered_count += 1
             return None
         ask = self.new_number()
         message = messages.AdmitAsk(
@@ -174,9 +174,9 @@
         finally:
             del self.held_placements.pending_by_ask[ask]
         if reply is None:
-            self._pass_over(owner, ask, since=now, waited=wait > 0)
+            self._skip_owner(owner, ask, since=now, waited=wait > 0)
             return None
-        self._silences.pop(owner, None)
+        self._consecutive_timeouts.pop(owner, None)
         return OwnerReply(ask, owner, reply)
 
     def _exchange(
@@ -198,7 +198,7 @@
             return answer
         return None
 
-    def _pass_over(
+    def _skip_owner(
         self,
         owner: _ids.DaemonId,
         ask: _ids.AskNumber,
@@ -217,42 +217,42 @@
         meanwhile is alive. With each late word taken for silence, most
         requests are placed without one while load is at its worst.
         """
-        self.passed_over += 1
+        self.unanswered_count += 1
         if not waited and not self._links.heard_since(owner, since):
-            silences = self._silences.get(owner, 0)
-            self._silences[owner] = silences + 1
-            pause = _FIRST_SILENT_SECONDS * 2 ** min(silences, 8)
-            pause = min(pause, _SILENT_SECONDS)
-            self._silent_until[owner] = self._clock.monotonic() + pause
+            timeouts = self._consecutive_timeouts.get(owner, 0)
+            self._consecutive_timeouts[owner] = timeouts + 1
+            skip_seconds = _INITIAL_SKIP_SECONDS * 2 ** min(timeouts, 8)
+            skip_seconds = min(skip_seconds, _MAX_SKIP_SECONDS)
+            self._skip_until[owner] = self._clock.monotonic() + skip_seconds
             _log.info(
                 "no word of {owner}, it is passed over for {seconds} s",
                 owner=owner,
-                seconds=pause,
-                silences=silences + 1,
+                seconds=skip_seconds,
+                silences=timeouts + 1,
             )
         self.held_placements.send_release(owner, ask)
 
     def report_response_head(
-        self, replica: _ids.ReplicaId, word: messages.EngineWord
+        self, replica: _ids.ReplicaId, head: messages.EngineWord
     ) -> None:
         """Tell a replica's owner what the head of an answer said."""
         owner = self._ownership.owner_of(replica)
         if owner == self._daemon:
-            self._owner.take_word(word)
+            self._owner.record_response_head(head)
         elif owner is not None:
-            self.held_placements.send(owner, word)
+            self.held_placements.send(owner, head)
 
     def report_unreached(self, replica: _ids.ReplicaId) -> None:
         """Tell a replica's owner that it took no connection."""
         owner = self._ownership.owner_of(replica)
-        note = messages.Unreached(replica=replica)
+        message = messages.Unreached(replica=replica)
         if owner == self._daemon:
-            self._owner.note_unreached(note)
+            self._owner.record_unreached(message)
         elif owner is not None:
-            self.held_placements.send(owner, note)
+            self.held_placements.send(owner, message)
 
     def report_backoff(
-        self, target: _targets.Target, word: _target_word.TargetWord
+        self, target: _targets.Target, head: _target_word.TargetWord
     ) -> None:
         """Tell a target's owner that it has asked this daemon for a backoff.
 
@@ -260,21 +260,21 @@
         ----------
         target : Target
             Who asks.
-        word : TargetWord
+        head : TargetWord
             What it says of itself.
         """
         owner = self._ownership.owner_of(target.replica)
-        if word.backoff <= 0 or owner is None:
+        if head.backoff <= 0 or owner is None:
             return
-        note = messages.Backoff(
+        message = messages.Backoff(
             replica=target.replica,
             incarnation=target.incarnation,
-            seconds=word.backoff,
+            seconds=head.backoff,
         )
         if owner == self._daemon:
-            self._owner.record_backoff(self._daemon, note)
+            self._owner.record_backoff(self._daemon, message)
         else:
-            self.held_placements.send(owner, note)
+            self.held_placements.send(owner, message)
 
     def report_rejection(
         self,
@@ -284,7 +284,7 @@
         seconds: float,
     ) -> None:
         """Tell the home's owner that a request may come back in a while."""
-        note = messages.TurnedAway(
+        message = messages.TurnedAway(
             replica=home,
             request=request.prompt,
             rank=request.rank,
@@ -292,13 +292,13 @@
         )
         owner = self._ownership.owner_of(home)
         if owner == self._daemon:
-            self._owner.record_rejection(note)
+            self._owner.record_rejection(message)
         elif owner is not None:
-            self.held_placements.send(owner, note)
+            self.held_placements.send(owner, message)
 
     def report_displacement(
         self,
-        place: _placement.Placement,
+        placement: _placement.Placement,
         *,
         home: _ids.ReplicaId,
         displaced_to: _ids.ReplicaId | None,
@@ -310,25 +310,27 @@
 
         Parameters
         ----------
-        place : Place
+        placement : Place
             Where it is now.
         home : ReplicaId
             First of its rank.
         displaced_to : ReplicaId or None
             The seat that the owner remembered.
         """
-        replica = place.target.replica
-        unmoved = replica == displaced_to or (place.home and not displaced_to)
-        if unmoved or place.request.excluded:
+        replica = placement.target.replica
+        unmoved = replica == displaced_to or (
+            placement.home and not displaced_to
+        )
+        if unmoved or placement.request.excluded:
             return
         owner = self._ownership.owner_of(home)
-        note = messages.Displaced(
-            group=place.request.group,
+        message = messages.Displaced(
+            group=placement.request.group,
             home=home,
-            chat=place.request.chat,
-            replica="" if place.home else replica,
+            chat=placement.request.chat,
+            replica="" if placement.home else replica,
         )
         if owner == self._daemon:
-            self._owner.displaced.record(note)
+            self._owner.displaced.record(message)
         elif owner is not None:
-            self.held_placements.send(owner, note)
+            self.held_placements.send(owner, message)
--- a/src/topazlug/routing/_owner_endpoint.py
+++ b/src/topazlug/routing/_owner_endpoint.py
@@ -15,7 +15,7 @@
 from topazlug._generated import settings as _settings_types
 from topazlug.peers import _peers
 from topazlug.routing import _group_load
-from topazlug.routing import _holdings
+from topazlug.routing import _held_placements
 from topazlug.routing import _owner
 from topazlug.routing import _ownership
 
@@ -23,10 +23,10 @@
 _REPORT_TIMEOUT = 0.3
 _RETRY_SECONDS = 0.2
 # A daemon that was not heard of for so many renewals is taken to be gone.
-_SILENT_RENEWALS = 2.5
+_MAX_MISSED_RENEWALS = 2.5
 # A collector that said nothing is passed over for so long; the next of its
 # order adds up meanwhile. Within the three seconds for which a total counts.
-_SILENT_SECONDS = 2.0
+_COLLECTOR_SKIP_SECONDS = 2.0
 _HANDOVER_ENTRIES = 500
 _RENEW_BYTES = 150
 _RENEW_BYTES_PER_SECOND = 2048
@@ -59,7 +59,7 @@
         *,
         daemon: _ids.DaemonId,
         owner: _owner.Owner,
-        held_placements: _holdings.Holdings,
+        held_placements: _held_placements.HeldPlacements,
         links: _peers.PeerLinks,
         usable: Callable[[], Mapping[_ids.DaemonId, Any]],
         routing: _settings_types.RoutingSettings,
@@ -67,7 +67,7 @@
     ) -> None:
         self._daemon = daemon
         self._owner = owner
-        self._holdings = held_placements
+        self._held_placements = held_placements
         self._links = links
         self._usable = usable
         self._routing = routing
@@ -76,13 +76,13 @@
             clock=clock, interval=routing.load_interval
         )
         self._reporting: set[str] = set()
-        self._silent_until: dict[_ids.DaemonId, float] = {}
+        self._skip_until: dict[_ids.DaemonId, float] = {}
 
     def register(self) -> None:
         """Take peers' messages from now on."""
         links = self._links
-        links.handle(messages.AdmitAsk, self._on_ask)
-        links.handle(messages.EngineWord, self._on_word)
+        links.handle(messages.AdmitAsk, self._on_admit_ask)
+        links.handle(messages.EngineWord, self._on_engine_word)
         links.handle(messages.TurnedAway, self._on_turned_away)
         links.handle(messages.Unreached, self._on_unreached)
         links.handle(messages.Backoff, self._on_backoff)
@@ -92,15 +92,15 @@
         links.handle(messages.DisplacedBatch, self._on_displaced_batch)
         links.handle(messages.LoadReport, self._on_report)
 
-    def _on_ask(
+    def _on_admit_ask(
         self, sender: _ids.DaemonId, ask: Any, reply: _peers.Reply
     ) -> None:
         self._owner.ask(sender, ask, reply)
 
-    def _on_word(
+    def _on_engine_word(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.take_word(message)
+        self._owner.record_response_head(message)
 
     def _on_turned_away(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
@@ -110,7 +110,7 @@
     def _on_unreached(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.note_unreached(message)
+        self._owner.record_unreached(message)
 
     def _on_backoff(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
@@ -146,20 +146,20 @@
 
     def on_transfer(self, transfers: list[_ownership.Transfer]) -> None:
         """Follow a change of owners: hand over, and renew at once."""
-        handover = self._owner.transfer(transfers)
+        handover = self._owner.apply_transfers(transfers)
         for after, entries in handover.items():
             self._hand_over(after, entries)
         gained = {c.after for c in transfers if c.after is not None}
         lost = {c.before for c in transfers if c.before is not None}
-        self._holdings.renew(gained | lost)
+        self._held_placements.renew(gained | lost)
 
     def _hand_over(
         self, after: _ids.DaemonId, entries: list[messages.Displaced]
     ) -> None:
         for start in range(0, len(entries), _HANDOVER_ENTRIES):
-            part = entries[start : start + _HANDOVER_ENTRIES]
+            batch = entries[start : start + _HANDOVER_ENTRIES]
             try:
-                self._links.send(after, messages.DisplacedBatch(entries=part))
+                self._links.send(after, messages.DisplacedBatch(entries=batch))
             except _errors.PeerUnreachable:
                 _log.warning("displaced chats are lost with {to}", to=after)
                 return
@@ -174,7 +174,7 @@
         owners = 0
         while True:
             self._clock.sleep(self._renew_seconds(owners))
-            owners = self._holdings.renew()
+            owners = self._held_placements.renew()
 
     def _renew_seconds(self, owners: int) -> float:
         spread = owners * _RENEW_BYTES / _RENEW_BYTES_PER_SECOND
@@ -189,8 +189,8 @@
             Daemons that own replicas: the more there are, the longer each
             takes to tell all of them.
         """
-        longest = _SILENT_RENEWALS * self._renew_seconds(owners)
-        self._owner.drop_silent(longest=longest)
+        max_silence = _MAX_MISSED_RENEWALS * self._renew_seconds(owners)
+        self._owner.drop_unresponsive(max_silence=max_silence)
 
     def report_forever(self) -> None:
         """Tell collectors the load of the owned replicas when it is due."""
@@ -217,12 +217,12 @@
         finally:
             self._reporting.discard(report.group)
         if summary is not None:
-            self._owner.take_summary(summary, report)
+            self._owner.apply_summary(summary, report)
 
     def _exchange(
         self, group: _ids.GroupName, report: messages.LoadReport
     ) -> messages.LoadSummary | None:
-        collector = _group_load.collector_of(group, self._heard())
+        collector = _group_load.collector_of(group, self._responsive_daemons())
         if collector is None:
             return None
         if collector == self._daemon:
@@ -232,19 +232,19 @@
                 collector, report, timeout=_REPORT_TIMEOUT
             )
         except _errors.PeerUnreachable:
-            until = self._clock.monotonic() + _SILENT_SECONDS
-            self._silent_until[collector] = until
+            until = self._clock.monotonic() + _COLLECTOR_SKIP_SECONDS
+            self._skip_until[collector] = until
             _log.info(
                 "no total of {group} from {collector}, it is passed over",
                 group=group,
                 collector=collector,
-                seconds=_SILENT_SECONDS,
+                seconds=_COLLECTOR_SKIP_SECONDS,
             )
             self._clock.sleep(_RETRY_SECONDS)
             return None
         return answer if isinstance(answer, messages.LoadSummary) else None
 
-    def _heard(self) -> list[_ids.DaemonId]:
+    def _responsive_daemons(self) -> list[_ids.DaemonId]:
         """Give the usable daemons without those that have just said nothing.
 
         A daemon that is dark stays usable for as long as nobody says that it
@@ -256,5 +256,5 @@
         return [
             daemon
             for daemon in self._usable()
-            if now >= self._silent_until.get(daemon, 0.0)
+            if now >= self._skip_until.get(daemon, 0.0)
         ]
--- a/src/topazlug/routing/_owner_queue.py
+++ b/src/topazlug/routing/_owner_queue.py
@@ -9,13 +9,13 @@
 from topazlug import _ids
 from topazlug._generated import messages
 from topazlug.capacity import _place_key
-from topazlug.routing import _group_accounts
+from topazlug.routing import _group_limits
 from topazlug.routing import _ledger
-from topazlug.routing import _owner_answers
+from topazlug.routing import _owner_replies
 from topazlug.targets import _targets
 
-SHORT_WAIT = 1.0
-_LEAST_RETURN_SECONDS = 0.1
+SHORT_WAIT_SECONDS = 1.0
+_MIN_RETRY_AFTER_SECONDS = 0.1
 
 
 @final
@@ -24,9 +24,9 @@
 
     Parameters
     ----------
-    group_limits : GroupAccounts
+    group_limits : GroupLimits
         Loads of groups.
-    answers : OwnerAnswers
+    replies : OwnerReplies
         Answers asks.
     targets : TargetDirectory
         Which replicas may get new work.
@@ -39,14 +39,14 @@
     def __init__(
         self,
         *,
-        group_limits: _group_accounts.GroupAccounts,
-        answers: _owner_answers.OwnerAnswers,
+        group_limits: _group_limits.GroupLimits,
+        replies: _owner_replies.OwnerReplies,
         targets: _targets.TargetDirectory,
         weight_of: Callable[[_ids.TeamName], float],
         clock: _clock.Clock,
     ) -> None:
-        self._accounts = group_limits
-        self._answers = answers
+        self._group_limits = group_limits
+        self._replies = replies
         self._targets = targets
         self._weight_of = weight_of
         self._clock = clock
@@ -55,32 +55,32 @@
         self,
         ledger: _ledger.ReplicaLedger,
         key: _place_key.PlaceKey,
-        held: _ledger.LedgerEntry,
+        entry: _ledger.LedgerEntry,
         wait: float,
-        reply: _owner_answers.Reply,
+        reply: _owner_replies.Reply,
     ) -> None:
         """Let an ask wait for its turn, for so many seconds."""
-        expected = ledger.expected_wait(batch=held.batch)
-        waiting = _ledger.QueuedRequest(
+        expected = ledger.expected_wait(batch=entry.batch)
+        queued = _ledger.QueuedRequest(
             key=key,
-            held=held,
+            entry=entry,
             deadline=self._clock.monotonic() + wait,
-            grant=lambda: self._answers.give(
+            grant=lambda: self._replies.send(
                 reply, messages.Verdict.granted, load=ledger.load
             ),
-            refuse=lambda verdict: self.refuse(
+            reject=lambda verdict: self.reject(
                 ledger, expected, reply, verdict
             ),
         )
-        ledger.enqueue(waiting, team_weight=self._weight_of(held.team))
-        self.pump(ledger)
-        if wait <= SHORT_WAIT and key in ledger.queued_by_key:
-            gevent.spawn(self._lapse, ledger, waiting, wait)
+        ledger.enqueue(queued, team_weight=self._weight_of(entry.team))
+        self.grant_queued(ledger)
+        if wait <= SHORT_WAIT_SECONDS and key in ledger.queued_by_key:
+            gevent.spawn(self._expire, ledger, queued, wait)
 
-    def _lapse(
+    def _expire(
         self,
         ledger: _ledger.ReplicaLedger,
-        waiting: _ledger.QueuedRequest,
+        queued: _ledger.QueuedRequest,
         wait: float,
     ) -> None:
         """Answer a short wait when it is over.
@@ -89,34 +89,34 @@
         would wait for the owner's timeout on top, and blame the owner.
         """
         self._clock.sleep(wait)
-        if ledger.lapse(waiting):
-            waiting.refuse(messages.Verdict.full)
+        if ledger.remove_queued(queued):
+            queued.reject(messages.Verdict.full)
 
-    def refuse(
+    def reject(
         self,
         ledger: _ledger.ReplicaLedger,
         expected: float,
-        reply: _owner_answers.Reply,
+        reply: _owner_replies.Reply,
         verdict: messages.Verdict = messages.Verdict.full,
     ) -> None:
         """Refuse an ask that would wait for so many seconds."""
-        self._answers.give(
+        self._replies.send(
             reply,
             verdict,
             load=ledger.load,
-            retry_after=max(expected, _LEAST_RETURN_SECONDS),
+            retry_after=max(expected, _MIN_RETRY_AFTER_SECONDS),
         )
 
-    def pump(self, ledger: _ledger.ReplicaLedger) -> None:
+    def grant_queued(self, ledger: _ledger.ReplicaLedger) -> None:
         """Grant what waits and now fits."""
         if not ledger.queued_by_key:
             return
         if not self._targets.is_in_service(ledger.replica):
-            ledger.refuse_all(messages.Verdict.expired)
+            ledger.reject_all(messages.Verdict.expired)
             return
-        total = self._accounts.total(ledger.group)
-        ledger.pump(
-            limit=self._accounts.limit(ledger.group, total),
+        total = self._group_limits.total(ledger.group)
+        ledger.grant_queued(
+            limit=self._group_limits.limit(ledger.group, total),
             now=self._clock.monotonic(),
             mean=total.mean,
         )
--- a/src/topazlug/routing/_owner_answers.py
+++ b/src/topazlug/routing/_owner_replies.py
@@ -9,7 +9,7 @@
 
 
 @final
-class OwnerAnswers:
+class OwnerReplies:
     """Gives answers and counts them.
 
     Attributes
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.count_by_verdict = dict.fromkeys(messages.Verdict, 0)
 
-    def give(
+    def send(
         self,
         reply: Reply,
         verdict: messages.Verdict,
--- a/src/topazlug/routing/_ownership.py
+++ b/src/topazlug/routing/_ownership.py
@@ -23,12 +23,12 @@
     after: _ids.DaemonId | None
 
 
-class _Holder(NamedTuple):
+class _ScoredOwner(NamedTuple):
     daemon: _ids.DaemonId | None
     score: int
 
 
-_NOBODY = _Holder(None, -1)
+_NO_OWNER = _ScoredOwner(None, -1)
 
 
 def _seed(replica: _ids.ReplicaId) -> int:
@@ -45,8 +45,8 @@
         # taken over them, and a comprehension over bytes takes half the
         # time of a loop that encodes each name.
         self._names: list[_ids.DaemonId] = []
-        self._encoded: list[bytes] = []
-        self._holder_by_replica: dict[_ids.ReplicaId, _Holder] = {}
+        self._encoded_names: list[bytes] = []
+        self._owner_by_replica: dict[_ids.ReplicaId, _ScoredOwner] = {}
         self._seed_by_replica: dict[_ids.ReplicaId, int] = {}
         self._callbacks: list[Callable[[list[Transfer]], None]] = []
 
@@ -56,14 +56,14 @@
 
     def owner_of(self, replica: _ids.ReplicaId) -> _ids.DaemonId | None:
         """Give the replica's owner, None if no daemon is usable."""
-        return self._holder_by_replica.get(replica, _NOBODY).daemon
+        return self._owner_by_replica.get(replica, _NO_OWNER).daemon
 
     def owned_by(self, daemon: _ids.DaemonId) -> list[_ids.ReplicaId]:
         """Give the replicas that a daemon owns."""
         return [
             replica
-            for replica, holder in self._holder_by_replica.items()
-            if holder.daemon == daemon
+            for replica, owner in self._owner_by_replica.items()
+            if owner.daemon == daemon
         ]
 
     def update(
@@ -86,38 +86,38 @@
         list of Transfer
             What changed; the callbacks got the same list.
         """
-        wanted = set(daemons)
-        self._names = sorted(wanted)
-        self._encoded = [name.encode() for name in self._names]
+        usable = set(daemons)
+        self._names = sorted(usable)
+        self._encoded_names = [name.encode() for name in self._names]
         known = set(replicas)
-        transfers = self._drop(set(self._holder_by_replica) - known)
-        transfers += self._remove_daemons(self._daemons - wanted)
-        transfers += self._add_daemons(wanted - self._daemons)
-        transfers += self._add_replicas(known - set(self._holder_by_replica))
+        transfers = self._remove_replicas(set(self._owner_by_replica) - known)
+        transfers += self._remove_daemons(self._daemons - usable)
+        transfers += self._add_daemons(usable - self._daemons)
+        transfers += self._add_replicas(known - set(self._owner_by_replica))
         if transfers:
             for callback in self._callbacks:
                 callback(transfers)
         return transfers
 
-    def _drop(self, gone: set[_ids.ReplicaId]) -> list[Transfer]:
+    def _remove_replicas(self, removed: set[_ids.ReplicaId]) -> list[Transfer]:
         transfers = []
-        for replica in gone:
-            holder = self._holder_by_replica.pop(replica)
+        for replica in removed:
+            owner = self._owner_by_replica.pop(replica)
             del self._seed_by_replica[replica]
-            transfers.append(Transfer(replica, holder.daemon, None))
+            transfers.append(Transfer(replica, owner.daemon, None))
         return transfers
 
-    def _remove_daemons(self, gone: set[_ids.DaemonId]) -> list[Transfer]:
-        self._daemons -= gone
-        if not gone:
+    def _remove_daemons(self, removed: set[_ids.DaemonId]) -> list[Transfer]:
+        self._daemons -= removed
+        if not removed:
             return []
         transfers = []
-        for replica, holder in self._holder_by_replica.items():
-            if holder.daemon not in gone:
+        for replica, owner in self._owner_by_replica.items():
+            if owner.daemon not in removed:
                 continue
-            after = self._best(replica)
-            self._holder_by_replica[replica] = after
-            transfers.append(Transfer(replica, holder.daemon, after.daemon))
+            after = self._highest_scored(replica)
+            self._owner_by_replica[replica] = after
+            transfers.append(Transfer(replica, owner.daemon, after.daemon))
         return transfers
 
     def _add_daemons(self, new: set[_ids.DaemonId]) -> list[Transfer]:
@@ -125,28 +125,28 @@
         transfers = []
         for daemon in new:
             name = daemon.encode()
-            for replica, holder in self._holder_by_replica.items():
+            for replica, owner in self._owner_by_replica.items():
                 seed = self._seed_by_replica[replica]
                 score = _ranking.score(name, seed)
-                if score <= holder.score:
+                if score <= owner.score:
                     continue
-                self._holder_by_replica[replica] = _Holder(daemon, score)
-                transfers.append(Transfer(replica, holder.daemon, daemon))
+                self._owner_by_replica[replica] = _ScoredOwner(daemon, score)
+                transfers.append(Transfer(replica, owner.daemon, daemon))
         return transfers
 
     def _add_replicas(self, new: set[_ids.ReplicaId]) -> list[Transfer]:
         transfers = []
         for replica in new:
             self._seed_by_replica[replica] = _seed(replica)
-            holder = self._best(replica)
-            self._holder_by_replica[replica] = holder
-            transfers.append(Transfer(replica, None, holder.daemon))
+            owner = self._highest_scored(replica)
+            self._owner_by_replica[replica] = owner
+            transfers.append(Transfer(replica, None, owner.daemon))
         return transfers
 
-    def _best(self, replica: _ids.ReplicaId) -> _Holder:
+    def _highest_scored(self, replica: _ids.ReplicaId) -> _ScoredOwner:
         if not self._names:
-            return _NOBODY
+            return _NO_OWNER
         seed = self._seed_by_replica[replica]
-        scores = [_ranking.score(name, seed) for name in self._encoded]
+        scores = [_ranking.score(name, seed) for name in self._encoded_names]
         best = max(scores)
-        return _Holder(self._names[scores.index(best)], best)
+        return _ScoredOwner(self._names[scores.index(best)], best)
--- a/src/topazlug/routing/_placement.py
+++ b/src/topazlug/routing/_placement.py
@@ -110,5 +110,5 @@
             The group has no usable replica.
         """
 
-    def release(self, place: Placement) -> None:
+    def release(self, placement: Placement) -> None:
         """Give a place back."""
--- a/src/topazlug/routing/_policies.py
+++ b/src/topazlug/routing/_policies.py
@@ -21,11 +21,11 @@
 from topazlug.routing import _ranking
 from topazlug.targets import _targets
 
-_NO_TARGET_SECONDS = 1.0
+_NO_TARGET_RETRY_SECONDS = 1.0
 TWO_CHOICES = _settings_types.RoutingPolicy.two_choices
 
 
-class Parts(Protocol):
+class PolicyDependencies(Protocol):
     """What the policies need of a daemon."""
 
     owners_admission: Any
@@ -62,18 +62,18 @@
 }
 
 
-def admission_of(
-    name: _settings_types.RoutingPolicy, parts: Parts
+def make_admission(
+    name: _settings_types.RoutingPolicy, dependencies: PolicyDependencies
 ) -> _placement.Admission:
     """Give what finds places under a policy."""
     policy = _POLICY_BY_NAME[name]
     if isinstance(policy, _Owners):
-        admission: _placement.Admission = parts.owners_admission
+        admission: _placement.Admission = dependencies.owners_admission
         return admission
-    return BaselineAdmission(policy=policy, parts=parts)
+    return BaselineAdmission(policy=policy, dependencies=dependencies)
 
 
-class _View(msgspec.Struct):
+class _LocalView(msgspec.Struct):
     """What one daemon knows by itself."""
 
     request: _placement.PlacementRequest
@@ -84,38 +84,40 @@
 
 
 @functools.singledispatch
-def choose(policy: object, view: _View) -> _ids.ReplicaId:
+def choose(policy: object, view: _LocalView) -> _ids.ReplicaId:
     """Choose a replica from what this daemon knows by itself.
 
     Parameters
     ----------
     policy : object
         Decides which implementation runs.
-    view : _View
+    view : _LocalView
         At least one usable replica.
     """
     raise NotImplementedError(f"no policy {policy!r}")
 
 
 @choose.register
-def _choose_random(policy: _Random, view: _View) -> _ids.ReplicaId:
+def _choose_random(policy: _Random, view: _LocalView) -> _ids.ReplicaId:
     return random.choice(view.usable)
 
 
 @choose.register
-def _choose_two(policy: _TwoChoices, view: _View) -> _ids.ReplicaId:
+def _choose_two_choices(
+    policy: _TwoChoices, view: _LocalView
+) -> _ids.ReplicaId:
     pair = random.sample(view.usable, min(2, len(view.usable)))
     return min(pair, key=lambda replica: view.reported.get(replica, 0))
 
 
 @choose.register
-def _choose_hash(policy: _Hash, view: _View) -> _ids.ReplicaId:
+def _choose_hash(policy: _Hash, view: _LocalView) -> _ids.ReplicaId:
     name = _ranking.first(view.usable, view.request.chat)
     return _ids.ReplicaId(name or view.usable[0])
 
 
 @choose.register
-def _choose_sliver(policy: _Sliver, view: _View) -> _ids.ReplicaId:
+def _choose_sliver(policy: _Sliver, view: _LocalView) -> _ids.ReplicaId:
     count = len(view.usable)
     total = sum(view.own_load.get(replica, 0) for replica in view.usable)
     limit = math.ceil(view.bound * (total + 1) / count)
@@ -135,22 +137,24 @@
     ----------
     policy : object
         One of the baselines.
-    parts : Parts
+    dependencies : Parts
         The daemon's parts.
     """
 
-    def __init__(self, *, policy: object, parts: Parts) -> None:
+    def __init__(
+        self, *, policy: object, dependencies: PolicyDependencies
+    ) -> None:
         self._policy = policy
-        self._parts = parts
+        self._dependencies = dependencies
         self._numbers = itertools.count(1)
-        self._own_load: dict[_ids.ReplicaId, int] = {}
-        self._reported: dict[_ids.ReplicaId, int] = {}
+        self._own_load_by_replica: dict[_ids.ReplicaId, int] = {}
+        self._reported_load_by_replica: dict[_ids.ReplicaId, int] = {}
 
-    def take_engine_report(
+    def record_engine_report(
         self, replica: _ids.ReplicaId, running: int
     ) -> None:
         """Note what an engine says of its load."""
-        self._reported[replica] = running
+        self._reported_load_by_replica[replica] = running
 
     def admit(
         self, request: _placement.PlacementRequest
@@ -158,33 +162,37 @@
         """Find a place; raises NoTarget."""
         usable = [
             replica
-            for replica in self._parts.targets.usable(request.group)
+            for replica in self._dependencies.targets.usable(request.group)
             if replica not in request.excluded
         ]
         if not usable:
             raise _no_usable_replica.no_usable_replica_error(
-                self._parts.targets, request, retry_after=_NO_TARGET_SECONDS
+                self._dependencies.targets,
+                request,
+                retry_after=_NO_TARGET_RETRY_SECONDS,
             )
-        view = _View(
+        view = _LocalView(
             request=request,
             usable=usable,
-            own_load=self._own_load,
-            reported=self._reported,
-            bound=self._parts.rules.bound_of(request.group),
+            own_load=self._own_load_by_replica,
+            reported=self._reported_load_by_replica,
+            bound=self._dependencies.rules.bound_of(request.group),
         )
         replica = choose(self._policy, view)
-        self._own_load[replica] = self._own_load.get(replica, 0) + 1
+        self._own_load_by_replica[replica] = (
+            self._own_load_by_replica.get(replica, 0) + 1
+        )
         return _placement.Placement(
-            target=self._parts.targets.target_by_replica[replica],
+            target=self._dependencies.targets.target_by_replica[replica],
             ask=_ids.AskNumber(next(self._numbers)),
             owner=None,
             request=request,
             home=False,
         )
 
-    def release(self, place: _placement.Placement) -> None:
+    def release(self, placement: _placement.Placement) -> None:
         """Give a place back; a second time does nothing."""
-        if place.released:
+        if placement.released:
             return
-        place.released = True
-        self._own_load[place.target.replica] -= 1
+        placement.released = True
+        self._own_load_by_replica[placement.target.replica] -= 1
--- a/src/topazlug/routing/_routing_assembly.py
+++ b/src/topazlug/routing/_routing_assembly.py
@@ -62,17 +62,17 @@
         self._settings = settings
         self._fleet = fleet
         self._clock = clock
-        self._ranked: tuple[Any, Any] = (None, None)
-        self._dropped: set[tuple[_ids.DaemonId, int]] = set()
+        self._last_inputs: tuple[Any, Any] = (None, None)
+        self._dropped_daemons: set[tuple[_ids.DaemonId, int]] = set()
         self._list_callbacks: list[ListCallback] = []
         self.rules = _rules.TableRules(
             configuration=fleet.configuration, routing=settings.routing
         )
-        self._build_owning()
+        self._build_ownership()
         self._build_watch()
         self._build_quotas()
 
-    def _build_owning(self) -> None:
+    def _build_ownership(self) -> None:
         settings = self._settings
         self.targets = _targets.TargetDirectory(
             clock=self._clock, flap_window=settings.membership.flap_window
@@ -96,7 +96,7 @@
             clock=self._clock,
             fleet_size=lambda: len(self._fleet.membership.usable()),
         )
-        self.duties = _owner_endpoint.OwnerEndpoint(
+        self.owner_endpoint = _owner_endpoint.OwnerEndpoint(
             daemon=self._fleet.daemon_id,
             owner=self.owner,
             held_placements=self.owners_admission.held_placements,
@@ -105,8 +105,8 @@
             routing=settings.routing,
             clock=self._clock,
         )
-        self.duties.register()
-        self.ownership.on_transfer(self.duties.on_transfer)
+        self.owner_endpoint.register()
+        self.ownership.on_transfer(self.owner_endpoint.on_transfer)
 
     def _build_watch(self) -> None:
         settings = self._settings
@@ -116,7 +116,7 @@
             take_word=self.targets.take_word,
         )
         self.watch = _target_watch.TargetWatch(
-            owned=self._watched,
+            owned=self._replicas_to_poll,
             targets=self.targets,
             connections=self.connections,
             signs=self._fleet.membership,
@@ -124,7 +124,7 @@
             interval=settings.routing.poll_interval,
             clock=self._clock,
         )
-        self.admission: _placement.Admission = _policies.admission_of(
+        self.admission: _placement.Admission = _policies.make_admission(
             settings.routing.policy, self
         )
 
@@ -148,7 +148,7 @@
     ) -> None:
         reply(self.quota_owner.lend(sender, ask))
 
-    def _watched(self) -> list[_ids.ReplicaId]:
+    def _replicas_to_poll(self) -> list[_ids.ReplicaId]:
         if self._settings.routing.policy is _policies.TWO_CHOICES:
             return list(self.targets.target_by_replica)
         return list(self.owner.ledger_by_replica)
@@ -156,8 +156,8 @@
     def _take_engine_report(
         self, replica: _ids.ReplicaId, running: int
     ) -> None:
-        self.owner.take_engine_report(replica, running)
-        report = getattr(self.admission, "take_engine_report", None)
+        self.owner.record_engine_report(replica, running)
+        report = getattr(self.admission, "record_engine_report", None)
         if report is not None:
             report(replica, running)
 
@@ -171,12 +171,12 @@
         self._fleet.membership.on_change(self._members_changed)
         self._fleet.membership.on_target_fact(self.targets.take_fact)
         self._fleet.membership.on_pause(self._paused)
-        self.targets.on_word(self._tell_leaving)
+        self.targets.on_word(self._publish_leaving)
         self.targets.on_word(self.owners_admission.report_backoff)
         self._fleet.configuration.on_change(self._configuration_changed)
         self.targets.on_change(self._update_ownership)
 
-    def _tell_leaving(
+    def _publish_leaving(
         self, target: _targets.Target, word: _target_word.TargetWord
     ) -> None:
         if not word.leaving:
@@ -190,8 +190,8 @@
     def tasks(self) -> list[Callable[[], None]]:
         """Give what runs for as long as the daemon does."""
         return [
-            self.duties.renew_forever,
-            self.duties.report_forever,
+            self.owner_endpoint.renew_forever,
+            self.owner_endpoint.report_forever,
             self.watch.run,
             self._renew_quotas,
             self._sweep_connections,
@@ -231,17 +231,17 @@
             for daemon, member in members.items()
             if member.state is messages.FactState.dead
         }
-        for daemon, _ in dead - self._dropped:
+        for daemon, _ in dead - self._dropped_daemons:
             self.owner.drop_daemon(daemon)
             self.quota_owner.drop_daemon(daemon)
             # Asks that wait in a frozen owner's queue would wait until
             # their deadline: its connection stays open.
             self._fleet.links.disconnect(daemon)
-        self._dropped = dead
-        self.quota_owner.forget(self._lends)
+        self._dropped_daemons = dead
+        self.quota_owner.forget(self._is_quota_owner)
         self._update_ownership()
 
-    def _lends(self, team: _ids.TeamName) -> bool:
+    def _is_quota_owner(self, team: _ids.TeamName) -> bool:
         owner = _quotas.owner_of(team, self._fleet.membership.usable())
         return owner == self._fleet.daemon_id
 
@@ -254,15 +254,15 @@
         """
         daemons = self._fleet.membership.usable()
         replicas = self.targets.target_by_replica
-        ranked = (daemons, replicas)
-        if all(new is old for new, old in zip(ranked, self._ranked)):
+        inputs = (daemons, replicas)
+        if all(new is old for new, old in zip(inputs, self._last_inputs)):
             return
-        self._ranked = ranked
+        self._last_inputs = inputs
         self.ownership.update(daemons=daemons, replicas=replicas)
 
     def _paused(self, seconds: float) -> None:
         _log.warning("this daemon was paused for {s:.1f} s", s=seconds)
-        self.owner.turn_careful()
+        self.owner.mark_counts_uncertain()
 
     def _configuration_changed(self) -> None:
         drains = self.rules.drains()
--- a/tests/topazlug/routing/test_admission.py
+++ b/tests/topazlug/routing/test_admission.py
@@ -62,14 +62,19 @@
 class TestAdmit:
     def test_all_daemons_find_the_same_home(self, fleet):
         for number in range(20):
-            places = [
+            placements = [
                 admit(entry, number) for entry in fleet.entry_by_name.values()
             ]
-            assert len({place.target.replica for place in places}) == 1
-            assert all(place.home for place in places)
+            assert (
+                len({placement.target.replica for placement in placements})
+                == 1
+            )
+            assert all(placement.home for placement in placements)
             assert fleet.owned_load() == 3
-            for entry, place in zip(fleet.entry_by_name.values(), places):
-                entry.admission.release(place)
+            for entry, placement in zip(
+                fleet.entry_by_name.values(), placements
+            ):
+                entry.admission.release(placement)
 
     def test_release_frees_once(self, fleet):
         entry = fleet.entry_by_name["d1"]
@@ -121,8 +126,8 @@
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
         fleet.silent.add("d2")
-        place = admit(entry, number)
-        assert place.owner != "d2"
+        placement = admit(entry, number)
+        assert placement.owner != "d2"
         assert fleet.clock.seconds == pytest.approx(0.1)
         fleet.clock.advance(0.05)
         admit(entry, number)
@@ -161,9 +166,9 @@
         )
         fleet.silent.update(NAMES[1:])
         entry = fleet.entry_by_name["d1"]
-        places = [admit(entry, 1) for _ in range(6)]
-        assert {place.owner for place in places} == {None}
-        held = [place.target.replica for place in places]
+        placements = [admit(entry, 1) for _ in range(6)]
+        assert {placement.owner for placement in placements} == {None}
+        held = [placement.target.replica for placement in placements]
         assert sorted(held) == ["r0"] * 3 + ["r1"] * 3
         with pytest.raises(_errors.Overloaded) as caught:
             admit(entry, 1)
@@ -196,8 +201,8 @@
         moved = admit(entry, 1)
         seat = moved.target.replica
         assert not moved.home
-        for place in (blocking, moved):
-            entry.admission.release(place)
+        for placement in (blocking, moved):
+            entry.admission.release(placement)
         again = admit(fleet.entry_by_name["d2"], 1)
         assert again.target.replica == seat
         assert not again.home
@@ -207,8 +212,8 @@
         fleet.clock.advance(5)
         entry = fleet.entry_by_name["d1"]
         blocking, moved = admit(entry, 1), admit(entry, 1)
-        for place in (blocking, moved):
-            entry.admission.release(place)
+        for placement in (blocking, moved):
+            entry.admission.release(placement)
         for other in fleet.entry_by_name.values():
             other.targets.take_fact(
                 messages.Fact(
@@ -235,8 +240,8 @@
         number = chat_owned_by(entry, "d2")
         home = admit(entry, number).target
         fleet.entry_by_name["d2"].targets.take_word(home, BACKOFF)
-        place = admit(entry, number)
-        assert (place.target, place.owner) == (home, "d2")
+        placement = admit(entry, number)
+        assert (placement.target, placement.owner) == (home, "d2")
 
     def test_mean_of_a_group_is_of_all_in_service(self, fleet):
         owner = fleet.entry_by_name["d2"]
@@ -314,10 +319,10 @@
         Cause: the place stays counted.
         """
         entry = fleet.entry_by_name["d1"]
-        place = admit(entry, chat_owned_by(entry, "d2"))
+        placement = admit(entry, chat_owned_by(entry, "d2"))
         entry.admission.held_placements.renew()
         fleet.lost.add(messages.Release)
-        entry.admission.release(place)
+        entry.admission.release(placement)
         assert fleet.owned_load() == 1
         entry.admission.held_placements.renew()
         fixtures.wait_until(lambda: fleet.owned_load() == 0)
@@ -331,9 +336,9 @@
         """
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
-        place = admit(entry, number)
+        placement = admit(entry, number)
         fleet.lost.add(messages.Release)
-        entry.admission.release(place)
+        entry.admission.release(placement)
         fleet.silent.add("d2")
         entry.admission.held_placements.renew()
         assert fleet.owned_load() == 1
@@ -376,11 +381,11 @@
         fleet = fleet_of_low_bound
         entry, owner = (fleet.entry_by_name[name] for name in ("d1", "d2"))
         number, home = chat_with_owners(entry, home="d2", second="d3")
-        owner.targets.take_fact(fixtures.dead(home))
+        owner.targets.take_fact(fixtures.dead_fact(home))
         idle = messages.LoadSummary(
             group=fixtures.POOL, total=0, replicas=6, interval=0.05
         )
-        fleet.entry_by_name["d3"].owner.take_summary(
+        fleet.entry_by_name["d3"].owner.apply_summary(
             idle, messages.LoadReport(group=fixtures.POOL, loads=[])
         )
         fleet.lost.add(messages.Release)
@@ -427,8 +432,10 @@
 
     @staticmethod
     def free(entry):
-        (place,) = entry.admission.held_placements.placement_by_ask.values()
-        entry.admission.release(place)
+        (placement,) = (
+            entry.admission.held_placements.placement_by_ask.values()
+        )
+        entry.admission.release(placement)
 
     def test_freed_slot_goes_to_the_first(self, entry):
         tasks = [self.wait(entry, number) for number in (1, 2)]
@@ -478,11 +485,13 @@
         """
         task = self.wait(entry, 1)
         fixtures.wait_until(lambda: self.queued(entry) == 1)
-        entry.owner.transfer(
+        entry.owner.apply_transfers(
             [_ownership.Transfer(_ids.ReplicaId("r0"), entry.daemon, None)]
         )
-        place = task.get(timeout=20)
-        assert place.ask in entry.admission.held_placements.placement_by_ask
+        placement = task.get(timeout=20)
+        assert (
+            placement.ask in entry.admission.held_placements.placement_by_ask
+        )
 
 
 class TestOverload:
--- a/tests/topazlug/routing/test_displaced_chats.py
+++ b/tests/topazlug/routing/test_displaced_chats.py
@@ -46,6 +46,6 @@
     def test_chats_go_with_their_home(self):
         chats = with_chats(2)
         chats.record(note(7, home="r1"))
-        assert chats.take_out({"r1"}) == {"r1": [note(7, home="r1")]}
+        assert chats.remove_by_home({"r1"}) == {"r1": [note(7, home="r1")]}
         assert len(chats) == 2
-        assert chats.take_out({"r1"}) == {}
+        assert chats.remove_by_home({"r1"}) == {}
--- a/tests/topazlug/routing/test_group_load.py
+++ b/tests/topazlug/routing/test_group_load.py
@@ -56,7 +56,7 @@
 class TestGroupView:
     @staticmethod
     def view(**changes):
-        made = _group_load.GroupView()
+        made = _group_load.GroupEstimate()
         fields = {"group": "pool", "total": 30, "replicas": 6, "interval": 0.1}
         summary = messages.LoadSummary(**{**fields, **changes})
         made.apply_summary(summary, own=10, now=100.0)
--- a/tests/topazlug/routing/test_ledger.py
+++ b/tests/topazlug/routing/test_ledger.py
@@ -27,7 +27,7 @@
     return _place_key.PlaceKey(daemon, ask)
 
 
-def held(weight=1, *, batch=False, team="acme"):
+def entry(weight=1, *, batch=False, team="acme"):
     return _ledger.LedgerEntry(weight=weight, team=team, batch=batch)
 
 
@@ -39,10 +39,10 @@
         ledger.enqueue(
             _ledger.QueuedRequest(
                 key=key(daemon, ask),
-                held=held(**options),
+                entry=entry(**options),
                 deadline=deadline,
                 grant=lambda: self.end("granted"),
-                refuse=lambda verdict: self.end(verdict.value),
+                reject=lambda verdict: self.end(verdict.value),
             ),
             team_weight=1.0,
         )
@@ -56,23 +56,23 @@
     def test_grants_while_there_is_room(self):
         ledger = make(slots=2)
         waiters = [Waiter(ledger, ask) for ask in range(3)]
-        ledger.pump(**NO_LIMIT)
+        ledger.grant_queued(**NO_LIMIT)
         assert [w.fate for w in waiters] == ["granted", "granted", None]
         ledger.release(key("d1", 0), now=100.0)
-        ledger.pump(**NO_LIMIT)
+        ledger.grant_queued(**NO_LIMIT)
         assert waiters[2].fate == "granted"
 
     def test_expired_ask_is_refused(self):
         ledger = make()
         late = Waiter(ledger, 1, deadline=99.0)
-        ledger.pump(**NO_LIMIT)
+        ledger.grant_queued(**NO_LIMIT)
         assert late.fate == "full"
         assert ledger.load == 0
 
     def test_bound_holds_the_queue_back(self):
         ledger = make()
         waiters = [Waiter(ledger, ask) for ask in range(3)]
-        ledger.pump(limit=2, now=100.0, mean=0.0)
+        ledger.grant_queued(limit=2, now=100.0, mean=0.0)
         assert [w.fate for w in waiters] == ["granted", "granted", None]
 
     def test_full_queue_evicts_the_longest_team(self):
@@ -92,9 +92,9 @@
         order = [Waiter(ledger, ask) for ask in range(20)]
         turns = 0
         while batch.fate is None:
-            ledger.pump(**NO_LIMIT)
+            ledger.grant_queued(**NO_LIMIT)
             turns += 1
-            for ask in list(ledger.held_by_key):
+            for ask in list(ledger.entry_by_key):
                 ledger.release(ask, now=100.0)
         assert turns == 8
         assert [w.fate for w in order].count("granted") == 7
@@ -104,14 +104,14 @@
         Waiter(ledger, 1, daemon="d1")
         other = Waiter(ledger, 1, daemon="d2")
         ledger.drop_daemon(_ids.DaemonId("d1"), now=1.0)
-        ledger.pump(**NO_LIMIT)
+        ledger.grant_queued(**NO_LIMIT)
         assert other.fate == "granted"
-        assert list(ledger.held_by_key) == [key("d2", 1)]
+        assert list(ledger.entry_by_key) == [key("d2", 1)]
 
     def test_all_are_sent_away_with_the_ownership(self):
         ledger = make()
         waiters = [Waiter(ledger, n, batch=n % 2 == 0) for n in range(4)]
-        ledger.refuse_all(messages.Verdict.not_owner)
+        ledger.reject_all(messages.Verdict.not_owner)
         assert {w.fate for w in waiters} == {"not_owner"}
 
 
@@ -143,7 +143,7 @@
         ledger, model = make(), {}
         for step in steps:
             getattr(self, step[0])(ledger, model, *step[1:])
-            assert dict(ledger.held_by_key) == model
+            assert dict(ledger.entry_by_key) == model
             assert ledger.load == sum(h.weight for h in model.values())
             batch = sum(h.weight for h in model.values() if h.batch)
             assert ledger.batch_load == batch
@@ -152,7 +152,7 @@
         assert (ledger.load, ledger.batch_load) == (0, 0)
 
     def hold(self, ledger, model, daemon, ask, weight):
-        place = held(weight, batch=ask % 2 == 0)
+        place = entry(weight, batch=ask % 2 == 0)
         ledger.hold(key(daemon, ask), place)
         model.setdefault(key(daemon, ask), place)
 
@@ -167,12 +167,12 @@
             )
             for ask in asks
         }
-        ledger.keep_only(_ids.DaemonId(daemon), places, set(), now=1.0)
+        ledger.reconcile(_ids.DaemonId(daemon), places, set(), now=1.0)
         for old in [k for k in model if k.daemon == daemon]:
             if old.ask not in asks:
                 del model[old]
         for ask in asks:
-            model.setdefault(key(daemon, ask), held())
+            model.setdefault(key(daemon, ask), entry())
 
     def drop(self, ledger, model, daemon):
         ledger.drop_daemon(_ids.DaemonId(daemon), now=1.0)
@@ -186,9 +186,9 @@
 
     def pump(self, ledger, model):
         before = dict(ledger.queued_by_key)
-        ledger.pump(**NO_LIMIT)
+        ledger.grant_queued(**NO_LIMIT)
         for waiting in before.keys() - ledger.queued_by_key.keys():
-            model[waiting] = before[waiting].held
+            model[waiting] = before[waiting].entry
 
 
 class TestExpectedWait:
@@ -200,7 +200,7 @@
         """
         ledger = make(slots=2)
         for at, ask in ((0.0, 1), (3600.0, 2)):
-            ledger.hold(key("d1", ask), held())
+            ledger.hold(key("d1", ask), entry())
             ledger.release(key("d1", ask), now=at)
         assert ledger.expected_wait(batch=False) == 0.0
 
@@ -226,15 +226,15 @@
         """
         ledger = make()
         for ask in range(6):
-            ledger.hold(key("d1", ask), held())
+            ledger.hold(key("d1", ask), entry())
             ledger.release(key("d1", ask), now=100.0)
-            ledger.take_report(1)
-        assert ledger.seen_load() == 0
+            ledger.add_engine_report(1)
+        assert ledger.observed_load() == 0
 
     def test_places_that_another_owner_granted_count(self):
         ledger = make()
         for ask in range(3):
-            ledger.hold(key("d1", ask), held())
+            ledger.hold(key("d1", ask), entry())
             ledger.release(key("d1", ask), now=100.0)
-            ledger.take_report(3)
-        assert ledger.seen_load() == 2
+            ledger.add_engine_report(3)
+        assert ledger.observed_load() == 2
--- a/tests/topazlug/routing/test_owner.py
+++ b/tests/topazlug/routing/test_owner.py
@@ -109,28 +109,28 @@
 
     def test_new_owner_goes_by_the_engines_report(self, asker, entry):
         asker.fill(1)
-        entry.owner.take_engine_report(R0, 10)
+        entry.owner.record_engine_report(R0, 10)
         assert asker.ask() is VERDICT.full
 
     def test_until_entries_have_renewed(self, asker, entry, clock):
         asker.fill(1)
-        entry.owner.take_engine_report(R0, 10)
+        entry.owner.record_engine_report(R0, 10)
         clock.advance(2.6)
         assert asker.ask() is VERDICT.granted
 
     def test_after_a_pause(self, asker, entry, clock):
         asker.fill(1)
         clock.advance(5)
-        entry.owner.take_engine_report(R0, 0)
-        entry.owner.turn_careful()
-        entry.owner.take_engine_report(R0, 10)
+        entry.owner.record_engine_report(R0, 0)
+        entry.owner.mark_counts_uncertain()
+        entry.owner.record_engine_report(R0, 10)
         assert asker.ask() is VERDICT.full
 
     def test_load_that_another_owner_admits(self, asker, entry, clock):
         asker.fill(1)
         clock.advance(5)
         for _ in range(3):
-            entry.owner.take_engine_report(R0, 10)
+            entry.owner.record_engine_report(R0, 10)
         assert asker.ask() is VERDICT.full
 
 
@@ -141,7 +141,7 @@
         )
         entry.owner.displaced.record(note)
         moved = _ownership.Transfer(R0, entry.daemon, PEER)
-        assert entry.owner.transfer([moved]) == {PEER: [note]}
+        assert entry.owner.apply_transfers([moved]) == {PEER: [note]}
         assert len(entry.owner.displaced) == 0
 
     def test_pool_without_slots_in_the_list_takes_the_rows(self, clock):
--- a/tests/topazlug/routing/test_policies.py
+++ b/tests/topazlug/routing/test_policies.py
@@ -33,7 +33,7 @@
             routing=settings.RoutingSettings(),
         ),
     )
-    return lambda name: _policies.admission_of(name, parts)
+    return lambda name: _policies.make_admission(name, parts)
 
 
 def replicas(admission, count, **changes):
@@ -58,7 +58,7 @@
     def test_two_choices_take_the_less_loaded(self, make):
         admission = make(POLICY.two_choices)
         for replica in ("r0", "r1", "r2"):
-            admission.take_engine_report(replica, 10)
+            admission.record_engine_report(replica, 10)
         rows = replicas(admission, 100)
         assert rows.count("r3") > 25
 
@@ -75,8 +75,8 @@
     @pytest.mark.parametrize("name", list(POLICY))
     def test_second_release_does_nothing(self, make, name):
         admission = make(name)
-        place = admission.admit(fixtures.placement_request())
+        placement = admission.admit(fixtures.placement_request())
         for _ in range(2):
-            admission.release(place)
+            admission.release(placement)
         if isinstance(admission, _policies.BaselineAdmission):
-            assert set(admission._own_load.values()) == {0}
+            assert set(admission._own_load_by_replica.values()) == {0}
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -50,7 +50,7 @@
 
 HOST = wire_fixtures.HOST
 KEY = wire_fixtures.KEY
-ME = _ids.DaemonId("d1")
+DAEMON = _ids.DaemonId("d1")
 POOL = _ids.GroupName("pool")
 SERVICE = _ids.GroupName("letters")
 CHAT_PATH = "/v1/chat/completions"
@@ -87,7 +87,7 @@
         gevent.sleep(min(seconds, 0.002))
 
 
-class Signs:
+class LeavingRecorder:
     """Keeps which targets said that they are leaving."""
 
     def __init__(self) -> None:
@@ -100,24 +100,24 @@
             self.replicas.append(target.replica)
 
 
-class Tickets:
+class FakeQuotas:
     """Grants every ticket and counts those that are out."""
 
     def __init__(self) -> None:
-        self.out = 0
+        self.outstanding = 0
 
     def take(self, team, *, deadline):
-        self.out += 1
+        self.outstanding += 1
         return _Ticket(self)
 
 
 class _Ticket:
-    def __init__(self, tickets: Tickets) -> None:
-        self._tickets = [tickets]
+    def __init__(self, quotas: FakeQuotas) -> None:
+        self._quotas = [quotas]
 
     def give_back(self) -> None:
-        while self._tickets:
-            self._tickets.pop().out -= 1
+        while self._quotas:
+            self._quotas.pop().outstanding -= 1
 
 
 class NoLinks:
@@ -172,7 +172,7 @@
     )
 
 
-def dead(replica: str) -> messages.Fact:
+def dead_fact(replica: str) -> messages.Fact:
     """Give the fact that a replica is dead."""
     return messages.Fact(
         kind=messages.FactKind.target,
@@ -228,7 +228,7 @@
             routing=routing,
             clock=clock,
         )
-        self.ownership.on_transfer(self.owner.transfer)
+        self.ownership.on_transfer(self.owner.apply_transfers)
         self.ownership.update(
             daemons=daemons, replicas=self.targets.target_by_replica
         )
@@ -255,12 +255,16 @@
         self.servers: list[Any] = []
         self.store = claim_fakes.FakeStore()
         self.budget = _retry_budget.RetryBudget(ratio=1.0)
-        self.leaving_targets = Signs()
+        self.leaving_targets = LeavingRecorder()
         self.retried: list[_placement.PlacementRequest] = []
-        self.quotas = Tickets()
+        self.quotas = FakeQuotas()
         self.clock = _clock.SystemClock()
         self.entry = Entry(
-            ME, targets=[], daemons=[ME], clock=self.clock, links=NoLinks()
+            DAEMON,
+            targets=[],
+            daemons=[DAEMON],
+            clock=self.clock,
+            links=NoLinks(),
         )
         self.limits = _settings_types.LimitSettings(**limits)
         self.entry.targets.on_word(self.leaving_targets.take_word)
@@ -270,7 +274,7 @@
             take_word=self.entry.targets.take_word,
         )
         self.guard = _crash_guard.CrashGuard(
-            daemon=ME,
+            daemon=DAEMON,
             runs=self.connections.runs,
             targets=self.entry.targets,
             clock=self.clock,
@@ -293,7 +297,9 @@
             clock=self.clock,
             count_retry=self.retried.append,
         )
-        metrics = _metrics.Metrics(_settings_types.MetricsSettings(), ME, "z1")
+        metrics = _metrics.Metrics(
+            _settings_types.MetricsSettings(), DAEMON, "z1"
+        )
         parts = _call_parts.CallParts(
             attempts=attempts,
             admission=admission,
@@ -324,7 +330,7 @@
         self.listed.append(target(replica, port=port, **changes))
         self.entry.targets.take_list(self.listed)
         self.entry.ownership.update(
-            daemons=[ME], replicas=self.entry.targets.target_by_replica
+            daemons=[DAEMON], replicas=self.entry.targets.target_by_replica
         )
 
     def engine(self, name: str, **changes: Any) -> _engine.Engine:
@@ -385,7 +391,7 @@
         wait_until(lambda: not self.app.in_progress, "all requests ended")
         wait_until(lambda: not self.held_load(), "all places given back")
         assert not self.entry.admission.held_placements.placement_by_ask
-        assert not self.quotas.out
+        assert not self.quotas.outstanding
 
     def connect(self) -> socket.socket:
         """Open a connection as a caller."""
