--- a/src/topazlug/placement/_owned_admission.py
+++ b/src/topazlug/placement/_owned_admission.py
@@ -147,7 +147,7 @@
         of at its caller: that costs no new connection and not the one
         repeat that most callers make.
         """
-        longest = request.context_wait * _WAIT_PART
+        longest = request.latency_objective * _WAIT_PART
         if _mechanisms.Mechanism.WAITING in self._without:
             longest = 0.0
         try:
@@ -174,7 +174,7 @@
         place that goes to who is late anyway is lost to one who is not.
         """
         seconds = max(_SOONEST_RETURN_SECONDS, full.seconds)
-        if seconds <= request.context_wait:
+        if seconds <= request.latency_objective:
             self._keep_place(asks, request, full.home, seconds)
         return _errors.Overloaded(
             f"no replica of {request.group} has room for rank {request.rank}",
@@ -250,7 +250,7 @@
             replica=replica,
             running=running,
             waiting=waiting,
-            slow=seconds > place.request.context_wait * _SLOW_PART,
+            slow=seconds > place.request.latency_objective * _SLOW_PART,
             read=place.request.chat if place.reads_context else 0,
         )
         place.reads_context = False
--- a/src/topazlug/placement/_owner_search.py
+++ b/src/topazlug/placement/_owner_search.py
@@ -164,7 +164,7 @@
         first. Who has waited for as long as it may goes ahead.
         """
         started = self._clock.monotonic()
-        longest = request.context_wait
+        longest = request.latency_objective
         if _mechanisms.Mechanism.CONTEXT_READS in self._without:
             longest = 0.0
         while True:
@@ -175,7 +175,8 @@
                 home=home,
                 may_wait=left > 0,
                 min_timeout=min(
-                    _LONGEST_WORD_SECONDS, request.context_wait * _WORD_PART
+                    _LONGEST_WORD_SECONDS,
+                    request.latency_objective * _WORD_PART,
                 ),
                 cold=self._alone.is_cold(replica),
             )
--- a/src/topazlug/routing/_placement.py
+++ b/src/topazlug/routing/_placement.py
@@ -40,7 +40,7 @@
         comes back with it.
     shared_tokens : int
         Tokens of the prompt that other requests share.
-    context_wait : float
+    latency_objective : float
         Seconds that it may wait while another request reads its context.
     """
 
@@ -56,7 +56,7 @@
     rank: int = -1
     prompt: int = 0
     shared_tokens: int = 0
-    context_wait: float = 0.0
+    latency_objective: float = 0.0
 
 
 @final
--- a/tests/topazlug/placement/test_owned_admission.py
+++ b/tests/topazlug/placement/test_owned_admission.py
@@ -186,7 +186,7 @@
         waited = []
         for objective in (0.1, 0.3, 5.0):
             before = fleet.clock.seconds
-            daemon.admit(chat, context_wait=objective)
+            daemon.admit(chat, latency_objective=objective)
             waited.append(fleet.clock.seconds - before)
             fleet.clock.advance(2.0)
         assert waited == pytest.approx([0.03, 0.045, 0.12])
@@ -335,7 +335,7 @@
         "chat": chat,
         "rank": rank,
         "prompt": chat,
-        "context_wait": 1.0,
+        "latency_objective": 1.0,
         "deadline": 1e9,
         **changes,
     }
@@ -452,7 +452,7 @@
 
     def test_nobody_waits_longer_than_it_may(self, fleet):
         chat = next(chats())
-        fields = ranked(chat, 0, shared_tokens=8000, context_wait=0.5)
+        fields = ranked(chat, 0, shared_tokens=8000, latency_objective=0.5)
         fleet.daemon_by_name["d0"].admit(**fields)
         before = fleet.clock.seconds
         fleet.daemon_by_name["d1"].admit(**fields)
