--- a/src/topazlug/routing/__init__.py
+++ b/src/topazlug/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Where a request goes: ranking, owners, admission, load."""
+"""Request routing: ranking, replica ownership, admission and load."""
--- a/src/topazlug/routing/_admission_control.py
+++ b/src/topazlug/routing/_admission_control.py
@@ -1,7 +1,7 @@
-"""The owner's decision on one ask: a place now, or why not and when.
+"""The owner's decision on an admission request: grant, queue or reject.
 
-Nothing in here yields, reads or waits on a connection: each ask is judged
-against an exact count.
+Nothing in this module yields or does I/O, so each request is decided against
+an exact count.
 """
 
 from typing import final
@@ -24,22 +24,22 @@
 
 @final
 class AdmissionControl:
-    """Judges asks against the ledgers of an owner's replicas.
+    """Decides admission requests from the ledgers of an owner's replicas.
 
     Parameters
     ----------
     group_limits : GroupLimits
-        Loads of groups.
+        Loads and limits of groups.
     replies : OwnerReplies
-        Answers asks.
+        Sends replies.
     queue : OwnerQueue
-        Takes those that may wait.
+        Queues the requests that may wait.
     targets : TargetDirectory
-        Which replicas there are, and which are cold.
+        Replicas, and which of them are cold.
     startup_limit : StartRoom
-        What holds while this owner has just started.
+        Load allowed on a replica just after this owner has started.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -66,18 +66,18 @@
         ledger: _ledger.ReplicaLedger,
         reply: _owner_replies.Reply,
     ) -> None:
-        """Grant an ask, let it wait, or turn it away.
+        """Grant, queue or reject an admission request.
 
         Parameters
         ----------
         sender : DaemonId
-            The entry daemon.
+            Entry daemon.
         ask : AdmitAsk
-            What it asks.
+            Admission request.
         ledger : ReplicaLedger
-            What the replica carries.
+            Ledger of the requested replica.
         reply : callable
-            Called once with the verdict, now or later.
+            Called once with the reply, now or later.
         """
         if self._reject_in_backoff(ledger, reply):
             return
@@ -87,21 +87,27 @@
     def _reject_in_backoff(
         self, ledger: _ledger.ReplicaLedger, reply: _owner_replies.Reply
     ) -> bool:
-        """Turn an ask away while its replica wants no request of anybody."""
-        left = ledger.backoff.left(now=self._clock.monotonic())
-        if left <= 0:
+        """Reject the request if its replica is in backoff for all daemons.
+
+        Returns
+        -------
+        bool
+            Whether it was rejected.
+        """
+        remaining = ledger.backoff.left(now=self._clock.monotonic())
+        if remaining <= 0:
             return False
         _log.info(
-            "no room at {replica}: it has asked daemons for a backoff",
+            "rejected at {replica}: in backoff for all daemons",
             replica=ledger.replica,
-            retry_after=round(left, 3),
+            retry_after=round(remaining, 3),
         )
         self._replies.send(
             reply,
             messages.Verdict.full,
             load=ledger.load,
-            retry_after=left,
-            backoff=left,
+            retry_after=remaining,
+            backoff=remaining,
         )
         return True
 
@@ -111,10 +117,15 @@
         ledger: _ledger.ReplicaLedger,
         reply: _owner_replies.Reply,
     ) -> bool:
-        """Turn an ask away while its replica has just started.
+        """Reject the request if its replica is cold and at its cold rate.
+
+        If all chats of a replica return in the first second after its
+        start, it crashes, and its chats move to the next replica.
 
-        A replica whose chats all return to it in its first second crashes,
-        and the next one gets them.
+        Returns
+        -------
+        bool
+            Whether it was rejected.
         """
         target = self._targets.target_by_replica[ledger.replica]
         if ask.cold and not self._targets.cold.is_cold(target):
@@ -126,7 +137,7 @@
             return False
         wait = ledger.cold_rate.wait(rate)
         _log.info(
-            "no room at {replica}: it has just started",
+            "rejected at {replica}: cold, at its tolerated rate",
             replica=ledger.replica,
             tolerated=rate,
             retry_after=round(wait, 3),
@@ -183,13 +194,13 @@
                 return
             if fit is _ledger.Fit.FULL:
                 fit = _ledger.Fit.FREE
-        has_queued = ledger.has_queued_ahead(batch=ask.batch)
-        if fit is _ledger.Fit.FREE and not has_queued:
+        is_queued_ahead = ledger.has_queued_ahead(batch=ask.batch)
+        if fit is _ledger.Fit.FREE and not is_queued_ahead:
             self._grant(ledger, key, entry, ask, reply)
             return
         if ask.wait <= 0:
             _log.info(
-                "no room at {replica} for {daemon}: load {load}, "
+                "rejected at {replica} for {daemon}: load {load}, "
                 "limit {limit}",
                 replica=ledger.replica,
                 daemon=sender,
@@ -206,7 +217,7 @@
             is_cold = self._tolerated_rate(ledger) is not None
             self._replies.send(reply, verdict, load=ledger.load, cold=is_cold)
             return
-        # What waits for the bound does not wait for a release: the bound
+        # A request over the bound need not wait for a release: the bound
         # rises with the group's load.
         is_full = fit is _ledger.Fit.FULL
         expected = ledger.expected_wait(batch=entry.batch)
@@ -224,9 +235,9 @@
         ledger.rank_limits.note_asked(ask.rank, now=now)
         load = ledger.observed_load()
         is_due = ledger.reservations.is_due(ask.request, now=now)
-        kept = ledger.reservations.kept(ask.rank, now=now, is_due=is_due)
+        reserved = ledger.reservations.kept(ask.rank, now=now, is_due=is_due)
         return ledger.rank_limits.has_room(
-            ask.rank, load=load, promised=kept, is_due=is_due, now=now
+            ask.rank, load=load, promised=reserved, is_due=is_due, now=now
         )
 
     def _reject(
@@ -235,27 +246,27 @@
         ask: messages.AdmitAsk,
         reply: _owner_replies.Reply,
     ) -> None:
-        after = ledger.reservations.after(
+        retry_after = ledger.reservations.after(
             ask.rank,
             interval=ledger.release_interval,
             longest=ask.longest,
             now=self._clock.monotonic(),
         )
         _log.info(
-            "no room at {replica} for rank {rank}: load {load}, "
+            "rejected at {replica} for rank {rank}: load {load}, "
             "limit {limit}",
             replica=ledger.replica,
             rank=ask.rank,
             load=ledger.load,
             limit=ledger.rank_limits.limit,
             home=ask.home,
-            retry_after=round(after, 3),
+            retry_after=round(retry_after, 3),
         )
         self._replies.send(
             reply,
             messages.Verdict.full,
             load=ledger.load,
-            retry_after=after,
+            retry_after=retry_after,
         )
 
     def _grant(
@@ -266,7 +277,7 @@
         ask: messages.AdmitAsk,
         reply: _owner_replies.Reply,
     ) -> None:
-        """Count a place, unless its context is being read there just now."""
+        """Grant the request, unless its context is being read there."""
         now = self._clock.monotonic()
         turn = _context_reads.Turn.KNOWN
         if ask.shared >= _context_reads.LEAST_SHARED_TOKENS:
@@ -298,14 +309,15 @@
         entry: _ledger.LedgerEntry,
         fit: _ledger.Fit,
     ) -> _ledger.Fit:
-        """Let a chat back in whose last turn is still counted.
+        """Return FREE if the only slot over the bound is the chat's own.
 
-        A chat that returns at once through another daemon overtakes the
-        release of its last turn. At low load that turn alone fills the
-        bound; the chat would be sent away from its own context. Its old
-        place is about to go, so it takes that one's room. That holds at
-        its home, at a displaced chat's seat, and at the next of its rank
-        while its home comes and goes.
+        If a chat's next turn arrives through another daemon, it can overtake
+        the release of the previous turn. At low load, that turn alone
+        reaches the bound, and the chat would be moved away from its context.
+        The previous turn has ended, so the new one may take its slot. This
+        applies at the home, at the replica that a chat was displaced to, and
+        at the next replica of its ranking while the home is intermittently
+        down.
         """
         if ledger.load < ledger.slots and ledger.holds_chat_once(entry.chat):
             return _ledger.Fit.FREE
--- a/src/topazlug/routing/_displaced_chats.py
+++ b/src/topazlug/routing/_displaced_chats.py
@@ -1,8 +1,9 @@
-"""Chats that were sent elsewhere than their home.
+"""Chats whose context is on another replica than their home.
 
-The home's owner remembers only these, least recently used first out, so a
-returning chat is sent to where its context is and not to its hash. Chats at
-home need no memory at all.
+A chat's home is the first replica in its ranking. The home's owner stores an
+entry for each chat that was placed elsewhere, so that the next turn goes to
+the replica that holds the context. The entries are bounded; the least recently
+used is evicted. Chats at their home need no entry.
 """
 
 import collections
@@ -24,12 +25,12 @@
 
 @final
 class DisplacedChats:
-    """Where displaced chats went.
+    """Replicas of displaced chats, by chat.
 
     Parameters
     ----------
     capacity : int
-        Chats remembered, over all replicas owned.
+        Maximum number of chats, over all replicas owned.
     """
 
     def __init__(self, *, capacity: int) -> None:
@@ -46,11 +47,12 @@
     def find(
         self, chat: _ids.ChatHash, *, home: _ids.ReplicaId
     ) -> _ids.ReplicaId | None:
-        """Give the replica that a chat was sent to from its home.
+        """Return the replica that a chat was displaced to from its home.
 
-        While its home is dead the next of its rank stands for it. If that
-        has the same owner, the seat of the one before must not count: the
-        chat would be sent away from a replica that is well.
+        An entry counts only for the home it was recorded for. While that
+        home is dead, the next replica in the chat's ranking is its home. If
+        both have the same owner, using the old entry would move the chat
+        away from a healthy replica.
         """
         displacement = self._displacement_by_chat.get(chat)
         if displacement is None or displacement.home != home:
@@ -59,7 +61,7 @@
         return displacement.replica
 
     def record(self, entry: messages.Displaced) -> None:
-        """Remember, or forget when the entry names no replica."""
+        """Store an entry, or remove it if it names no replica."""
         chat = _ids.ChatHash(entry.chat)
         if not entry.replica:
             self._displacement_by_chat.pop(chat, None)
@@ -76,7 +78,10 @@
     def remove_restarted(
         self, target_by_replica: Mapping[_ids.ReplicaId, _targets.Target]
     ) -> None:
-        """Forget the seats on replicas that started again."""
+        """Remove the chats displaced to replicas that have restarted.
+
+        A restarted replica no longer holds their context.
+        """
         previous = self._incarnation_by_replica
         self._incarnation_by_replica = {
             replica: target.incarnation
@@ -94,12 +99,12 @@
     def remove_by_home(
         self, homes: set[_ids.ReplicaId]
     ) -> dict[_ids.ReplicaId, list[messages.Displaced]]:
-        """Remove the chats of homes that now have another owner.
+        """Remove and return the chats of homes that have a new owner.
 
         Returns
         -------
         dict
-            Entries by home, to be handed over.
+            Entries by home, to be sent to the new owner.
         """
         entries: dict[_ids.ReplicaId, list[messages.Displaced]] = {}
         for chat, displacement in list(self._displacement_by_chat.items()):
--- a/src/topazlug/routing/_ledger.py
+++ b/src/topazlug/routing/_ledger.py
@@ -1,8 +1,8 @@
-"""What one replica carries, as its owner counts it.
+"""The load of one replica, counted by its owner.
 
-A place is one request that was let in and has not ended. The owner's count
-is exact while all entry daemons ask the same owner; it is soft state that
-entry daemons renew, so nothing of it has to last.
+The ledger has an entry for each request that was admitted and has not ended.
+The count is exact while all entry daemons use the same owner. It is soft state
+that entry daemons renew, so it need not be stored.
 """
 
 import collections
@@ -24,14 +24,15 @@
 from topazlug.limits import _fair_queue
 
 _INTERVAL_SMOOTHING = 0.1
+# One in this many queued requests granted is batch work.
 _BATCH_TURN_INTERVAL = 8
 _REPORTS_KEPT = 3
-# Work that is not held to a limit by rank.
+# Rank of work that is not subject to limits by rank.
 UNRANKED = -1
 
 
 class LedgerEntry(msgspec.Struct, gc=False):
-    """One place in use."""
+    """Slots held by one admitted request."""
 
     weight: int
     team: _ids.TeamName
@@ -41,7 +42,7 @@
 
 
 class QueuedRequest(msgspec.Struct):
-    """One ask in the queue."""
+    """One admission request in the queue."""
 
     key: _place_key.PlaceKey
     entry: LedgerEntry
@@ -51,7 +52,7 @@
 
 
 class Fit(enum.Enum):
-    """What a ledger says to one more place."""
+    """Whether one more request fits on a replica."""
 
     FREE = enum.auto()
     OVER_BOUND = enum.auto()
@@ -60,7 +61,7 @@
 
 @final
 class ReplicaLedger:
-    """Places of one replica.
+    """Admitted and queued requests of one replica.
 
     Parameters
     ----------
@@ -69,13 +70,26 @@
     group : GroupName
         Its pool or service.
     slots : int
-        Load units that the replica runs at once.
+        Load units that the replica can run concurrently.
     batch_slots : int
-        How many of them batch work may take.
+        Slots that batch work may use.
     queue_capacity : int
-        Asks that may wait, for each request class.
+        Maximum number of queued requests, for each request class.
     incarnation : int
-        The start of the replica that this is of.
+        Incarnation of the replica's process.
+
+    Attributes
+    ----------
+    load : int
+        Load units held by admitted requests.
+    batch_load : int
+        Load units of these that batch work holds.
+    uncertain_until : float
+        Monotonic time until which the count may be too low.
+    entry_by_key : dict
+        Admitted requests.
+    queued_by_key : dict
+        Queued requests.
     """
 
     def __init__(
@@ -124,16 +138,16 @@
     def check_capacity(
         self, *, weight: int, batch: bool, limit: int, now: float, mean: float
     ) -> Fit:
-        """Say whether one more place fits.
+        """Return whether one more request fits.
 
         Parameters
         ----------
         weight : int
-            Load units of the place.
+            Load units of the request.
         batch : bool
             Whether it is batch work.
         limit : int
-            Load that the bound allows on this replica.
+            Maximum load that the group's bound allows on this replica.
         now : float
             Monotonic seconds.
         mean : float
@@ -141,8 +155,8 @@
 
         Returns
         -------
-        Judgement
-            Free, over the bound, or without a free slot.
+        Fit
+            FREE, OVER_BOUND, or FULL if no slot is free.
         """
         load = self.effective_load(now=now, mean=mean)
         if load + weight > self.slots and self.load:
@@ -154,56 +168,57 @@
         return Fit.FREE
 
     def effective_load(self, *, now: float, mean: float) -> int:
-        """Give the load to reckon with, in load units.
+        """Return the load to decide admission by, in load units.
 
-        A new owner, or one that was paused, does not know yet what entry
-        daemons hold: its count is too low and it would admit over the
-        bound. Until they had time to renew, the engine's own report counts
-        when it is higher, and the group's mean when there is no report.
+        The count of a new owner, or of one that was paused, lacks what entry
+        daemons hold and have not renewed yet, so it would admit over the
+        bound. Until they have had time to renew, the engine's last report is
+        used if it is higher, and the group's mean if there is no report.
         """
         if now < self.uncertain_until:
-            guess = self._reports[-1] if self._reports else math.ceil(mean)
-            return max(self.load, guess)
+            estimate = self._reports[-1] if self._reports else math.ceil(mean)
+            return max(self.load, estimate)
         return self.observed_load()
 
     def observed_load(self) -> int:
-        """Give the load, with what another owner admits here counted in."""
+        """Return the load including what other owners have admitted."""
         return self.load + self._load_of_other_owners()
 
     def demand(self) -> int:
-        """Give the load with what waits counted in.
+        """Return the load including queued requests.
 
-        The group's mean is taken over this. In a burst onto an idle group
-        all asks are over a bound taken from what runs, and it would rise by
-        one place a report; what waits is about to run somewhere.
+        The group's mean is computed from it. If the mean counted running
+        requests only, all requests of a burst on an idle group would be over
+        the bound, which would rise by one slot per load report. Queued
+        requests will soon run on some replica.
         """
         return self.observed_load() + len(self.queued_by_key)
 
     def _load_of_other_owners(self) -> int:
-        """Load that the engine keeps reporting beyond what is counted.
+        """Return the load in the engine's reports that is not counted here.
 
-        While daemons disagree on the owner, another one admits too. Reports
-        lag: places that they count may have been given back when they are
-        taken. So only what every recent report shows beyond all that was
-        held since the report before it is taken for real.
+        While daemons disagree on the owner, another one admits requests too.
+        Reports lag: requests in them may have been released when the report
+        is recorded. So only the amount by which the lowest recent report
+        exceeds the highest load counted over the same period is returned.
         """
         if len(self._reports) < _REPORTS_KEPT:
             return 0
         return max(0, min(self._reports) - max(self._peak_loads))
 
     def add_engine_report(self, running: int) -> None:
-        """Note the engine's own lagging figure."""
+        """Record the engine's own count of running requests, which lags."""
         self._reports.append(running)
         self._peak_loads.append(self._peak_load)
         self._peak_load = self.load
 
     def clear_reports(self) -> None:
-        """Drop figures that say nothing of now."""
+        """Remove reports that are out of date after a pause."""
         self._reports.clear()
         self._peak_loads.clear()
 
     def hold(self, key: _place_key.PlaceKey, entry: LedgerEntry) -> None:
-        """Count a place; a repeated one is counted once."""
+        """Count a request; does nothing if its key is counted already."""
         if key in self.entry_by_key:
             return
         self.entry_by_key[key] = entry
@@ -214,29 +229,29 @@
             self.batch_load += entry.weight
 
     def admit(self, key: _place_key.PlaceKey, entry: LedgerEntry) -> None:
-        """Count a place that an ask gets now."""
+        """Count a request that is granted now."""
         self.hold(key, entry)
         self.backoff.note_let_in()
 
     def holds_chat_once(self, chat: _ids.ChatHash) -> bool:
-        """Say whether exactly one place is this chat's.
+        """Return whether exactly one admitted request is this chat's.
 
-        Only one is overlooked: a caller that sends many turns of one chat
-        at once must not get past the bound with them.
+        Only one is exempt from the bound, so that a caller can't exceed the
+        bound with many concurrent turns of one chat.
         """
         return self.placement_count(chat) == 1
 
     def placement_count(self, chat: _ids.ChatHash) -> int:
-        """Give how many places are a chat's."""
+        """Return the number of a chat's admitted requests."""
         return sum(entry.chat == chat for entry in self.entry_by_key.values())
 
     def release(self, key: _place_key.PlaceKey, *, now: float) -> bool:
-        """Free a place, or take its ask out of the queue.
+        """Release an admitted request, or remove a queued one.
 
         Returns
         -------
         bool
-            Whether a place was freed.
+            Whether slots were released.
         """
         queued = self.queued_by_key.pop(key, None)
         if queued is not None:
@@ -253,10 +268,10 @@
         return True
 
     def _note_release(self, now: float) -> None:
-        """Keep a smoothed time between two releases.
+        """Update the moving average of the time between two releases.
 
-        An idle spell is left out: counted, it would make the first call
-        after it look as if it had to wait for minutes.
+        Idle periods are excluded. Otherwise the expected wait of the first
+        request after one would be minutes.
         """
         if self._last_release is not None:
             gap = now - self._last_release
@@ -266,33 +281,33 @@
 
     @property
     def release_interval(self) -> float:
-        """Give the smoothed seconds between two releases, 0 unknown."""
+        """Return the average seconds between releases, 0 if unknown."""
         return self._release_interval
 
     def remove_queued(self, queued: QueuedRequest) -> bool:
-        """Take an ask out of the queue, if it still waits there."""
+        """Remove a request from the queue; return whether it was queued."""
         if self.queued_by_key.get(queued.key) is not queued:
             return False
         del self.queued_by_key[queued.key]
         return self._queue_of(queued).remove(queued)
 
     def expected_wait(self, *, batch: bool) -> float:
-        """Give the seconds that an ask queued now would wait."""
+        """Return the seconds that a request queued now would wait."""
         ahead = len(self._interactive)
         if batch:
             ahead += len(self._batch)
         return (ahead + 1) * self._release_interval
 
     def has_queued_ahead(self, *, batch: bool) -> bool:
-        """Say whether a queued ask has a better claim to a free slot.
+        """Return whether a queued request precedes a new one.
 
-        Interactive work does not stand behind queued batch work: that may
-        wait only because of the reserve, with slots free.
+        Interactive work does not wait behind queued batch work, which may be
+        queued only because of the reserve while slots are free.
         """
         return bool(len(self._interactive) or (batch and len(self._batch)))
 
     def enqueue(self, queued: QueuedRequest, *, team_weight: float) -> None:
-        """Let an ask wait for its turn; the one that gives way is refused."""
+        """Add a request to its queue; reject the one that is evicted."""
         self.queued_by_key[queued.key] = queued
         evicted = self._queue_of(queued).push(
             queued, team=queued.entry.team, weight=team_weight
@@ -303,7 +318,7 @@
         evicted.reject(messages.Verdict.full)
 
     def grant_queued(self, *, limit: int, now: float, mean: float) -> None:
-        """Grant queued asks while there is room."""
+        """Grant queued requests while they fit."""
         while self.queued_by_key:
             queue = self._next_queue(limit=limit, now=now, mean=mean)
             if queue is None:
@@ -321,11 +336,11 @@
     def _next_queue(
         self, *, limit: int, now: float, mean: float
     ) -> _fair_queue.FairQueue[QueuedRequest] | None:
-        """Choose the class whose turn it is.
+        """Return the queue to grant from next, None if nothing fits.
 
-        Interactive work goes first, but every eighth turn is batch work's:
-        under steady interactive overload an audit would otherwise never
-        run, which its caller would notice as silence.
+        Interactive work precedes batch work, but every eighth grant goes to
+        batch work. Otherwise it would never run under steady interactive
+        overload, and its callers would get no response.
         """
         batch_fits = self._fits(batch=True, limit=limit, now=now, mean=mean)
         batch_waits = len(self._batch) > 0 and batch_fits
@@ -343,10 +358,10 @@
     def _fits(
         self, *, batch: bool, limit: int, now: float, mean: float
     ) -> bool:
-        verdict = self.check_capacity(
+        fit = self.check_capacity(
             weight=1, batch=batch, limit=limit, now=now, mean=mean
         )
-        return verdict is Fit.FREE
+        return fit is Fit.FREE
 
     def _queue_of(
         self, queued: QueuedRequest
@@ -354,7 +369,7 @@
         return self._batch if queued.entry.batch else self._interactive
 
     def reject_all(self, verdict: messages.Verdict) -> None:
-        """Send everybody in the queue away, to look for another place."""
+        """Reject all queued requests, to be placed on other replicas."""
         for queue in (self._interactive, self._batch):
             for queued in queue.drain():
                 queued.reject(verdict)
@@ -363,16 +378,16 @@
     def reconcile(
         self,
         daemon: _ids.DaemonId,
-        entry: dict[_ids.AskNumber, messages.HeldPlace],
+        held_by_ask: dict[_ids.AskNumber, messages.HeldPlace],
         pending: set[_ids.AskNumber],
         *,
         now: float,
     ) -> None:
-        """Make the places of one entry daemon what it says they are."""
+        """Replace the entries of one entry daemon by its full list."""
         for key in [k for k in self.entry_by_key if k.daemon == daemon]:
-            if key.ask not in entry and key.ask not in pending:
+            if key.ask not in held_by_ask and key.ask not in pending:
                 self.release(key, now=now)
-        for ask, placement in entry.items():
+        for ask, placement in held_by_ask.items():
             self.hold(
                 _place_key.PlaceKey(daemon, ask),
                 LedgerEntry(
@@ -384,7 +399,7 @@
             )
 
     def drop_daemon(self, daemon: _ids.DaemonId, *, now: float) -> None:
-        """Free all that a dead daemon held."""
+        """Release all admitted and queued requests of a dead daemon."""
         self.reconcile(daemon, {}, set(), now=now)
         for key in [k for k in self.queued_by_key if k.daemon == daemon]:
             self.release(key, now=now)
--- a/src/topazlug/routing/_no_usable_replica.py
+++ b/src/topazlug/routing/_no_usable_replica.py
@@ -1,4 +1,4 @@
-"""What to tell a request whose group has no replica that may get it."""
+"""The error for a request whose group has no usable replica."""
 
 from topazlug import _errors
 from topazlug.routing import _placement
@@ -11,24 +11,24 @@
     *,
     retry_after: float,
 ) -> _errors.RequestError:
-    """Give the error for a request that no replica may get now.
+    """Return the error for a request that no replica can receive now.
 
     Parameters
     ----------
     targets : TargetDirectory
         Replicas.
     request : PlacementRequest
-        What has no place.
+        The request.
     retry_after : float
-        Seconds after which a repeat makes sense, where nobody says when a
-        replica takes work again.
+        Suggested retry delay in seconds, used if no replica has announced
+        when its backoff ends.
 
     Returns
     -------
     Overloaded
-        There are replicas, and all have asked for a backoff.
+        The group has replicas, and all of them are in backoff.
     NoTarget
-        There are none.
+        The group has none.
     """
     wait = targets.seconds_until_usable(request.group, request.excluded)
     if not wait:
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -1,7 +1,7 @@
-"""The owner's role: count and admit what its replicas carry.
+"""The owner role: counts the load of owned replicas and admits requests.
 
-One greenlet for each peer's stream calls in here; nothing in here yields, so
-each ask is judged against an exact count.
+One greenlet per peer connection calls into this module. Nothing in it yields,
+so each admission request is decided against an exact count.
 """
 
 from collections.abc import Iterable
@@ -28,49 +28,61 @@
 
 _log = _logs.logger("owner")
 
+# Time that entry daemons have to renew their placements with a new owner.
 UNCERTAIN_SECONDS = 2.5
 
 
 class GroupRules(Protocol):
-    """What the table says of a group and a team."""
+    """Settings of groups and teams from the table."""
 
     def bound_of(self, group: _ids.GroupName) -> float:
-        """Give the multiple of the mean that no replica may pass."""
+        """Return the maximum load of a replica as a multiple of the mean."""
 
     def allowance_of(self, group: _ids.GroupName) -> int:
-        """Give the load units that a replica may hold beyond it."""
+        """Return the load units allowed on top of that multiple."""
 
     def slots_of(self, group: _ids.GroupName) -> int:
-        """Give the load units that one replica runs at once."""
+        """Return the slots of one replica."""
 
     def batch_reserve_of(self, group: _ids.GroupName) -> float:
-        """Give the part of the slots that batch work may not take."""
+        """Return the fraction of the slots reserved from batch work."""
 
     def weight_of(self, team: _ids.TeamName) -> float:
-        """Give a team's weight."""
+        """Return a team's weight in the fair queue."""
 
 
 @final
 class Owner:
-    """Ledgers of the replicas that this daemon owns.
+    """Load counts and admission of the replicas that this daemon owns.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     ownership : Ownership
-        Who owns what.
+        Owners of all replicas.
     targets : TargetDirectory
-        Which replicas may get new work.
+        Replicas and their health.
     rules : GroupRules
-        Weights and bounds.
+        Bounds of groups and weights of teams.
     routing : RoutingSettings
-        Settings.
+        Queue and displacement capacities.
     clock : Clock
-        Time.
+        Source of time.
     startup_fraction : float
-        Part of a replica's slots that is let in whatever the mean is, just
-        after this daemon has started.
+        Fraction of a replica's slots that is admitted regardless of the
+        mean load just after this daemon has started.
+
+    Attributes
+    ----------
+    ledger_by_replica : dict
+        Ledgers of the owned replicas.
+    group_limits : GroupLimits
+        Loads and limits of the groups that they belong to.
+    displaced : DisplacedChats
+        Chats displaced from the owned replicas.
+    count_by_verdict : dict
+        Number of replies sent, by verdict.
     """
 
     def __init__(
@@ -129,16 +141,16 @@
         ask: messages.AdmitAsk,
         reply: _owner_replies.Reply,
     ) -> None:
-        """Judge one ask; a queued one is answered when its turn comes.
+        """Reply to an admission request, at once or from the queue.
 
         Parameters
         ----------
         sender : DaemonId
-            The entry daemon.
+            Entry daemon.
         ask : AdmitAsk
-            What it asks.
+            Admission request.
         reply : callable
-            Called once with the verdict, now or later.
+            Called once with the reply, now or later.
         """
         self._last_received_at[sender] = self._clock.monotonic()
         replica = _ids.ReplicaId(ask.replica)
@@ -169,7 +181,7 @@
         return True
 
     def record_unreached(self, note: messages.Unreached) -> None:
-        """Note that a replica took no connection from a daemon."""
+        """Treat a replica as cold after a failed connection to it."""
         target = self._targets.target_by_replica.get(
             _ids.ReplicaId(note.replica)
         )
@@ -179,7 +191,7 @@
     def record_backoff(
         self, sender: _ids.DaemonId, note: messages.Backoff
     ) -> None:
-        """Note that a replica asked a daemon for a backoff."""
+        """Record that a replica requested a backoff from a daemon."""
         ledger = self.ledger_by_replica.get(_ids.ReplicaId(note.replica))
         if ledger is not None and ledger.incarnation == note.incarnation:
             ledger.backoff.note(
@@ -187,7 +199,7 @@
             )
 
     def record_rejection(self, note: messages.TurnedAway) -> None:
-        """Note that a request found no place anywhere and may come back."""
+        """Reserve a slot for a rejected request that may be sent again."""
         ledger = self.ledger_by_replica.get(_ids.ReplicaId(note.replica))
         if ledger is not None and note.request:
             ledger.reservations.note(
@@ -198,7 +210,7 @@
             )
 
     def record_response_head(self, head: messages.EngineWord) -> None:
-        """Note what the head of an answer told of a replica owned here."""
+        """Apply the load that a replica reported in a response head."""
         ledger = self.ledger_by_replica.get(_ids.ReplicaId(head.replica))
         if ledger is None:
             return
@@ -210,7 +222,7 @@
             ledger.context_reads.note_read(_ids.ChatHash(head.read), now=now)
 
     def release(self, sender: _ids.DaemonId, asks: Iterable[int]) -> None:
-        """Free places of an entry daemon, on whichever ledger they are."""
+        """Release placements and queued requests of an entry daemon."""
         now = self._clock.monotonic()
         for ask in asks:
             key = _place_key.PlaceKey(sender, _ids.AskNumber(ask))
@@ -229,11 +241,11 @@
         return None
 
     def renew(self, sender: _ids.DaemonId, renew: messages.Renew) -> None:
-        """Make the counts of one entry daemon what it says they are.
+        """Replace the counts of one entry daemon by its full list.
 
-        A release that was lost with its stream would leave a place counted
-        for ever; the replica would look fuller than it is and, in the end,
-        refuse all. The full list heals that.
+        Without renewals, a release that is lost with its connection would
+        leave the placement counted forever. The counted load would stay too
+        high, until the replica rejects all requests.
         """
         now = self._clock.monotonic()
         self._last_received_at[sender] = now
@@ -253,7 +265,7 @@
             self._queue.grant_queued(ledger)
 
     def refresh_slots(self) -> None:
-        """Take over what the table and the list now say of slots."""
+        """Update the slots from the table and the list of replicas."""
         for replica, ledger in self.ledger_by_replica.items():
             target = self._targets.target_by_replica.get(replica)
             if target is None:
@@ -262,7 +274,7 @@
             self._queue.grant_queued(ledger)
 
     def _slots_of(self, target: _targets.Target) -> tuple[int, int]:
-        """Give a replica's slots, and how many batch work may take."""
+        """Return a replica's slots, and how many batch work may use."""
         slots = self._rules.slots_of(target.group)
         if target.slots:
             slots = min(slots, target.slots)
@@ -270,16 +282,17 @@
         return slots, max(1, math.floor(slots * (1 - reserve)))
 
     def drop_unresponsive(self, *, max_silence: float) -> None:
-        """Free what daemons held that have not been heard of for long.
+        """Release the placements of daemons that have stopped renewing.
 
-        A daemon that lost power gives nothing back, and where nobody says
-        that it is gone its places would count until it comes back. They
-        raise the mean, and with it what every replica may hold.
+        A daemon that lost power releases nothing. Unless membership reports
+        it dead, its placements would count until it returns, and raise the
+        mean load and with it the limit of every replica.
 
         Parameters
         ----------
         max_silence : float
-            Seconds; longer than daemons take between two renewals.
+            Seconds since the last message; must exceed the interval between
+            two renewals.
         """
         now = self._clock.monotonic()
         for daemon, received_at in list(self._last_received_at.items()):
@@ -287,14 +300,15 @@
                 continue
             del self._last_received_at[daemon]
             _log.info(
-                "no word of {daemon} for {seconds:.1f} s: its places are free",
+                "released placements of {daemon}: no message for "
+                "{seconds:.1f} s",
                 daemon=daemon,
                 seconds=now - received_at,
             )
             self.drop_daemon(daemon)
 
     def drop_daemon(self, daemon: _ids.DaemonId) -> None:
-        """Free all that a dead daemon held."""
+        """Release all placements and queued requests of a dead daemon."""
         now = self._clock.monotonic()
         for ledger in self.ledger_by_replica.values():
             ledger.drop_daemon(daemon, now=now)
@@ -303,12 +317,12 @@
     def apply_transfers(
         self, transfers: list[_ownership.Transfer]
     ) -> Mapping[_ids.DaemonId, list[messages.Displaced]]:
-        """Take up gained replicas and lay down lost ones.
+        """Open ledgers of gained replicas and close those of lost ones.
 
         Returns
         -------
         mapping
-            Displaced chats to hand over, by their new owner.
+            Displaced chats to send, by new owner.
         """
         lost: dict[_ids.ReplicaId, _ids.DaemonId | None] = {}
         for change in transfers:
@@ -328,11 +342,12 @@
         return handover
 
     def reset_restarted_replicas(self) -> None:
-        """Begin anew with replicas that started again under their id.
+        """Open new ledgers for replicas that restarted under the same id.
 
-        The new start runs nothing of what is counted and holds no context.
-        Kept, the old count would keep calls away from an idle replica, and
-        displaced chats would return to where their context no longer is.
+        The new process runs none of the counted requests and holds no
+        context. The old count would keep requests away from an idle
+        replica, and displaced chats would return to a replica that has lost
+        their context.
         """
         for replica, ledger in list(self.ledger_by_replica.items()):
             target = self._targets.target_by_replica.get(replica)
@@ -340,13 +355,13 @@
                 continue
             ledger.reject_all(messages.Verdict.expired)
             fresh = self._open_ledger(target)
-            # Nothing is held there yet: there is no count to distrust.
+            # Nothing is held on the new process yet, so the count is exact.
             fresh.uncertain_until = 0.0
             self.ledger_by_replica[replica] = fresh
         self.displaced.remove_restarted(self._targets.target_by_replica)
 
     def mark_counts_uncertain(self) -> None:
-        """Distrust all counts for a while, after a pause of this daemon."""
+        """Treat all counts as uncertain, after a pause of this process."""
         until = self._clock.monotonic() + UNCERTAIN_SECONDS
         for ledger in self.ledger_by_replica.values():
             ledger.uncertain_until = until
@@ -355,7 +370,7 @@
     def record_engine_report(
         self, replica: _ids.ReplicaId, running: int
     ) -> None:
-        """Note what an engine says of its load."""
+        """Record an engine's report of its running requests."""
         ledger = self.ledger_by_replica.get(replica)
         if ledger is not None:
             ledger.add_engine_report(running)
@@ -363,14 +378,14 @@
     def apply_summary(
         self, summary: messages.LoadSummary, report: messages.LoadReport
     ) -> None:
-        """Note a collector's answer, and grant what now fits."""
+        """Apply a collector's reply, and grant queued requests that fit."""
         group = _ids.GroupName(summary.group)
         self.group_limits.apply_summary(summary, report)
         for ledger in self.group_limits.ledgers_of(group):
             self._queue.grant_queued(ledger)
 
     def waiting(self) -> int:
-        """Give the asks that wait in this owner's queues."""
+        """Return the number of requests in this owner's queues."""
         ledgers = self.ledger_by_replica.values()
         return sum(len(ledger.queued_by_key) for ledger in ledgers)
 
@@ -398,5 +413,5 @@
             incarnation=target.incarnation,
         )
         ledger.uncertain_until = self._clock.monotonic() + UNCERTAIN_SECONDS
-        _log.info("own {replica}", replica=target.replica)
+        _log.info("opened ledger of {replica}", replica=target.replica)
         return ledger
--- a/src/topazlug/routing/_owner_queue.py
+++ b/src/topazlug/routing/_owner_queue.py
@@ -1,4 +1,4 @@
-"""Asks that wait at an owner for their turn."""
+"""Queues of admission requests at an owner."""
 
 from collections.abc import Callable
 from typing import final
@@ -14,26 +14,28 @@
 from topazlug.routing import _owner_replies
 from topazlug.targets import _targets
 
+# A request that waits no longer than this is rejected as soon as its wait is
+# over; a longer one ends with its caller's deadline.
 SHORT_WAIT_SECONDS = 1.0
 _MIN_RETRY_AFTER_SECONDS = 0.1
 
 
 @final
 class OwnerQueue:
-    """Queues asks on the ledgers of an owner's replicas.
+    """Queues admission requests on the ledgers of an owner's replicas.
 
     Parameters
     ----------
     group_limits : GroupLimits
-        Loads of groups.
+        Loads and limits of groups.
     replies : OwnerReplies
-        Answers asks.
+        Sends replies.
     targets : TargetDirectory
-        Which replicas may get new work.
+        Replicas and their health.
     weight_of : callable
-        Gives a team's weight.
+        Returns a team's weight.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -59,7 +61,7 @@
         wait: float,
         reply: _owner_replies.Reply,
     ) -> None:
-        """Let an ask wait for its turn, for so many seconds."""
+        """Queue a request for at most the given seconds."""
         expected = ledger.expected_wait(batch=entry.batch)
         queued = _ledger.QueuedRequest(
             key=key,
@@ -83,10 +85,11 @@
         queued: _ledger.QueuedRequest,
         wait: float,
     ) -> None:
-        """Answer a short wait when it is over.
+        """Reject a request when its short wait is over.
 
-        The entry daemon goes on to the next replica; without an answer it
-        would wait for the owner's timeout on top, and blame the owner.
+        The entry daemon then tries the next replica. Without a reply it
+        would also wait for the owner timeout, and count it as a timeout of
+        this owner.
         """
         self._clock.sleep(wait)
         if ledger.remove_queued(queued):
@@ -99,7 +102,7 @@
         reply: _owner_replies.Reply,
         verdict: messages.Verdict = messages.Verdict.full,
     ) -> None:
-        """Refuse an ask that would wait for so many seconds."""
+        """Reject a request; the expected wait becomes its retry delay."""
         self._replies.send(
             reply,
             verdict,
@@ -108,7 +111,7 @@
         )
 
     def grant_queued(self, ledger: _ledger.ReplicaLedger) -> None:
-        """Grant what waits and now fits."""
+        """Grant the queued requests of a replica that fit now."""
         if not ledger.queued_by_key:
             return
         if not self._targets.is_in_service(ledger.replica):
--- a/src/topazlug/routing/_owner_replies.py
+++ b/src/topazlug/routing/_owner_replies.py
@@ -1,4 +1,4 @@
-"""An owner's answers to asks, counted by verdict."""
+"""An owner's replies to admission requests."""
 
 from collections.abc import Callable
 from typing import final
@@ -10,12 +10,12 @@
 
 @final
 class OwnerReplies:
-    """Gives answers and counts them.
+    """Sends replies and counts them by verdict.
 
     Attributes
     ----------
     count_by_verdict : dict
-        Answers given so far.
+        Number of replies sent.
     """
 
     def __init__(self) -> None:
@@ -33,26 +33,26 @@
         cold: bool = False,
         backoff: float = 0.0,
     ) -> None:
-        """Answer one ask.
+        """Reply to one admission request.
 
         Parameters
         ----------
         reply : callable
-            Takes the answer.
+            Called with the reply.
         verdict : Verdict
-            What the owner says.
+            Outcome of the request.
         load : int
-            Load units that the replica holds.
+            Load of the replica, in load units.
         replica : str
-            Where the chat was displaced to.
+            Replica that the chat was displaced to.
         retry_after : float
-            Seconds.
+            Suggested retry delay in seconds.
         reads : bool
             Whether the request is the first to read its context there.
         cold : bool
-            Whether there is no room as the replica has just started.
+            Whether the request was rejected because the replica is cold.
         backoff : float
-            Seconds for which the replica wants no request of anybody.
+            Remaining seconds of the replica's backoff for all daemons.
         """
         self.count_by_verdict[verdict] += 1
         reply(
--- a/src/topazlug/routing/_placement.py
+++ b/src/topazlug/routing/_placement.py
@@ -1,4 +1,4 @@
-"""What the entry daemon asks for, and what it gets."""
+"""Placement requests, placements and the admission interface."""
 
 from typing import Protocol
 from typing import final
@@ -10,7 +10,7 @@
 
 
 class PlacementRequest(msgspec.Struct, frozen=True):
-    """One request that needs a place on a replica.
+    """A request for slots on one replica of a group.
 
     Attributes
     ----------
@@ -19,29 +19,32 @@
     chat : ChatHash
         Hash of the chat, or of the call where there is no chat.
     team : TeamName
-        Who calls.
+        Team of the caller.
     batch : bool
         Whether it is batch work.
     weight : int
-        Load units.
+        Slots that the request occupies, also called load units.
     deadline : float
-        Monotonic seconds at which the caller gives up.
+        Monotonic time in seconds after which the request has failed.
     excluded : frozenset of ReplicaId
-        Replicas that failed this request already.
+        Replicas on which this request has already failed.
     returning : bool
-        Whether the chat has context on the replica it was on last.
+        Whether the replica of the chat's previous turn holds its context.
     keeps_context : bool
-        Whether replicas keep context at all; without, any does as well.
+        Whether replicas keep context between requests. If not, all
+        replicas are equally suitable.
     rank : int
-        Its place among all ranks, 0 first; -1 for work that is not held to
-        a limit by rank.
+        Urgency, 0 is the most urgent; -1 for work that is not subject to
+        limits by rank.
     prompt : int
-        Hash of the whole prompt, 0 if there is none: the same when a caller
-        comes back with it.
+        Hash of the whole prompt, 0 if there is none. Identifies the request
+        when the caller sends it again.
     shared_tokens : int
-        Tokens of the prompt that other requests share.
+        Length in tokens of the prompt prefix that is shared with other
+        requests.
     latency_objective : float
-        Seconds that it may wait while another request reads its context.
+        Seconds until the first byte of a response that is on time. Also the
+        maximum wait while another request reads the same context.
     """
 
     group: _ids.GroupName
@@ -61,20 +64,26 @@
 
 @final
 class Placement:
-    """A place in use on a replica; it must be released once.
+    """A replica chosen for a request, with the slots held there.
+
+    The holder must release it when the request has ended.
 
     Attributes
     ----------
     target : Target
-        Where the request may go.
+        Replica to send the request to.
     ask : AskNumber
-        Number under which the owner counts it.
+        Number of the admission request, under which the owner counts it.
     owner : DaemonId or None
-        Who counts it; None while nobody does.
+        Daemon that counts it; None if it was placed without an owner.
+    request : PlacementRequest
+        Request that it was made for.
     home : bool
-        Whether the replica is where the chat hashes to.
+        Whether the replica is first in the chat's ranking.
     reads_context : bool
         Whether its request is the first to read the chat's context there.
+    released : bool
+        Whether it was released.
     """
 
     def __init__(
@@ -97,18 +106,18 @@
 
 
 class Admission(Protocol):
-    """What finds a place, whatever the policy."""
+    """Admission of requests, implemented by each routing policy."""
 
     def admit(self, request: PlacementRequest) -> Placement:
-        """Find a place.
+        """Choose a replica and hold slots on it.
 
         Raises
         ------
         Overloaded
-            None is free and none will be before the deadline.
+            No slot is free, nor expected to be before the deadline.
         NoTarget
             The group has no usable replica.
         """
 
     def release(self, placement: Placement) -> None:
-        """Give a place back."""
+        """Release the slots of a placement."""
