--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -1,8 +1,8 @@
-"""The entry daemon's role: find a place for a request.
+"""The entry role: admission of requests through the owners of replicas.
 
-The entry daemon asks the owners of the replicas in the chat's rank, one
-after the other. It talks to the replica itself, so no stream crosses two
-daemons.
+The entry daemon sends admission requests to the owners of the replicas in the
+chat's ranking, one after the other. It connects to the chosen replica itself,
+so no response is relayed by a second daemon.
 """
 
 from collections.abc import Callable
@@ -29,11 +29,12 @@
 
 _log = logbook.Logger("admission")
 
-# A returning chat waits so long for the replica that holds its context.
-# Recomputing the context costs more, and where places come free often, as
-# each 70 ms at 15 requests/s, most such waits end with one.
+# Maximum wait of a returning chat for the replica that holds its context.
+# Recomputing the context takes longer. At 15 requests/s, a slot is released
+# every 70 ms, so most of these waits succeed.
 _CONTEXT_WAIT_SECONDS = 0.2
 _MAX_REDIRECTS = 1
+# How long a reply that a replica is full is reused for other requests.
 _FULL_CACHE_SECONDS = 0.25
 _NO_TARGET_RETRY_SECONDS = 1.0
 _MAX_SEARCHES = 4
@@ -41,14 +42,14 @@
 
 
 class _Full(NamedTuple):
-    """A replica that had no free slot, and until when that counts."""
+    """A replica's load when it was full, and when that record expires."""
 
     load: int
     until: float
 
 
 class _Search:
-    """What one request has learned while it looks for a place."""
+    """State of one search for a replica."""
 
     def __init__(self, ranked: list[_ids.ReplicaId]) -> None:
         self.ranked = ranked
@@ -68,17 +69,22 @@
 
     @property
     def least_loaded(self) -> _ids.ReplicaId | None:
-        """Give the replica that said it has the least load."""
+        """Replica with the lowest load in the replies, None without any."""
         loads = self.load_by_replica
         return min(loads, key=loads.__getitem__) if loads else None
 
     def group_load(self, replicas: int) -> int:
-        """Give the group's load if all owners have just told theirs.
+        """Return the group's load from current replies for all replicas.
 
-        The mean that owners go by lags. When calls come in a burst, each
-        owner still counts the others as idle and all refuse, though one of
-        them must lie below the true mean; the caller would wait for the
-        next report.
+        The mean that owners use lags. In a burst, each owner still assumes
+        that the replicas of others are idle, and all reject the request,
+        although one replica must be below the true mean. Without this total,
+        the request would wait for the next load report.
+
+        Returns
+        -------
+        int
+            Load units; 0 if a replica's load is missing or out of date.
         """
         if self.has_stale_loads or len(self.load_by_replica) < replicas:
             return 0
@@ -87,26 +93,33 @@
 
 @final
 class OwnersAdmission:
-    """Finds places by asking owners.
+    """Admits requests through the owners of replicas.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     owner : Owner
-        This daemon's own ledgers.
+        This daemon's owner role.
     ownership : Ownership
-        Who owns what.
+        Owners of all replicas.
     targets : TargetDirectory
-        Which replicas may get new work.
+        Replicas and their health.
     links : Links
-        Streams to peers.
+        Connections to peers.
     routing : RoutingSettings
-        Settings.
+        Number of candidates and owner timeout.
     clock : Clock
-        Time.
+        Source of time.
     fleet_size : callable
-        Gives the number of usable daemons.
+        Returns the number of usable daemons.
+
+    Attributes
+    ----------
+    held_placements : HeldPlacements
+        Placements that this daemon holds with owners.
+    admitted_without_owner : int
+        Requests admitted while no owner replied.
     """
 
     def __init__(
@@ -140,12 +153,14 @@
     def admit(
         self, request: _placement.PlacementRequest
     ) -> _placement.Placement:
-        """Find a place, asking the owners in the chat's rank.
+        """Choose a replica through the owners in the chat's ranking.
 
         Raises
         ------
         Overloaded
-            None is free and none will be before the deadline.
+            No slot is free, nor expected to be before the deadline.
+        DeadlineExceeded
+            The deadline passed during the search.
         NoTarget
             The group has no usable replica.
         """
@@ -164,12 +179,12 @@
             if not search.should_retry:
                 break
         raise _errors.Overloaded(
-            f"no place is free on {request.group}",
+            f"no slot is free on {request.group}",
             retry_after=max(0.5, search.retry_after),
         )
 
     def _search(self, request: _placement.PlacementRequest) -> _Search:
-        """Ask for a place once, in the order of the ranks of now."""
+        """Search once, in the current ranking of the chat."""
         ranked = self._rank(request)
         if not ranked:
             raise _no_usable_replica.no_usable_replica_error(
@@ -197,7 +212,9 @@
     ) -> _placement.Placement | None:
         for replica in search.ranked:
             if self._clock.monotonic() > request.deadline:
-                raise _errors.DeadlineExceeded("no place before the deadline")
+                raise _errors.DeadlineExceeded(
+                    "no slot was free before the deadline"
+                )
             placement = self._try_replica(request, search, replica)
             if placement is not None:
                 return placement
@@ -244,8 +261,8 @@
                 )
             if placement is not None:
                 return placement
-            # The displaced seat is full: the home itself is asked again,
-            # and this time counts the chat as its own.
+            # The replica that the chat was displaced to did not admit it.
+            # Try the home again, without a redirect.
             return self._try_replica(request, search, replica, redirects=0)
         search.asked.add(replica)
         if reply.backoff > 0:
@@ -267,11 +284,11 @@
         return None
 
     def _is_known_full(self, replica: _ids.ReplicaId) -> bool:
-        """Say whether a replica was full a moment ago.
+        """Return whether a replica was full within `_FULL_CACHE_SECONDS`.
 
-        Under overload every call would ask every owner only to hear the
-        same: five times the messages, just when there are most calls. Its
-        place, when one comes free, is for those who wait in its queue.
+        Under overload, every request would otherwise be sent to every owner
+        and rejected: five times the messages, when there are most requests.
+        A slot that is released meanwhile goes to the replica's queue.
         """
         full = self._full_by_replica.get(replica)
         return full is not None and self._clock.monotonic() < full.until
@@ -279,13 +296,15 @@
     def _wait_in_queue(
         self, request: _placement.PlacementRequest, search: _Search
     ) -> _placement.Placement | None:
-        """Queue at the replica that had the least load."""
+        """Wait in the queue of the replica with the lowest load."""
         replica = search.least_loaded
         if replica is None:
             return None
         wait = request.deadline - self._clock.monotonic()
         if wait <= 0:
-            raise _errors.DeadlineExceeded("no place before the deadline")
+            raise _errors.DeadlineExceeded(
+                "no slot was free before the deadline"
+            )
         replicas = len(self._targets.in_service(request.group))
         answer = self._client.ask(
             request,
@@ -295,8 +314,8 @@
             total=search.group_load(replicas),
         )
         if answer is None:
-            # The owner died or fell silent while the ask waited there; the
-            # call has time left and another owner may have a place.
+            # The owner stopped responding while the request was queued. There
+            # is time left, and another owner may have free slots.
             search.should_retry = True
             return None
         ask, owner, reply = answer
@@ -316,11 +335,11 @@
         request: _placement.PlacementRequest,
         ranked: list[_ids.ReplicaId],
     ) -> _placement.Placement | None:
-        """Admit without any owner, within this daemon's share of the slots.
+        """Admit without an owner, within this daemon's share of the slots.
 
-        With no owner in reach, as in a cut between zones, refusing all
-        would be silence. Shares of the slots add up to no more than all of
-        them, so the engines still aren't swamped.
+        If no owner is reachable, as in a partition between zones, the
+        alternative is to reject everything. The shares of all daemons add up
+        to about the slots of the replica, so engines aren't overloaded.
         """
         held = self.held_placements.load_by_replica()
         for replica in ranked:
@@ -346,7 +365,8 @@
         home: bool,
     ) -> _placement.Placement | None:
         target = self._targets.target_by_replica.get(replica)
-        # It may have gone, or asked for quiet, while its owner was asked.
+        # Meanwhile the replica may have been removed, be leaving, or have
+        # requested a backoff.
         if target is None or self._targets.quiet.wants_nothing(target):
             if owner is not None:
                 self.held_placements.send_release(owner, ask)
@@ -358,9 +378,9 @@
     def report_backoff(
         self, target: _targets.Target, word: _target_word.TargetWord
     ) -> None:
-        """Tell a target's owner of a backoff that it asked for."""
+        """Report a backoff requested of this daemon to the target's owner."""
         self._client.report_backoff(target, word)
 
     def release(self, placement: _placement.Placement) -> None:
-        """Give a place back; a second time does nothing."""
+        """Release a placement; does nothing if it was released before."""
         self.held_placements.release(placement)
--- a/src/topazlug/routing/_group_limits.py
+++ b/src/topazlug/routing/_group_limits.py
@@ -1,7 +1,7 @@
-"""An owner's accounts of whole groups: their load, mean and limit.
+"""Load, mean and load limit of whole groups, as an owner sees them.
 
-The owner counts its own replicas exactly and hears the rest of a group from
-the group's collector.
+The owner counts its own replicas exactly and receives the load of the others
+from the group's collector.
 """
 
 from collections.abc import Mapping
@@ -18,41 +18,41 @@
 
 
 class Bounds(Protocol):
-    """What the table says of groups."""
+    """Bounds of groups from the table."""
 
     def bound_of(self, group: _ids.GroupName) -> float:
-        """Give the multiple of the mean that no replica may pass."""
+        """Return the maximum load of a replica as a multiple of the mean."""
 
     def allowance_of(self, group: _ids.GroupName) -> int:
-        """Give the load units that a replica may hold beyond it."""
+        """Return the load units allowed on top of that multiple."""
 
 
 class GroupTotal(NamedTuple):
-    """Load of a group, in load units, and its usable replicas."""
+    """Load of a group, in load units, and its number of replicas."""
 
     load: float
     replicas: int
 
     @property
     def mean(self) -> float:
-        """Give the mean load of a replica."""
+        """Mean load of a replica."""
         return self.load / max(1, self.replicas)
 
 
 @final
 class GroupLimits:
-    """Loads of the groups that this daemon owns replicas of.
+    """Loads and limits of the groups that this daemon owns replicas of.
 
     Parameters
     ----------
     ledger_by_replica : mapping
-        The owner's ledgers, as they are at each moment.
+        The owner's ledgers; a live view.
     targets : TargetDirectory
-        Which replicas may get new work.
+        Replicas and their health.
     bounds : Bounds
-        Multiples of the mean.
+        Bounds of groups.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -72,12 +72,12 @@
         ] = {}
 
     def total(self, group: _ids.GroupName) -> GroupTotal:
-        """Give a group's load now."""
+        """Return a group's current load."""
         own = [ledger.demand() for ledger in self.ledgers_of(group)]
         replicas = len(self._targets.in_service(group))
-        # What another owner admits raises the mean too. Counted on the
-        # replica alone, every one looks over the bound while links are cut
-        # and all calls wait.
+        # demand() includes what other owners admit. If that counted for the
+        # replica but not for the mean, every replica would be over the bound
+        # while daemons are disconnected, and all requests would wait.
         load = self._estimate_of(group).estimate(
             own=sum(own),
             own_replicas=len(own),
@@ -89,7 +89,7 @@
     def limit(
         self, group: _ids.GroupName, total: GroupTotal | None = None
     ) -> int:
-        """Give the load that the bound allows on a replica now."""
+        """Return the load that the bound allows on a replica."""
         known = self.total(group) if total is None else total
         return _group_load.bound_limit(
             bound=self._bounds.bound_of(group),
@@ -99,12 +99,12 @@
         )
 
     def ledgers_of(self, group: _ids.GroupName) -> list[_ledger.ReplicaLedger]:
-        """Give the ledgers of a group's replicas owned here."""
+        """Return the ledgers of a group's replicas that are owned here."""
         ledgers = self._ledger_by_replica.values()
         return [ledger for ledger in ledgers if ledger.group == group]
 
     def due_reports(self) -> list[messages.LoadReport]:
-        """Give the load reports that collectors should get now."""
+        """Return the load reports that are due now."""
         now = self._clock.monotonic()
         loads: dict[_ids.GroupName, list[messages.ReplicaLoad]] = {}
         for ledger in self._ledger_by_replica.values():
@@ -124,7 +124,7 @@
     def apply_summary(
         self, summary: messages.LoadSummary, report: messages.LoadReport
     ) -> None:
-        """Note a collector's answer to a report."""
+        """Apply a collector's reply to a report."""
         self._estimate_of(_ids.GroupName(summary.group)).apply_summary(
             summary,
             own=sum(entry.load for entry in report.loads),
@@ -132,13 +132,13 @@
         )
 
     def mean_by_group(self) -> dict[_ids.GroupName, float]:
-        """Give the mean load of each group with a replica owned here."""
+        """Return the mean load of each group with a replica owned here."""
         ledgers = self._ledger_by_replica.values()
         groups = {ledger.group for ledger in ledgers}
         return {group: self.total(group).mean for group in groups}
 
     def skew_by_group(self) -> dict[_ids.GroupName, float]:
-        """Give the largest owned load of each group over its mean."""
+        """Return each group's largest owned load divided by its mean."""
         skews = {}
         for group, mean in self.mean_by_group().items():
             largest = max(ledger.load for ledger in self.ledgers_of(group))
--- a/src/topazlug/routing/_group_load.py
+++ b/src/topazlug/routing/_group_load.py
@@ -1,9 +1,10 @@
-"""The mean load of a group, which no single owner can see.
+"""The total load of a group, collected from the owners of its replicas.
 
-Each owner tells the group's collector (ranked like an owner) the load of its
-replicas, and hears the total. The time between reports grows with the number
-of owners, so that a collector's traffic stays within its budget: the mean of
-a large group moves slowly, and a later figure costs it little.
+Each owner reports the load of its replicas to the group's collector, a daemon
+chosen by rendezvous hashing, and receives the total in reply. The interval
+between reports grows with the number of owners, so that a collector's traffic
+stays within its budget. The mean of a large group changes slowly, so older
+totals do little harm there.
 """
 
 from collections.abc import Iterable
@@ -19,15 +20,15 @@
 
 _STALE_SECONDS = 3.0
 # The total lags by one report. While load falls, the true mean is below the
-# one that owners go by, and what they admit at the limit is over the bound.
+# one that owners use, and requests admitted at the limit exceed the bound.
 _LAG_MARGIN = 1
-# A load counts for this many of the intervals that its reporter was given:
-# in a group of 143 owners the interval alone is longer than three seconds.
+# A reported load is valid for at least this many report intervals: in a group
+# of 143 owners, the interval alone is longer than three seconds.
 _STALE_INTERVALS = 2.5
 _REPORT_BYTES = 240
 _COLLECTOR_BYTES_PER_SECOND = 8192
-# A small group's mean jumps with each call, so its lag costs most there; its
-# collector may spend more on fresh figures.
+# The mean of a small group changes with each request, so lag is worst there.
+# Its collector has a larger budget, for more frequent reports.
 _SMALL_GROUP_REPORTERS = 16
 _SMALL_GROUP_BYTES_PER_SECOND = 25600
 
@@ -35,7 +36,7 @@
 def collector_of(
     group: _ids.GroupName, daemons: Iterable[_ids.DaemonId]
 ) -> _ids.DaemonId | None:
-    """Give the daemon that adds up a group's load."""
+    """Return the daemon that collects a group's load."""
     seed = _ranking.chat_hash("collector", group)
     name = _ranking.first(daemons, seed)
     return None if name is None else _ids.DaemonId(name)
@@ -49,7 +50,7 @@
 
 @final
 class LoadCollector:
-    """Adds up what owners report of a group."""
+    """Adds up the loads that owners report, by group."""
 
     def __init__(self, *, clock: _clock.Clock, interval: float) -> None:
         self._clock = clock
@@ -59,10 +60,11 @@
     def add_report(
         self, sender: _ids.DaemonId, report: messages.LoadReport
     ) -> messages.LoadSummary:
-        """Note a report and give the total.
+        """Record a report and return the group's total.
 
-        Replicas whose report is stale are left out of both figures, so a
-        silent owner does not pull the mean down.
+        Replicas whose report is stale are excluded from both the total and
+        the number of replicas, so an unresponsive owner does not distort the
+        mean.
         """
         now = self._clock.monotonic()
         group = _ids.GroupName(report.group)
@@ -93,10 +95,10 @@
 
 
 class GroupEstimate(msgspec.Struct):
-    """What one owner knows of a group's load.
+    """One owner's estimate of a group's load.
 
-    The collector's total lags by one report; the owner's own part of it is
-    replaced by what it counts now.
+    The collector's total lags by one report. The owner's own part of it is
+    replaced by its current count.
     """
 
     total: int = 0
@@ -109,7 +111,7 @@
     def apply_summary(
         self, summary: messages.LoadSummary, *, own: int, now: float
     ) -> None:
-        """Note the collector's answer to a report."""
+        """Apply the collector's reply to a report."""
         self.total = summary.total
         self.replicas = summary.replicas
         self.own_reported = own
@@ -120,14 +122,14 @@
     def estimate(
         self, *, own: int, own_replicas: int, replicas: int, now: float
     ) -> float:
-        """Give the total load of the group now, in load units.
+        """Return the estimated total load of the group, in load units.
 
         Parameters
         ----------
         own : int
-            Load of the owner's replicas now.
+            Current load of the owner's replicas.
         own_replicas : int
-            How many replicas that is.
+            Number of these replicas.
         replicas : int
             Usable replicas of the group.
         now : float
@@ -135,7 +137,7 @@
         """
         stale = max(_STALE_SECONDS, _STALE_INTERVALS * self.interval)
         if now - self.at > stale or not self.replicas:
-            # No collector answers: the owner's own replicas stand for all.
+            # No recent total: extrapolate from the owner's own replicas.
             return own / max(1, own_replicas) * replicas
         others = max(0, self.total - self.own_reported)
         seen = max(1, self.replicas)
@@ -145,18 +147,18 @@
 def bound_limit(
     *, bound: float, total: float, replicas: int, allowance: int = 0
 ) -> int:
-    """Give the load that one replica may reach, in load units.
+    """Return the maximum load of one replica, in load units.
 
     Consistent hashing with bounded loads [1]_: the ceiling of the bound
-    times the mean, the arriving unit counted in, less a margin for the lag
-    of the total. An allowance in load units comes on top where the mean is
-    so small that a multiple of it would part chats from their context.
+    times the mean, including the arriving load unit, minus a margin for the
+    lag of the total. The allowance, in load units, is for means so small
+    that a multiple of them would move chats away from their context.
 
     .. [1] Mirrokni, Thorup, Zadimoghaddam, "Consistent hashing with bounded
        loads", SODA 2018.
     """
     mean = (total + 1) / max(1, replicas)
     limit = math.ceil(bound * mean) + allowance - _LAG_MARGIN
-    # Some replica is always at the mean or below it, so this floor leaves
-    # a place for every call; without it a fleet at low load admits nothing.
+    # Some replica is always at or below the mean, so with this minimum every
+    # request fits somewhere. Without it, nothing is admitted at low load.
     return max(1, math.ceil(mean), limit)
--- a/src/topazlug/routing/_held_placements.py
+++ b/src/topazlug/routing/_held_placements.py
@@ -1,8 +1,8 @@
-"""What this daemon holds of owners, and how they keep knowing it.
+"""Placements that this daemon holds, and their renewal with owners.
 
-Owners count places as soft state. The entry daemon tells them what it holds:
-at intervals, at once when a replica changes its owner, and until an answer
-comes after anything that may have been lost.
+Owners count placements as soft state. The entry daemon renews what it holds at
+intervals and, after a change of ownership, at once. After a message that may
+have been lost, it renews until the owner has confirmed.
 """
 
 from typing import Protocol
@@ -19,48 +19,50 @@
 from topazlug.routing import _ownership
 from topazlug.routing import _placement
 
+# An owner that has not confirmed for this long is no longer contacted.
 _UNCONFIRMED_SECONDS = 300.0
 _CONFIRM_TIMEOUT = 1.0
 
 
 class Links(Protocol):
-    """What the entry role needs of the peers' streams."""
+    """Connections to peers, as the entry role uses them."""
 
     def send(self, to: _ids.DaemonId, message: msgspec.Struct) -> None:
-        """Send one way; raises PeerUnreachable."""
+        """Send a one-way message; raises PeerUnreachable."""
 
     def call(
         self, to: _ids.DaemonId, message: msgspec.Struct, *, timeout: float
     ) -> msgspec.Struct:
-        """Ask and wait; raises PeerUnreachable."""
+        """Send a request and return its reply; raises PeerUnreachable."""
 
     def heard_since(self, peer: _ids.DaemonId, moment: float) -> bool:
-        """Say whether a peer has sent anything since."""
+        """Return whether a peer has sent anything since a moment."""
 
 
 @final
 class HeldPlacements:
-    """Places that this daemon holds, and asks without an answer.
+    """Placements that this daemon holds, and pending admission requests.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     owner : Owner
-        This daemon's own ledgers.
+        This daemon's owner role.
     ownership : Ownership
-        Who owns what.
+        Owners of all replicas.
     links : Links
-        Streams to peers.
+        Connections to peers.
     clock : Clock
-        Time.
+        Source of time.
 
     Attributes
     ----------
     placement_by_ask : dict
-        Places in use.
+        Placements that were not released, by number of their admission
+        request.
     pending_by_ask : dict
-        Owners that were asked and have not answered yet.
+        Owners that have not replied yet, by number of the request.
     """
 
     def __init__(
@@ -82,7 +84,7 @@
         self.pending_by_ask: dict[_ids.AskNumber, _ids.DaemonId] = {}
 
     def load_by_replica(self) -> dict[_ids.ReplicaId, int]:
-        """Give the load units held on each replica."""
+        """Return the load units held on each replica."""
         held: dict[_ids.ReplicaId, int] = {}
         for placement in self.placement_by_ask.values():
             replica = placement.target.replica
@@ -90,14 +92,14 @@
         return held
 
     def release(self, placement: _placement.Placement) -> None:
-        """Give a place back; a second time does nothing."""
+        """Release a placement; does nothing if it was released before."""
         if self.placement_by_ask.pop(placement.ask, None) is None:
             return
         if placement.owner is not None:
             self.send_release(placement.owner, placement.ask)
 
     def send_release(self, owner: _ids.DaemonId, ask: _ids.AskNumber) -> None:
-        """Tell an owner that an ask's place, or its turn, is free."""
+        """Tell an owner that an admitted or queued request has ended."""
         if owner == self._daemon:
             self._owner.release(self._daemon, [ask])
             return
@@ -105,40 +107,41 @@
         self.send(owner, messages.Release(asks=[ask]))
 
     def _mark_unconfirmed(self, owner: _ids.DaemonId) -> None:
-        """Have the next renewals tell an owner what this daemon holds.
+        """Include an owner in renewals until it confirms.
 
-        A release may be lost with its stream, and so may the answer to an
-        ask that was granted. The owner then counts a place that nobody has,
-        and the replica looks fuller than it is for good. It is told until
-        it was reached, or has been gone for a while.
+        A release may be lost with its connection, as may the reply to a
+        granted request. The owner would then count a placement that no
+        daemon holds, and the counted load would stay too high. Renewals are
+        sent until the owner confirms one, or `_UNCONFIRMED_SECONDS` have
+        passed.
         """
         self._unconfirmed_until[owner] = (
             self._clock.monotonic() + _UNCONFIRMED_SECONDS
         )
 
     def send(self, owner: _ids.DaemonId, message: msgspec.Struct) -> None:
-        """Send one way, if the owner can be reached."""
+        """Send a one-way message, if the owner is reachable."""
         try:
             self._links.send(owner, message)
         except _errors.PeerUnreachable:
-            # The next renewal carries the whole truth.
+            # The next renewal contains all that is held.
             return
 
     def renew(self, owners: set[_ids.DaemonId] | None = None) -> int:
-        """Tell each owner all that this daemon holds of it.
+        """Send each owner all that this daemon holds with it.
 
-        Owners that were sent a release since their last renewal hear of it
-        even if nothing is held of them any more.
+        Owners that were sent a release and have not confirmed since are
+        included even if nothing is held with them any more.
 
         Parameters
         ----------
         owners : set of DaemonId or None
-            Owners to tell; None for all.
+            Owners to renew with; None for all.
 
         Returns
         -------
         int
-            Owners told.
+            Number of owners.
         """
         held: dict[_ids.DaemonId, list[messages.HeldPlace]] = {}
         pending: dict[_ids.DaemonId, list[int]] = {}
@@ -168,10 +171,10 @@
         return len(recipients)
 
     def _confirm_nothing_held(self, owner: _ids.DaemonId) -> None:
-        """Tell an owner that nothing is held of it, until it confirms.
+        """Renew with an owner that nothing is held with, and await its reply.
 
-        A message that was sent may still be lost with its stream, so only
-        the owner's answer ends the debt.
+        A sent message may still be lost with its connection, so only the
+        owner's reply removes it from the unconfirmed owners.
         """
         if owner in self.pending_by_ask.values():
             return
--- a/src/topazlug/routing/_owner_client.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -1,7 +1,7 @@
-"""Asking owners for places, and what is owed to them afterwards.
+"""Client of replica owners: admission requests and reports.
 
-An owner that says nothing is passed over for a moment: whoever asks decides
-what to do without its word.
+An owner that does not reply in time is skipped for a short period. The caller
+then decides how to place the request without an owner.
 """
 
 import itertools
@@ -25,13 +25,13 @@
 _log = _logs.logger("admission")
 _MAX_SKIP_SECONDS = 1.0
 _INITIAL_SKIP_SECONDS = 0.1
-# A caller comes back after a third of the time that it has left at most; the
-# rest is for the time that its answer takes to reach it.
+# A rejected caller is asked to retry within this fraction of the time until
+# its deadline. The rest is for the response to the retry.
 MAX_RETURN_FRACTION = 0.3
 
 
 class OwnerReply(NamedTuple):
-    """What an owner said to one ask."""
+    """An owner's reply to one admission request."""
 
     ask: _ids.AskNumber
     owner: _ids.DaemonId
@@ -40,29 +40,31 @@
 
 @final
 class OwnerClient:
-    """Asks owners, each for one place on one replica.
+    """Sends admission requests and reports to the owners of replicas.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     owner : Owner
-        This daemon's own ledgers.
+        This daemon's owner role.
     ownership : Ownership
-        Who owns what.
+        Owners of all replicas.
     links : Links
-        Streams to peers.
+        Connections to peers.
     timeout : float
-        Longest wait in seconds for an owner's word.
+        Maximum wait in seconds for an owner's reply, excluding the time in
+        its queue.
     clock : Clock
-        Time.
+        Source of time.
 
     Attributes
     ----------
-    held_placements : Holdings
-        Places that this daemon holds of owners.
+    held_placements : HeldPlacements
+        Placements that this daemon holds with owners.
     unanswered_count : int
-        Asks that got no word of an owner.
+        Admission requests that got no reply, or were not sent because the
+        owner is skipped.
     """
 
     def __init__(
@@ -94,7 +96,7 @@
         self.unanswered_count = 0
 
     def new_number(self) -> _ids.AskNumber:
-        """Give the number of a new ask."""
+        """Return the number for a new admission request."""
         return _ids.AskNumber(next(self._numbers))
 
     def ask(
@@ -109,32 +111,33 @@
         min_timeout: float = 0.0,
         cold: bool = False,
     ) -> OwnerReply | None:
-        """Ask a replica's owner for a place.
+        """Send an admission request to a replica's owner.
 
         Parameters
         ----------
         request : PlacementRequest
-            What needs a place.
+            Request to place.
         replica : ReplicaId
-            Where.
+            Replica to admit it to.
         home : bool
-            Whether the owner may name the chat's displaced seat instead.
+            Whether the owner may name the replica that the chat was
+            displaced to instead.
         wait : float
-            Seconds that the ask may wait in the owner's queue.
+            Maximum time in seconds in the owner's queue.
         total : int
             Load of the whole group if it is known, else 0.
         may_wait : bool
-            Whether the owner may answer that the context is being read.
+            Whether the owner may reply that the context is being read.
         min_timeout : float
-            Seconds that this request can wait for the owner's word, if that
-            is longer than the usual timeout.
+            Lower limit of the timeout in seconds, for requests that can
+            wait longer for a reply.
         cold : bool
-            Whether the replica has just started, as this daemon sees it.
+            Whether this daemon considers the replica cold.
 
         Returns
         -------
         OwnerReply or None
-            None if there is no owner, or no word of it.
+            None if there is no owner, or it did not reply or is skipped.
         """
         owner = self._ownership.owner_of(replica)
         if owner is None:
@@ -167,8 +170,8 @@
             timeout = max(self._timeout, min_timeout) + wait
             reply = self._exchange(owner, message, timeout)
         except BaseException:
-            # The caller left while its ask waited: a turn that comes later
-            # would be granted to nobody and its slot lost.
+            # The caller disconnected while its request was queued. Without
+            # the release, a later grant would leak the slot.
             self.held_placements.send_release(owner, ask)
             raise
         finally:
@@ -188,14 +191,14 @@
             result.wait(timeout=timeout)
             if not result.ready():
                 return None
-            reply: messages.AdmitReply = result.get()
-            return reply
+            own_reply: messages.AdmitReply = result.get()
+            return own_reply
         try:
-            answer = self._links.call(owner, message, timeout=timeout)
+            reply = self._links.call(owner, message, timeout=timeout)
         except _errors.PeerUnreachable:
             return None
-        if isinstance(answer, messages.AdmitReply):
-            return answer
+        if isinstance(reply, messages.AdmitReply):
+            return reply
         return None
 
     def _skip_owner(
@@ -206,16 +209,18 @@
         since: float,
         waited: bool,
     ) -> None:
-        """Leave an owner that did not answer alone for a moment.
+        """Skip an owner that did not reply, for longer after each timeout.
+
+        A frozen owner accepts bytes and never replies. If each request
+        waited for it, every caller whose home it owns would lose the whole
+        timeout. The first period is short, since a single slow reply must
+        not move all chats of the owner's replicas away from their context
+        for a second.
 
-        A frozen owner takes bytes and says nothing. If each request waited
-        for it in turn, every caller whose home it owns would lose the whole
-        timeout; after a silence the others go straight on, for longer each
-        time. One slow answer alone must not send all chats of the owner's
-        replicas away from their context for a second. Nor must answers that
-        are late because a link is full: an owner of which anything was heard
-        meanwhile is alive. With each late word taken for silence, most
-        requests are placed without one while load is at its worst.
+        An owner that sent any message since the request is not skipped: its
+        reply is late because the connection is saturated. If such replies
+        counted as timeouts, most requests would be placed without an owner
+        when the load is highest.
         """
         self.unanswered_count += 1
         if not waited and not self._links.heard_since(owner, since):
@@ -225,7 +230,7 @@
             skip_seconds = min(skip_seconds, _MAX_SKIP_SECONDS)
             self._skip_until[owner] = self._clock.monotonic() + skip_seconds
             _log.info(
-                "no word of {owner}, it is passed over for {seconds} s",
+                "no reply from owner {owner}, skipping it for {seconds} s",
                 owner=owner,
                 seconds=skip_seconds,
                 silences=timeouts + 1,
@@ -235,7 +240,7 @@
     def report_response_head(
         self, replica: _ids.ReplicaId, head: messages.EngineWord
     ) -> None:
-        """Tell a replica's owner what the head of an answer said."""
+        """Send the load from a response head to the replica's owner."""
         owner = self._ownership.owner_of(replica)
         if owner == self._daemon:
             self._owner.record_response_head(head)
@@ -243,7 +248,7 @@
             self.held_placements.send(owner, head)
 
     def report_unreached(self, replica: _ids.ReplicaId) -> None:
-        """Tell a replica's owner that it took no connection."""
+        """Report a failed connection to the replica's owner."""
         owner = self._ownership.owner_of(replica)
         message = messages.Unreached(replica=replica)
         if owner == self._daemon:
@@ -252,24 +257,24 @@
             self.held_placements.send(owner, message)
 
     def report_backoff(
-        self, target: _targets.Target, head: _target_word.TargetWord
+        self, target: _targets.Target, status: _target_word.TargetWord
     ) -> None:
-        """Tell a target's owner that it has asked this daemon for a backoff.
+        """Report a backoff requested of this daemon to the target's owner.
 
         Parameters
         ----------
         target : Target
-            Who asks.
-        head : TargetWord
-            What it says of itself.
+            Target that requested it.
+        status : TargetWord
+            Status that the target reported.
         """
         owner = self._ownership.owner_of(target.replica)
-        if head.backoff <= 0 or owner is None:
+        if status.backoff <= 0 or owner is None:
             return
         message = messages.Backoff(
             replica=target.replica,
             incarnation=target.incarnation,
-            seconds=head.backoff,
+            seconds=status.backoff,
         )
         if owner == self._daemon:
             self._owner.record_backoff(self._daemon, message)
@@ -283,7 +288,7 @@
         *,
         seconds: float,
     ) -> None:
-        """Tell the home's owner that a request may come back in a while."""
+        """Report to the home's owner that a rejected request may return."""
         message = messages.TurnedAway(
             replica=home,
             request=request.prompt,
@@ -303,19 +308,19 @@
         home: _ids.ReplicaId,
         displaced_to: _ids.ReplicaId | None,
     ) -> None:
-        """Tell the home's owner where its chat went.
+        """Report to the home's owner which replica a chat was placed on.
 
-        Only a chat that moved is told: one that is at home, or still at
-        the seat that the owner remembers, costs no message.
+        Nothing is sent if the chat is at its home, or on the replica that
+        the owner has recorded.
 
         Parameters
         ----------
-        placement : Place
-            Where it is now.
+        placement : Placement
+            Current placement of the chat.
         home : ReplicaId
-            First of its rank.
+            First replica in the chat's ranking.
         displaced_to : ReplicaId or None
-            The seat that the owner remembered.
+            Replica that the owner has recorded.
         """
         replica = placement.target.replica
         unmoved = replica == displaced_to or (
--- a/src/topazlug/routing/_owner_endpoint.py
+++ b/src/topazlug/routing/_owner_endpoint.py
@@ -1,4 +1,4 @@
-"""What the owner's role does with peers: its handlers and its greenlets."""
+"""The owner role's endpoint: message handlers and periodic messages."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -22,10 +22,11 @@
 _log = _logs.logger("owner")
 _REPORT_TIMEOUT = 0.3
 _RETRY_SECONDS = 0.2
-# A daemon that was not heard of for so many renewals is taken to be gone.
+# A daemon that sent nothing for this many renewal intervals is assumed dead.
 _MAX_MISSED_RENEWALS = 2.5
-# A collector that said nothing is passed over for so long; the next of its
-# order adds up meanwhile. Within the three seconds for which a total counts.
+# A collector that did not reply is skipped for this long, and the next daemon
+# in the ranking collects instead. Shorter than the three seconds after which
+# a total is stale.
 _COLLECTOR_SKIP_SECONDS = 2.0
 _HANDOVER_ENTRIES = 500
 _RENEW_BYTES = 150
@@ -34,24 +35,24 @@
 
 @final
 class OwnerEndpoint:
-    """Ties an `Owner` to the peers' streams.
+    """Connects an `Owner` to the peers.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     owner : Owner
-        Ledgers.
+        Owner role of this daemon.
     held_placements : Holdings
-        What this daemon itself holds of owners.
+        Placements that this daemon holds with owners.
     links : PeerLinks
-        Streams.
+        Connections to peers.
     usable : callable
-        Gives the usable daemons by id.
+        Returns the usable daemons by id.
     routing : RoutingSettings
-        Intervals.
+        Intervals of renewals and load reports.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         self._skip_until: dict[_ids.DaemonId, float] = {}
 
     def register(self) -> None:
-        """Take peers' messages from now on."""
+        """Register the handlers of peers' messages."""
         links = self._links
         links.handle(messages.AdmitAsk, self._on_admit_ask)
         links.handle(messages.EngineWord, self._on_engine_word)
@@ -145,7 +146,7 @@
         reply(self._collector.add_report(sender, message))
 
     def on_transfer(self, transfers: list[_ownership.Transfer]) -> None:
-        """Follow a change of owners: hand over, and renew at once."""
+        """Apply ownership changes: send displaced chats, then renew."""
         handover = self._owner.apply_transfers(transfers)
         for after, entries in handover.items():
             self._hand_over(after, entries)
@@ -161,15 +162,18 @@
             try:
                 self._links.send(after, messages.DisplacedBatch(entries=batch))
             except _errors.PeerUnreachable:
-                _log.warning("displaced chats are lost with {to}", to=after)
+                _log.warning(
+                    "displaced chats lost, new owner {to} is unreachable",
+                    to=after,
+                )
                 return
 
     def renew_forever(self) -> None:
-        """Tell owners what this daemon holds, again and again.
+        """Renew this daemon's placements with their owners periodically.
 
-        The more owners there are, the longer the interval: with places at
-        some 500 owners a renewal each second would take 75 KB/s, and the
-        budget for all control is 28.
+        The interval grows with the number of owners. With 500 owners, one
+        renewal per second would take 75 KB/s, and the budget for all control
+        traffic is 28 KB/s.
         """
         owners = 0
         while True:
@@ -181,30 +185,30 @@
         return max(self._routing.renew_interval, spread)
 
     def drop_silent(self, owners: int) -> None:
-        """Free what daemons held that missed two renewals and more.
+        """Release the placements of daemons that missed their renewals.
 
         Parameters
         ----------
         owners : int
-            Daemons that own replicas: the more there are, the longer each
-            takes to tell all of them.
+            Number of daemons that own replicas. The renewal interval grows
+            with it.
         """
         max_silence = _MAX_MISSED_RENEWALS * self._renew_seconds(owners)
         self._owner.drop_unresponsive(max_silence=max_silence)
 
     def report_forever(self) -> None:
-        """Tell collectors the load of the owned replicas when it is due."""
+        """Send due load reports of the owned replicas to collectors."""
         while True:
             self.report()
             self._clock.sleep(self._routing.load_interval)
 
     @property
     def reporting(self) -> bool:
-        """Say whether a report is on its way."""
+        """Whether a report awaits its reply."""
         return bool(self._reporting)
 
     def report(self) -> None:
-        """Send the reports that are due now."""
+        """Send the load reports that are due now."""
         for report in self._owner.group_limits.due_reports():
             if report.group not in self._reporting:
                 self._reporting.add(report.group)
@@ -235,7 +239,7 @@
             until = self._clock.monotonic() + _COLLECTOR_SKIP_SECONDS
             self._skip_until[collector] = until
             _log.info(
-                "no total of {group} from {collector}, it is passed over",
+                "no reply from collector {collector} of {group}, skipping it",
                 group=group,
                 collector=collector,
                 seconds=_COLLECTOR_SKIP_SECONDS,
@@ -245,12 +249,12 @@
         return answer if isinstance(answer, messages.LoadSummary) else None
 
     def _responsive_daemons(self) -> list[_ids.DaemonId]:
-        """Give the usable daemons without those that have just said nothing.
+        """Return the usable daemons except collectors that did not reply.
 
-        A daemon that is dark stays usable for as long as nobody says that it
-        is gone. Without a total an owner takes its own replicas for all: one
-        that owns a single replica then sees no bound at all, and one replica
-        fills while others idle.
+        An unreachable daemon stays usable until membership reports it dead.
+        Without a total, an owner estimates the group's mean from its own
+        replicas. An owner of a single replica would then apply no bound, and
+        fill that replica while others are idle.
         """
         now = self._clock.monotonic()
         return [
--- a/src/topazlug/routing/_ownership.py
+++ b/src/topazlug/routing/_ownership.py
@@ -1,9 +1,9 @@
-"""Which daemon owns which replica.
+"""Assignment of replicas to the daemons that own them.
 
-Daemons rank on a hash for each replica; the first usable one owns it. The
-table is kept by difference: a full ranking of 6,100 replicas over 880
-daemons is 5.4 million hashes, while a daemon that joins costs one hash for
-each replica and one that leaves re-ranks only what it owned.
+Each replica ranks the usable daemons by rendezvous hashing, and the first one
+owns it. The assignment is updated incrementally: a full ranking of 6,100
+replicas over 880 daemons takes 5.4 million hashes. A daemon that joins takes
+one hash per replica, and when one leaves, only its replicas are ranked again.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class Transfer(NamedTuple):
-    """One replica that changed its owner."""
+    """A change of one replica's owner."""
 
     replica: _ids.ReplicaId
     before: _ids.DaemonId | None
@@ -37,13 +37,13 @@
 
 @final
 class Ownership:
-    """Owner of each replica, as this daemon sees it."""
+    """Owner of each replica, from the membership known to this daemon."""
 
     def __init__(self) -> None:
         self._daemons: set[_ids.DaemonId] = set()
-        # Two lists side by side: all of a start's 5.4 million scores are
-        # taken over them, and a comprehension over bytes takes half the
-        # time of a loop that encodes each name.
+        # Parallel lists. At the start of a daemon, 5.4 million scores are
+        # computed over them; with names encoded in advance that takes half
+        # the time.
         self._names: list[_ids.DaemonId] = []
         self._encoded_names: list[bytes] = []
         self._owner_by_replica: dict[_ids.ReplicaId, _ScoredOwner] = {}
@@ -51,15 +51,15 @@
         self._callbacks: list[Callable[[list[Transfer]], None]] = []
 
     def on_transfer(self, callback: Callable[[list[Transfer]], None]) -> None:
-        """Ask to be called with each set of changes."""
+        """Register a callback that is called with each list of changes."""
         self._callbacks.append(callback)
 
     def owner_of(self, replica: _ids.ReplicaId) -> _ids.DaemonId | None:
-        """Give the replica's owner, None if no daemon is usable."""
+        """Return the replica's owner, None if no daemon is usable."""
         return self._owner_by_replica.get(replica, _NO_OWNER).daemon
 
     def owned_by(self, daemon: _ids.DaemonId) -> list[_ids.ReplicaId]:
-        """Give the replicas that a daemon owns."""
+        """Return the replicas that a daemon owns."""
         return [
             replica
             for replica, owner in self._owner_by_replica.items()
@@ -72,19 +72,19 @@
         daemons: Iterable[_ids.DaemonId],
         replicas: Iterable[_ids.ReplicaId],
     ) -> list[Transfer]:
-        """Take over a new set of usable daemons and known replicas.
+        """Assign owners for a new set of daemons and replicas.
 
         Parameters
         ----------
         daemons : iterable of DaemonId
-            Daemons that may own.
+            Usable daemons.
         replicas : iterable of ReplicaId
-            Replicas to be owned.
+            Known replicas.
 
         Returns
         -------
         list of Transfer
-            What changed; the callbacks got the same list.
+            Changes of owners; the callbacks receive the same list.
         """
         usable = set(daemons)
         self._names = sorted(usable)
--- a/src/topazlug/routing/_policies.py
+++ b/src/topazlug/routing/_policies.py
@@ -1,6 +1,6 @@
-"""Which policy places requests: owners that admit, or a baseline.
+"""Routing policies: admission by owners, and baselines for comparison.
 
-The baselines exist to be measured against; they hold no bound.
+The baselines exist for benchmarks. They do not enforce a bound across daemons.
 """
 
 import functools
@@ -26,7 +26,7 @@
 
 
 class PolicyDependencies(Protocol):
-    """What the policies need of a daemon."""
+    """The objects of a daemon that policies use."""
 
     owners_admission: Any
     targets: _targets.TargetDirectory
@@ -65,7 +65,7 @@
 def make_admission(
     name: _settings_types.RoutingPolicy, dependencies: PolicyDependencies
 ) -> _placement.Admission:
-    """Give what finds places under a policy."""
+    """Return the admission that implements a policy."""
     policy = _POLICY_BY_NAME[name]
     if isinstance(policy, _Owners):
         admission: _placement.Admission = dependencies.owners_admission
@@ -74,7 +74,7 @@
 
 
 class _LocalView(msgspec.Struct):
-    """What one daemon knows by itself."""
+    """Input of the baselines: state local to this daemon."""
 
     request: _placement.PlacementRequest
     usable: list[_ids.ReplicaId]
@@ -85,14 +85,14 @@
 
 @functools.singledispatch
 def choose(policy: object, view: _LocalView) -> _ids.ReplicaId:
-    """Choose a replica from what this daemon knows by itself.
+    """Return the replica that a baseline policy chooses.
 
     Parameters
     ----------
     policy : object
-        Decides which implementation runs.
+        Policy; selects the implementation.
     view : _LocalView
-        At least one usable replica.
+        Local state, with at least one usable replica.
     """
     raise NotImplementedError(f"no policy {policy!r}")
 
@@ -131,14 +131,14 @@
 
 @final
 class BaselineAdmission:
-    """Places requests without a word to anybody.
+    """Places requests without messages to other daemons.
 
     Parameters
     ----------
     policy : object
-        One of the baselines.
+        Baseline policy.
     dependencies : Parts
-        The daemon's parts.
+        Objects of this daemon that policies use.
     """
 
     def __init__(
@@ -153,13 +153,13 @@
     def record_engine_report(
         self, replica: _ids.ReplicaId, running: int
     ) -> None:
-        """Note what an engine says of its load."""
+        """Record an engine's report of its running requests."""
         self._reported_load_by_replica[replica] = running
 
     def admit(
         self, request: _placement.PlacementRequest
     ) -> _placement.Placement:
-        """Find a place; raises NoTarget."""
+        """Choose a replica; raises NoTarget or Overloaded if there is none."""
         usable = [
             replica
             for replica in self._dependencies.targets.usable(request.group)
@@ -191,7 +191,7 @@
         )
 
     def release(self, placement: _placement.Placement) -> None:
-        """Give a place back; a second time does nothing."""
+        """Release a placement; does nothing if it was released before."""
         if placement.released:
             return
         placement.released = True
--- a/src/topazlug/routing/_ranking.py
+++ b/src/topazlug/routing/_ranking.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: who comes first for a name, without any agreement.
+"""Rendezvous hashing: ranking of candidates without coordination.
 
-Every daemon computes the same order from the same set of candidates. When a
-candidate leaves, only the names that it held move; when one joins, it takes
-only its share [1]_.
+Every daemon computes the same ranking from the same set of candidates. When a
+candidate leaves, only the keys that it was first for move; when one joins, it
+takes only its share [1]_.
 
 .. [1] Thaler, Ravishankar, "Using name-based mappings to increase hit
    rates", IEEE/ACM Transactions on Networking 6(1), 1998.
@@ -17,38 +17,38 @@
 
 
 def chat_hash(*parts: str) -> _ids.ChatHash:
-    """Hash what names a chat.
+    """Return the hash of the parts that identify a chat.
 
     Parameters
     ----------
     *parts : str
-        What stays the same through a conversation.
+        Values that stay the same for all turns of the chat.
 
     Returns
     -------
     ChatHash
-        64-bit number.
+        64-bit hash.
     """
     joined = "\x00".join(parts)
     return _ids.ChatHash(xxhash.xxh3_64_intdigest(joined.encode()))
 
 
 def score(candidate: bytes, seed: int) -> int:
-    """Give the candidate's 64-bit score for a name already hashed."""
+    """Return a candidate's 64-bit score for the hash of a key."""
     return xxhash.xxh3_64_intdigest(candidate, seed)
 
 
 def rank(candidates: Iterable[str], seed: int, *, count: int) -> list[str]:
-    """Give the first candidates in a name's order.
+    """Return the highest-ranked candidates for a key.
 
     Parameters
     ----------
     candidates : iterable of str
         Names of the candidates.
     seed : int
-        64-bit hash of the name that is ranked.
+        64-bit hash of the key.
     count : int
-        How many are wanted.
+        Maximum number of candidates to return.
 
     Returns
     -------
@@ -62,6 +62,6 @@
 
 
 def first(candidates: Iterable[str], seed: int) -> str | None:
-    """Give the best candidate, or None when there is none."""
+    """Return the highest-ranked candidate, or None if there is none."""
     best = rank(candidates, seed, count=1)
     return best[0] if best else None
--- a/src/topazlug/routing/_routing_assembly.py
+++ b/src/topazlug/routing/_routing_assembly.py
@@ -1,4 +1,4 @@
-"""A daemon's routing, put together: targets, owners, ceilings."""
+"""Construction and wiring of a daemon's routing objects."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -40,16 +40,16 @@
 
 @final
 class RoutingAssembly:
-    """Everything that decides where a request goes.
+    """Builds and connects targets, ownership, admission and quotas.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Checked settings.
+        Validated settings.
     fleet : FleetParts
-        The platform and the peers.
+        Platform, membership and connections to peers.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -162,11 +162,14 @@
             report(replica, running)
 
     def on_list(self, callback: ListCallback) -> None:
-        """Have a callable called with the targets before and after a list."""
+        """Register a callback for new lists of targets.
+
+        It is called with the previous targets by id, and the new targets.
+        """
         self._list_callbacks.append(callback)
 
     def connect(self) -> None:
-        """Follow what the list, the members and the table say."""
+        """Subscribe to changes of targets, membership and configuration."""
         self._fleet.instances.on_change(self._list_changed)
         self._fleet.membership.on_change(self._members_changed)
         self._fleet.membership.on_target_fact(self.targets.take_fact)
@@ -188,7 +191,7 @@
         )
 
     def tasks(self) -> list[Callable[[], None]]:
-        """Give what runs for as long as the daemon does."""
+        """Return the functions to run in greenlets until the daemon stops."""
         return [
             self.owner_endpoint.renew_forever,
             self.owner_endpoint.report_forever,
@@ -211,7 +214,8 @@
         listed = _listed_targets.targets_of(
             self._fleet.instances.instances_by_id
         )
-        # A daemon that starts finds all of the list new; the fleet does not.
+        # On the first list of a new daemon all targets are new to it, but not
+        # to the fleet.
         if self._fleet.instances.refreshed_at is not None:
             known = self.targets.target_by_replica
             for target in _listed_targets.news(known, listed):
@@ -234,8 +238,8 @@
         for daemon, _ in dead - self._dropped_daemons:
             self.owner.drop_daemon(daemon)
             self.quota_owner.drop_daemon(daemon)
-            # Asks that wait in a frozen owner's queue would wait until
-            # their deadline: its connection stays open.
+            # The connection to a frozen owner stays open, so requests in its
+            # queue would otherwise wait until their deadline.
             self._fleet.links.disconnect(daemon)
         self._dropped_daemons = dead
         self.quota_owner.forget(self._is_quota_owner)
@@ -246,11 +250,11 @@
         return owner == self._fleet.daemon_id
 
     def _update_ownership(self) -> None:
-        """Rank anew, if the daemons or the replicas have changed.
+        """Update ownership if the daemons or the replicas have changed.
 
-        Both come as mappings that are replaced, never changed in place. A
-        lost zone brings hundreds of facts that change neither, and each
-        update looks through 6,100 replicas.
+        Both are mappings that are replaced, never modified in place. The
+        loss of a zone causes hundreds of membership facts that change
+        neither, and each update iterates over 6,100 replicas.
         """
         daemons = self._fleet.membership.usable()
         replicas = self.targets.target_by_replica
@@ -261,7 +265,7 @@
         self.ownership.update(daemons=daemons, replicas=replicas)
 
     def _paused(self, seconds: float) -> None:
-        _log.warning("this daemon was paused for {s:.1f} s", s=seconds)
+        _log.warning("this process was paused for {s:.1f} s", s=seconds)
         self.owner.mark_counts_uncertain()
 
     def _configuration_changed(self) -> None:
