--- a/tests/topazlug/routing/test_admission.py
+++ b/tests/topazlug/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Places: found by asking owners, in the chat's rank, within bounds."""
+"""Admission through owners, in the order of the chat's ranking."""
 
 import gevent
 import msgspec
@@ -17,7 +17,7 @@
 
 NAMES = ("d1", "d2", "d3")
 BACKOFF = _target_word.TargetWord(backoff=3.0)
-LEAVES = _target_word.TargetWord(leaving=True)
+LEAVING = _target_word.TargetWord(leaving=True)
 
 
 def some_targets(count=6, **options):
@@ -34,7 +34,7 @@
 
 
 def chat_owned_by(entry, owner):
-    """Give a chat whose home a certain daemon owns."""
+    """Return the number of a chat whose home has the given owner."""
     replicas = list(entry.targets.target_by_replica)
     for number in range(1000):
         home = _ids.ReplicaId(_ranking.first(replicas, chat(number)))
@@ -44,7 +44,10 @@
 
 
 def chat_with_owners(entry, *, home, second):
-    """Give a chat and its home, by the owners of the first of its rank."""
+    """Return a chat's number and its home.
+
+    The first two replicas of its ranking have the given owners.
+    """
     replicas = list(entry.targets.target_by_replica)
     for number in range(1000):
         ranked = _ranking.rank(replicas, chat(number), count=2)
@@ -60,7 +63,7 @@
 
 
 class TestAdmit:
-    def test_all_daemons_find_the_same_home(self, fleet):
+    def test_all_daemons_choose_the_same_home(self, fleet):
         for number in range(20):
             placements = [
                 admit(entry, number) for entry in fleet.entry_by_name.values()
@@ -76,14 +79,14 @@
             ):
                 entry.admission.release(placement)
 
-    def test_release_frees_once(self, fleet):
+    def test_second_release_does_nothing(self, fleet):
         entry = fleet.entry_by_name["d1"]
         first, _ = admit(entry, 1), admit(entry, 2)
         for _ in range(2):
             entry.admission.release(first)
         assert fleet.owned_load() == 1
 
-    def test_excluded_replica_is_passed_over(self, fleet):
+    def test_excluded_replica_is_not_chosen(self, fleet):
         entry = fleet.entry_by_name["d1"]
         home = admit(entry, 1).target.replica
         other = admit(entry, 1, excluded=frozenset({home}))
@@ -94,11 +97,11 @@
             admit(fleet.entry_by_name["d1"], 1, group="none")
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
 
-    def test_bound_holds_while_one_chat_surges(self):
-        """Symptom: one replica is swamped while others idle.
+    def test_bound_applies_while_all_requests_are_for_one_chat(self):
+        """One replica must not be overloaded while others are idle.
 
-        Sequence: all calls come for one chat. Cause: its home is one
-        replica; past the bound the next in rank must take it.
+        All requests are for one chat, which has a single home. Above the
+        bound, the next replica of its ranking must be used.
         """
         fleet = fleet_fakes.FakeFleet("d1", targets=some_targets(4))
         entry = fleet.entry_by_name["d1"]
@@ -115,14 +118,14 @@
         assert max(loads) <= 13  # ceil(1.25 * 40 / 4)
 
 
-class TestSilentOwner:
-    """Symptom: every caller whose home one daemon owns waits in vain.
+class TestUnresponsiveOwner:
+    """Requests must not wait long for an owner that does not reply.
 
-    Sequence: the owner is frozen; connections to it stay open. Cause: it
-    takes bytes and never answers.
+    The owner is frozen: its connections stay open, and it accepts bytes but
+    never replies.
     """
 
-    def test_next_in_rank_after_one_timeout(self, fleet):
+    def test_next_of_the_ranking_after_one_timeout(self, fleet):
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
         fleet.silent.add("d2")
@@ -133,18 +136,20 @@
         admit(entry, number)
         assert fleet.clock.seconds == pytest.approx(0.15)
 
-    def test_is_passed_over_for_longer_each_time(self, fleet):
-        """One slow answer must not cost a second of its chats' context."""
+    def test_is_skipped_for_longer_each_time(self, fleet):
+        """One slow reply must not move chats off their context for 1 s."""
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
         fleet.silent.add("d2")
-        for pause in (0.1, 0.2, 0.4, 0.8, 1.0, 1.0):
+        for skipped_for in (0.1, 0.2, 0.4, 0.8, 1.0, 1.0):
             before = fleet.clock.seconds
             admit(entry, number)
             assert fleet.clock.seconds == pytest.approx(before + 0.1)
-            fleet.clock.advance(pause - 0.01)
+            fleet.clock.advance(skipped_for - 0.01)
             admit(entry, number)
-            assert fleet.clock.seconds == pytest.approx(before + 0.09 + pause)
+            assert fleet.clock.seconds == pytest.approx(
+                before + 0.09 + skipped_for
+            )
             fleet.clock.advance(0.02)
 
     def test_is_asked_again_after_a_second(self, fleet):
@@ -156,7 +161,7 @@
         fleet.clock.advance(1.01)
         assert admit(entry, number).owner == "d2"
 
-    def test_with_none_left_the_entry_keeps_to_its_share(self):
+    def test_without_owners_the_entry_daemon_uses_only_its_share(self):
         fleet = fleet_fakes.FakeFleet(
             "d1",
             "d2",
@@ -175,7 +180,7 @@
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
         assert caught.value.retry_after
 
-    def test_places_of_its_own_are_counted_later(self):
+    def test_placements_without_an_owner_are_counted_at_renewal(self):
         fleet = fleet_fakes.FakeFleet(
             "d1", "d2", targets=some_targets(2), owners=["d2"]
         )
@@ -188,26 +193,26 @@
 
 
 class TestDisplaced:
-    def test_returning_chat_is_sent_to_its_seat(self):
-        """Symptom: a family's chat loses its context with each message.
+    def test_returning_chat_is_sent_to_where_it_was_displaced(self):
+        """A chat must not lose its context when its home is free again.
 
-        Sequence: its home was full once, another replica took it; then the
-        home is free again. Cause: the chat went back to its hash.
+        Its home was full once, and another replica admitted it. The next
+        turn must go to that replica, not to the home by its hash.
         """
         fleet = fleet_fakes.FakeFleet(*NAMES, targets=some_targets(slots=1))
         fleet.clock.advance(5)
         entry = fleet.entry_by_name["d1"]
         blocking = admit(entry, 1)
         moved = admit(entry, 1)
-        seat = moved.target.replica
+        displaced_to = moved.target.replica
         assert not moved.home
         for placement in (blocking, moved):
             entry.admission.release(placement)
         again = admit(fleet.entry_by_name["d2"], 1)
-        assert again.target.replica == seat
+        assert again.target.replica == displaced_to
         assert not again.home
 
-    def test_seat_that_is_gone(self):
+    def test_replica_that_it_was_displaced_to_is_leaving(self):
         fleet = fleet_fakes.FakeFleet(*NAMES, targets=some_targets(slots=1))
         fleet.clock.advance(5)
         entry = fleet.entry_by_name["d1"]
@@ -228,14 +233,14 @@
 
 
 class TestBackoff:
-    def test_next_of_the_rank_takes_it(self, fleet):
+    def test_next_of_the_ranking_is_used(self, fleet):
         entry = fleet.entry_by_name["d1"]
         home = admit(entry, 1).target
         entry.targets.take_word(home, BACKOFF)
         assert admit(entry, 1).target.replica != home.replica
 
-    def test_its_owner_lets_others_in(self, fleet):
-        """A replica gets nothing as one daemon, its owner, backs off."""
+    def test_backoff_of_one_daemon_does_not_affect_others(self, fleet):
+        """The owner's own backoff must not block the replica for all."""
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
         home = admit(entry, number).target
@@ -243,14 +248,14 @@
         placement = admit(entry, number)
         assert (placement.target, placement.owner) == (home, "d2")
 
-    def test_mean_of_a_group_is_of_all_in_service(self, fleet):
+    def test_replicas_in_backoff_count_for_the_mean(self, fleet):
         owner = fleet.entry_by_name["d2"]
         before = owner.owner.group_limits.total(fixtures.POOL).replicas
         owner.targets.take_word(fixtures.target("r1"), BACKOFF)
         assert owner.owner.group_limits.total(fixtures.POOL).replicas == before
 
-    def test_what_several_daemons_were_asked_for_holds_for_all(self, fleet):
-        """Each daemon has a request turned away before it knows."""
+    def test_backoff_of_several_daemons_applies_to_all(self, fleet):
+        """Otherwise each daemon has a request rejected before it backs off."""
         d1, d2, d3 = fleet.entry_by_name.values()
         home = admit(d1, 1).target
         for entry in (d1, d2):
@@ -261,7 +266,7 @@
         fleet.clock.advance(3.0)
         assert d3.targets.is_usable(home.replica)
 
-    def test_backoff_of_an_ended_start_is_not_shared(self, fleet):
+    def test_backoff_of_an_earlier_incarnation_is_not_shared(self, fleet):
         d1, d2, d3 = fleet.entry_by_name.values()
         home = admit(d1, 1).target
         again = msgspec.structs.replace(home, incarnation=2)
@@ -284,27 +289,28 @@
             admit(entry, 1)
         assert caught.value.retry_after == pytest.approx(3.0)
 
-    @pytest.mark.parametrize("word", [BACKOFF, LEAVES])
-    def test_place_that_is_granted_too_late_is_given_back(self, word):
-        """Who waited for a place gets one on a replica that wants nothing.
+    @pytest.mark.parametrize("status", [BACKOFF, LEAVING])
+    def test_placement_granted_too_late_is_released(self, status):
+        """A queued request must not be sent to a replica that backs off.
 
-        The replica says so to another request of the same daemon, while
-        this one waits in its owner's queue.
+        While the request is in the owner's queue, the replica answers
+        another request of the same daemon with a backoff or a sign that it
+        is leaving.
         """
         fleet = fleet_fakes.FakeFleet("d1", targets=some_targets(1, slots=1))
         fleet.clock.advance(5)
         entry = fleet.entry_by_name["d1"]
         blocking = admit(entry, 1)
-        waiting = gevent.spawn(refusal_of, entry, 1)
+        waiting = gevent.spawn(admit_or_error, entry, 1)
         fixtures.wait_until(entry.owner.waiting)
-        entry.targets.take_word(blocking.target, word)
+        entry.targets.take_word(blocking.target, status)
         entry.admission.release(blocking)
         assert isinstance(waiting.get(timeout=10), _errors.RequestError)
         assert fleet.owned_load() == 0
 
 
-def refusal_of(entry, number):
-    """Give the error of a request that finds no place."""
+def admit_or_error(entry, number):
+    """Return the error of a request, or its placement."""
     try:
         return admit(entry, number)
     except _errors.RequestError as error:
@@ -312,11 +318,11 @@
 
 
 class TestRenew:
-    def test_heals_a_lost_release(self, fleet):
-        """Symptom: a replica refuses all though it idles.
+    def test_corrects_a_lost_release(self, fleet):
+        """An idle replica must not reject all requests.
 
-        Sequence: the stream to the owner breaks with a release on it.
-        Cause: the place stays counted.
+        The connection to the owner breaks and a release is lost, so the
+        placement stays counted until the next renewal.
         """
         entry = fleet.entry_by_name["d1"]
         placement = admit(entry, chat_owned_by(entry, "d2"))
@@ -327,12 +333,13 @@
         entry.admission.held_placements.renew()
         fixtures.wait_until(lambda: fleet.owned_load() == 0)
 
-    def test_settles_an_answer_that_was_lost(self, fleet):
-        """Symptom: after a short cut of links, a replica never idles again.
+    def test_corrects_a_lost_reply(self, fleet):
+        """A replica must not count as loaded forever after a disconnection.
 
-        Sequence: an ask is granted, its answer and the release that follows
-        are lost with the stream; the cut ends before anybody is dead.
-        Cause: the entry held nothing of that owner, so it told it nothing.
+        A request is granted, but the reply and the release that follows are
+        lost with the connection, which recovers before a daemon is declared
+        dead. The entry daemon holds nothing with that owner, and must renew
+        with it nevertheless.
         """
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
@@ -347,7 +354,7 @@
         fixtures.wait_until(lambda: fleet.owned_load() == 0)
         assert entry.admission.held_placements.renew() == 0
 
-    def test_tells_a_new_owner(self, fleet):
+    def test_renews_with_a_new_owner(self, fleet):
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
         admit(entry, number)
@@ -360,7 +367,7 @@
         assert fleet.owned_load() == 1
         assert not fleet.entry_by_name["d2"].owner.ledger_by_replica
 
-    def test_dead_daemon_frees_its_places(self, fleet):
+    def test_placements_of_a_dead_daemon_are_released(self, fleet):
         admit(fleet.entry_by_name["d1"], 1)
         admit(fleet.entry_by_name["d2"], 2)
         for entry in fleet.entry_by_name.values():
@@ -368,16 +375,16 @@
         assert fleet.owned_load() == 1
 
 
-class TestReturnBesideADyingHome:
-    """Symptom: a chat moves again and again while its home comes and goes.
+class TestReturnWhileHomeIsDown:
+    """A chat must not move repeatedly while its home is intermittently down.
 
-    Sequence: the home is dead, which its owner knows and the entry daemon
-    not yet; the chat has run at the second of its rank, whose owner has not
-    heard of the end of that turn. Cause: at low load that turn alone fills
-    the bound, and only at a home is it overlooked.
+    The home is dead; its owner has been notified, the entry daemon has not.
+    The chat has run on the second replica of its ranking, whose owner has not
+    received the release of that turn. At low load that turn alone reaches the
+    bound, so it must be exempt there as it is at a home.
     """
 
-    def test_chat_stays_at_the_second_of_its_rank(self, fleet_of_low_bound):
+    def test_chat_stays_at_the_second_of_its_ranking(self, fleet_of_low_bound):
         fleet = fleet_of_low_bound
         entry, owner = (fleet.entry_by_name[name] for name in ("d1", "d2"))
         number, home = chat_with_owners(entry, home="d2", second="d3")
@@ -403,7 +410,7 @@
 
 
 class TestQueue:
-    """One daemon that owns its one replica of one slot; real time."""
+    """The queue of one replica with one slot; runs in real time."""
 
     @pytest.fixture
     def entry(self):
@@ -421,70 +428,71 @@
         return made
 
     @staticmethod
-    def wait(entry, number, seconds=100.0, **changes):
+    def admit_in_background(entry, number, seconds=100.0, **changes):
         deadline = entry.admission._clock.monotonic() + seconds
         return gevent.spawn(admit, entry, number, deadline=deadline, **changes)
 
     @staticmethod
-    def queued(entry):
+    def queue_length(entry):
         (ledger,) = entry.owner.ledger_by_replica.values()
         return len(ledger.queued_by_key)
 
     @staticmethod
-    def free(entry):
+    def release_held(entry):
         (placement,) = (
             entry.admission.held_placements.placement_by_ask.values()
         )
         entry.admission.release(placement)
 
-    def test_freed_slot_goes_to_the_first(self, entry):
-        tasks = [self.wait(entry, number) for number in (1, 2)]
-        fixtures.wait_until(lambda: self.queued(entry) == 2)
+    def test_released_slot_is_granted_in_order(self, entry):
+        tasks = [self.admit_in_background(entry, number) for number in (1, 2)]
+        fixtures.wait_until(lambda: self.queue_length(entry) == 2)
         for task in tasks:
-            self.free(entry)
+            self.release_held(entry)
             assert task.get(timeout=20).target.replica == "r0"
 
     def test_queue_is_bounded(self, entry):
-        tasks = [self.wait(entry, number) for number in (1, 2)]
-        fixtures.wait_until(lambda: self.queued(entry) == 2)
-        late = self.wait(entry, 3)
+        tasks = [self.admit_in_background(entry, number) for number in (1, 2)]
+        fixtures.wait_until(lambda: self.queue_length(entry) == 2)
+        excess = self.admit_in_background(entry, 3)
         with pytest.raises(_errors.Overloaded) as caught:
-            late.get(timeout=20)
+            excess.get(timeout=20)
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
         assert caught.value.retry_after
         assert not any(task.ready() for task in tasks)
 
     def test_deadline_in_the_queue(self, entry):
-        """Symptom: a caller gets a bare status 500 of the HTTP library.
+        """The deadline must not cause a status 500 from the HTTP library.
 
-        Sequence: its call waits in the queue of a replica that the same
-        daemon owns, until its deadline. Cause: the wait's timeout is no
-        exception of ours.
+        The request waits until its deadline in the queue of a replica that
+        the same daemon owns. The timeout of that wait must be converted to
+        an error of topazlug.
         """
         with pytest.raises(_errors.RequestError) as caught:
-            self.wait(entry, 1, seconds=0.02).get(timeout=20)
+            self.admit_in_background(entry, 1, seconds=0.02).get(timeout=20)
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
-        assert not self.queued(entry)
+        assert not self.queue_length(entry)
 
-    def test_caller_that_leaves_the_queue(self, entry):
-        """Symptom: slots stand empty though callers wait.
+    def test_caller_disconnects_while_queued(self, entry):
+        """Slots must not leak when a caller disconnects while queued.
 
-        Sequence: a caller hangs up while its call waits in the queue.
-        Cause: its turn is kept, and a slot is granted to nobody.
+        If its request stayed in the queue, it would be granted a slot that
+        is never released.
         """
-        task = self.wait(entry, 1)
-        fixtures.wait_until(lambda: self.queued(entry) == 1)
+        task = self.admit_in_background(entry, 1)
+        fixtures.wait_until(lambda: self.queue_length(entry) == 1)
         task.kill()
-        assert not self.queued(entry)
+        assert not self.queue_length(entry)
 
-    def test_queue_of_a_lost_replica_looks_for_another_place(self, entry):
-        """Symptom: calls are refused as overloaded while slots are free.
+    def test_queued_requests_of_a_lost_replica_are_placed_again(self, entry):
+        """Requests must not be rejected as overloaded while slots are free.
 
-        Sequence: calls wait at a replica's owner; the replica gets another
-        owner. Cause: the old one sent its queue away as if it were full.
+        Requests are queued at a replica's owner when the replica gets a new
+        owner. The old owner must not reject them as if the replica were
+        full.
         """
-        task = self.wait(entry, 1)
-        fixtures.wait_until(lambda: self.queued(entry) == 1)
+        task = self.admit_in_background(entry, 1)
+        fixtures.wait_until(lambda: self.queue_length(entry) == 1)
         entry.owner.apply_transfers(
             [_ownership.Transfer(_ids.ReplicaId("r0"), entry.daemon, None)]
         )
@@ -495,11 +503,11 @@
 
 
 class TestOverload:
-    def test_full_replicas_are_not_asked_again_at_once(self):
-        """Symptom: control traffic grows with overload, to 92 KB/s.
+    def test_full_replicas_are_not_requested_again_at_once(self):
+        """Control traffic must not grow with overload, to 92 KB/s.
 
-        Sequence: all slots are taken and calls keep coming. Cause: each call
-        asked each owner, only to hear again that it is full.
+        All slots are taken and requests keep arriving. Each of them was sent
+        to each owner, and rejected each time.
         """
         fleet = fleet_fakes.FakeFleet(
             "d1", "d2", targets=some_targets(4, slots=1), owners=["d2"]
@@ -511,7 +519,7 @@
         counts = fleet.entry_by_name["d2"].owner.count_by_verdict
         before = counts[messages.Verdict.full]
         fleet.clock.advance(1)
-        for asked in (4, 5):
+        for rejections in (4, 5):
             with pytest.raises(_errors.DeadlineExceeded):
                 admit(entry, 1, deadline=fleet.clock.seconds + 0.05)
-            assert counts[messages.Verdict.full] - before == asked
+            assert counts[messages.Verdict.full] - before == rejections
--- a/tests/topazlug/routing/test_group_load.py
+++ b/tests/topazlug/routing/test_group_load.py
@@ -1,4 +1,4 @@
-"""The mean load of a group, from owners that each see a part."""
+"""The load of a group, collected from the owners of its replicas."""
 
 import pytest
 
@@ -27,13 +27,13 @@
 
 
 class TestCollector:
-    def test_adds_up_the_last_reports(self, collector):
+    def test_adds_up_the_latest_reports(self, collector):
         collector.add_report("d1", report(r1=5, r2=1))
         collector.add_report("d1", report(r1=2))
         summary = collector.add_report("d2", report(r3=4))
         assert (summary.total, summary.replicas) == (7, 3)
 
-    def test_silent_owner_is_left_out(self, collector, clock):
+    def test_stale_reports_are_excluded(self, collector, clock):
         collector.add_report("d1", report(r1=9))
         clock.advance(3.1)
         summary = collector.add_report("d2", report(r2=4))
@@ -46,36 +46,36 @@
             )
         assert summary.interval > 1.0
 
-    def test_all_choose_the_same_collector(self):
+    def test_collector_does_not_depend_on_the_order_of_daemons(self):
         daemons = [_ids.DaemonId(f"d{n}") for n in range(9)]
         chosen = _group_load.collector_of("pool", daemons)
         assert chosen == _group_load.collector_of("pool", daemons[::-1])
         assert _group_load.collector_of("pool", []) is None
 
 
-class TestGroupView:
+class TestGroupEstimate:
     @staticmethod
-    def view(**changes):
+    def estimate_from_summary(**changes):
         made = _group_load.GroupEstimate()
         fields = {"group": "pool", "total": 30, "replicas": 6, "interval": 0.1}
         summary = messages.LoadSummary(**{**fields, **changes})
         made.apply_summary(summary, own=10, now=100.0)
         return made
 
-    def test_own_part_is_replaced_by_what_is_counted_now(self):
-        total = self.view().estimate(
+    def test_own_part_is_replaced_by_the_current_count(self):
+        total = self.estimate_from_summary().estimate(
             own=14, own_replicas=2, replicas=6, now=100.5
         )
         assert total == 34
 
-    def test_replicas_nobody_reports_count_as_the_mean(self):
-        total = self.view(replicas=3).estimate(
+    def test_unreported_replicas_count_as_the_mean(self):
+        total = self.estimate_from_summary(replicas=3).estimate(
             own=10, own_replicas=1, replicas=6, now=100.5
         )
         assert total == 60
 
-    def test_without_a_collector_own_replicas_stand_for_all(self):
-        total = self.view().estimate(
+    def test_without_a_recent_total_own_replicas_are_extrapolated(self):
+        total = self.estimate_from_summary().estimate(
             own=10, own_replicas=2, replicas=6, now=110.0
         )
         assert total == 30
@@ -86,14 +86,14 @@
         "bound, total, replicas, limit",
         [(1.25, 39, 4, 12), (1.5, 0, 6, 1), (2.0, 5, 3, 3), (1.0, 0, 0, 1)],
     )
-    def test_is_one_less_than_the_multiple(
+    def test_is_one_less_than_the_multiple_of_the_mean(
         self, bound, total, replicas, limit
     ):
-        """Symptom: engines are over the bound while load falls.
+        """Engines must not exceed the bound while the load falls.
 
-        Sequence: the total that owners go by is a tenth of a second old and
-        higher than the true one. Cause: admitted at the limit of the old
-        mean, a request is over that of the true one.
+        The total that owners use is a tenth of a second old and then higher
+        than the true one. A request admitted at the limit of the old mean
+        would exceed the limit of the true one.
         """
         assert limit == _group_load.bound_limit(
             bound=bound, total=total, replicas=replicas
@@ -101,6 +101,6 @@
 
     @pytest.mark.parametrize("total", range(0, 60, 7))
     def test_never_below_the_mean(self, total):
-        """A replica at the mean or below it always takes one more."""
+        """A replica at or below the mean always admits one more."""
         limit = _group_load.bound_limit(bound=1.0, total=total, replicas=6)
         assert limit >= (total + 1) / 6
--- a/tests/topazlug/routing/test_ledger.py
+++ b/tests/topazlug/routing/test_ledger.py
@@ -1,4 +1,4 @@
-"""The count of one replica: exact, whatever comes twice or not at all."""
+"""The ledger of one replica: exact when messages are repeated or lost."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -13,7 +13,7 @@
 NO_LIMIT = {"limit": 1000, "now": 100.0, "mean": 0.0}
 
 
-def make(*, slots=10, batch_slots=8, capacity=4):
+def make_ledger(*, slots=10, batch_slots=8, capacity=4):
     return _ledger.ReplicaLedger(
         replica=_ids.ReplicaId("r0"),
         group=_ids.GroupName("pool"),
@@ -32,10 +32,10 @@
 
 
 class Waiter:
-    """One ask that waits, and what became of it."""
+    """One queued request and its outcome."""
 
     def __init__(self, ledger, ask, *, daemon="d1", deadline=1e9, **options):
-        self.fate = None
+        self.outcome = None
         ledger.enqueue(
             _ledger.QueuedRequest(
                 key=key(daemon, ask),
@@ -47,86 +47,85 @@
             team_weight=1.0,
         )
 
-    def end(self, fate):
-        assert self.fate is None
-        self.fate = fate
+    def end(self, outcome):
+        assert self.outcome is None
+        self.outcome = outcome
 
 
 class TestQueue:
-    def test_grants_while_there_is_room(self):
-        ledger = make(slots=2)
+    def test_grants_while_slots_are_free(self):
+        ledger = make_ledger(slots=2)
         waiters = [Waiter(ledger, ask) for ask in range(3)]
         ledger.grant_queued(**NO_LIMIT)
-        assert [w.fate for w in waiters] == ["granted", "granted", None]
+        assert [w.outcome for w in waiters] == ["granted", "granted", None]
         ledger.release(key("d1", 0), now=100.0)
         ledger.grant_queued(**NO_LIMIT)
-        assert waiters[2].fate == "granted"
+        assert waiters[2].outcome == "granted"
 
-    def test_expired_ask_is_refused(self):
-        ledger = make()
-        late = Waiter(ledger, 1, deadline=99.0)
+    def test_request_past_its_deadline_is_rejected(self):
+        ledger = make_ledger()
+        expired = Waiter(ledger, 1, deadline=99.0)
         ledger.grant_queued(**NO_LIMIT)
-        assert late.fate == "full"
+        assert expired.outcome == "full"
         assert ledger.load == 0
 
-    def test_bound_holds_the_queue_back(self):
-        ledger = make()
+    def test_requests_over_the_bound_stay_queued(self):
+        ledger = make_ledger()
         waiters = [Waiter(ledger, ask) for ask in range(3)]
         ledger.grant_queued(limit=2, now=100.0, mean=0.0)
-        assert [w.fate for w in waiters] == ["granted", "granted", None]
+        assert [w.outcome for w in waiters] == ["granted", "granted", None]
 
-    def test_full_queue_evicts_the_longest_team(self):
-        ledger = make(capacity=2)
+    def test_full_queue_evicts_from_the_team_with_most_requests(self):
+        ledger = make_ledger(capacity=2)
         surge = [Waiter(ledger, ask, team="surge") for ask in range(2)]
         calm = Waiter(ledger, 9, team="calm")
-        assert [w.fate for w in surge] == [None, "full"]
-        assert calm.fate is None
+        assert [w.outcome for w in surge] == [None, "full"]
+        assert calm.outcome is None
 
-    def test_batch_work_gets_every_eighth_turn(self):
-        """Symptom: an audit never runs.
-
-        Cause: interactive work overloads the replica and goes first.
-        """
-        ledger = make(slots=1, batch_slots=1, capacity=50)
+    def test_every_eighth_grant_is_batch_work(self):
+        """Batch work must run even under interactive overload."""
+        ledger = make_ledger(slots=1, batch_slots=1, capacity=50)
         batch = Waiter(ledger, 99, batch=True)
         order = [Waiter(ledger, ask) for ask in range(20)]
         turns = 0
-        while batch.fate is None:
+        while batch.outcome is None:
             ledger.grant_queued(**NO_LIMIT)
             turns += 1
             for ask in list(ledger.entry_by_key):
                 ledger.release(ask, now=100.0)
         assert turns == 8
-        assert [w.fate for w in order].count("granted") == 7
+        assert [w.outcome for w in order].count("granted") == 7
 
-    def test_dead_daemon_leaves_the_queue(self):
-        ledger = make()
+    def test_requests_of_a_dead_daemon_leave_the_queue(self):
+        ledger = make_ledger()
         Waiter(ledger, 1, daemon="d1")
         other = Waiter(ledger, 1, daemon="d2")
         ledger.drop_daemon(_ids.DaemonId("d1"), now=1.0)
         ledger.grant_queued(**NO_LIMIT)
-        assert other.fate == "granted"
+        assert other.outcome == "granted"
         assert list(ledger.entry_by_key) == [key("d2", 1)]
 
-    def test_all_are_sent_away_with_the_ownership(self):
-        ledger = make()
+    def test_all_queued_requests_are_rejected(self):
+        ledger = make_ledger()
         waiters = [Waiter(ledger, n, batch=n % 2 == 0) for n in range(4)]
         ledger.reject_all(messages.Verdict.not_owner)
-        assert {w.fate for w in waiters} == {"not_owner"}
+        assert {w.outcome for w in waiters} == {"not_owner"}
 
 
 ASKS = strategies.integers(0, 5)
-WHO = strategies.sampled_from(DAEMONS)
+DAEMON_NAMES = strategies.sampled_from(DAEMONS)
 STEP = strategies.one_of(
     strategies.tuples(
-        strategies.just("hold"), WHO, ASKS, strategies.integers(1, 3)
+        strategies.just("hold"), DAEMON_NAMES, ASKS, strategies.integers(1, 3)
     ),
-    strategies.tuples(strategies.just("release"), WHO, ASKS),
+    strategies.tuples(strategies.just("release"), DAEMON_NAMES, ASKS),
     strategies.tuples(
-        strategies.just("renew"), WHO, strategies.sets(ASKS, max_size=4)
+        strategies.just("renew"),
+        DAEMON_NAMES,
+        strategies.sets(ASKS, max_size=4),
     ),
-    strategies.tuples(strategies.just("drop"), WHO),
-    strategies.tuples(strategies.just("queue"), WHO, ASKS),
+    strategies.tuples(strategies.just("drop"), DAEMON_NAMES),
+    strategies.tuples(strategies.just("queue"), DAEMON_NAMES, ASKS),
     strategies.tuples(strategies.just("pump")),
 )
 
@@ -134,13 +133,13 @@
 class TestAnySteps:
     @settings(max_examples=300)
     @given(strategies.lists(STEP, max_size=40))
-    def test_count_is_the_sum_of_what_is_held(self, steps):
-        """Symptom: a replica refuses all though idle, or is swamped.
+    def test_load_is_the_sum_of_the_entries(self, steps):
+        """A wrong count makes an idle replica reject all, or overloads it.
 
-        Sequence: any order of holds, releases, renewals and deaths, also
-        repeated. Cause: one of them counted twice, or not at all.
+        Any order of holds, releases, renewals and deaths of daemons, also
+        repeated ones, must be counted exactly once.
         """
-        ledger, model = make(), {}
+        ledger, model = make_ledger(), {}
         for step in steps:
             getattr(self, step[0])(ledger, model, *step[1:])
             assert dict(ledger.entry_by_key) == model
@@ -152,22 +151,22 @@
         assert (ledger.load, ledger.batch_load) == (0, 0)
 
     def hold(self, ledger, model, daemon, ask, weight):
-        place = entry(weight, batch=ask % 2 == 0)
-        ledger.hold(key(daemon, ask), place)
-        model.setdefault(key(daemon, ask), place)
+        held = entry(weight, batch=ask % 2 == 0)
+        ledger.hold(key(daemon, ask), held)
+        model.setdefault(key(daemon, ask), held)
 
     def release(self, ledger, model, daemon, ask):
         freed = ledger.release(key(daemon, ask), now=1.0)
         assert freed is (model.pop(key(daemon, ask), None) is not None)
 
     def renew(self, ledger, model, daemon, asks):
-        places = {
+        held_by_ask = {
             ask: messages.HeldPlace(
                 ask=ask, replica="r0", weight=1, team="acme", batch=False
             )
             for ask in asks
         }
-        ledger.reconcile(_ids.DaemonId(daemon), places, set(), now=1.0)
+        ledger.reconcile(_ids.DaemonId(daemon), held_by_ask, set(), now=1.0)
         for old in [k for k in model if k.daemon == daemon]:
             if old.ask not in asks:
                 del model[old]
@@ -192,47 +191,48 @@
 
 
 class TestExpectedWait:
-    def test_idle_spell_does_not_count(self):
-        """Symptom: the first call after a quiet night is refused.
+    def test_idle_period_does_not_count(self):
+        """The first request after an idle night must not be rejected.
 
-        Sequence: nothing runs for an hour, then two calls come. Cause: the
-        hour counted as the time between two releases.
+        If nothing runs for an hour, the hour must not count as the time
+        between two releases.
         """
-        ledger = make(slots=2)
+        ledger = make_ledger(slots=2)
         for at, ask in ((0.0, 1), (3600.0, 2)):
             ledger.hold(key("d1", ask), entry())
             ledger.release(key("d1", ask), now=at)
         assert ledger.expected_wait(batch=False) == 0.0
 
-    def test_demand_counts_what_waits(self):
-        """Symptom: a burst onto an idle group is let in one by one.
+    def test_demand_includes_queued_requests(self):
+        """A burst on an idle group must not be admitted one by one.
 
-        Cause: the mean was taken over what runs, and nothing ran yet.
+        With a mean of running requests only, all others would be over the
+        bound.
         """
-        ledger = make(slots=2)
+        ledger = make_ledger(slots=2)
         for ask in range(3):
             Waiter(ledger, ask)
         assert ledger.demand() == 3
 
 
 class TestEngineReports:
-    def test_turns_that_ended_before_their_report_came(self):
-        """Symptom: a chat is sent away from an idle replica.
+    def test_requests_released_before_their_report_do_not_count(self):
+        """A chat must not be moved away from an idle replica.
 
-        Sequence: a chat's short turns follow each other; the engine counts
-        one each time it is asked, and each has ended when its answer is
-        taken. Cause: the report is held against the count of that moment,
-        and three in a row pass for places that another owner granted.
+        During a sequence of short turns, each engine report counts one
+        request that has been released when the report is recorded. Compared
+        with the count at that moment, three such reports in a row would look
+        like a request that another owner admitted.
         """
-        ledger = make()
+        ledger = make_ledger()
         for ask in range(6):
             ledger.hold(key("d1", ask), entry())
             ledger.release(key("d1", ask), now=100.0)
             ledger.add_engine_report(1)
         assert ledger.observed_load() == 0
 
-    def test_places_that_another_owner_granted_count(self):
-        ledger = make()
+    def test_requests_admitted_by_another_owner_count(self):
+        ledger = make_ledger()
         for ask in range(3):
             ledger.hold(key("d1", ask), entry())
             ledger.release(key("d1", ask), now=100.0)
--- a/tests/topazlug/routing/test_owner.py
+++ b/tests/topazlug/routing/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner's word: exact counts, careful when it can't know them."""
+"""Admission by an owner: exact counts, and uncertain ones."""
 
 import pytest
 
@@ -29,15 +29,15 @@
     )
 
 
-class Asker:
-    """Asks one owner, and keeps what it answers."""
+class Requester:
+    """Sends admission requests to one owner."""
 
     def __init__(self, entry):
         self.owner = entry.owner
         self.count = 0
 
     def ask(self, replica=R0, **changes):
-        """Give the verdict; None while the ask waits."""
+        """Return the verdict; None while the request is queued."""
         self.count += 1
         replies = []
         fields = {
@@ -60,91 +60,94 @@
 
 
 @pytest.fixture
-def asker(entry):
-    return Asker(entry)
+def requester(entry):
+    return Requester(entry)
 
 
 class TestAsk:
-    def test_slots_are_counted_exactly(self, asker, clock):
+    def test_slots_are_counted_exactly(self, requester, clock):
         clock.advance(5)
-        asker.fill(10)
-        assert asker.ask() is VERDICT.full
+        requester.fill(10)
+        assert requester.ask() is VERDICT.full
 
-    def test_not_mine(self, asker, entry):
+    def test_replica_of_another_owner(self, requester, entry):
         entry.ownership.update(daemons=["d9"], replicas=["r0", "r1"])
-        assert asker.ask() is VERDICT.not_owner
+        assert requester.ask() is VERDICT.not_owner
 
-    def test_unusable_replica(self, asker, entry):
+    def test_unusable_replica(self, requester, entry):
         entry.targets.avoid(R0)
-        assert asker.ask() is VERDICT.expired
+        assert requester.ask() is VERDICT.expired
 
-    def test_batch_leaves_the_reserve(self, asker, clock):
-        """Symptom: a stock query waits behind audits.
-
-        Cause: batch work took the last slots.
-        """
+    def test_batch_work_leaves_the_reserve_free(self, requester, clock):
+        """Interactive requests must not wait for slots of batch work."""
         clock.advance(5)
-        asker.fill(8, batch=True)  # floor(10 * (1 - 0.15))
-        assert asker.ask(batch=True) is VERDICT.full
-        asker.fill(2)
+        requester.fill(8, batch=True)  # floor(10 * (1 - 0.15))
+        assert requester.ask(batch=True) is VERDICT.full
+        requester.fill(2)
 
-    def test_interactive_does_not_wait_behind_the_reserve(self, asker, clock):
+    def test_interactive_work_does_not_wait_behind_queued_batch_work(
+        self, requester, clock
+    ):
         clock.advance(5)
-        asker.fill(8, batch=True)
-        assert asker.ask(batch=True, wait=9.0) is None
-        assert asker.ask() is VERDICT.granted
+        requester.fill(8, batch=True)
+        assert requester.ask(batch=True, wait=9.0) is None
+        assert requester.ask() is VERDICT.granted
 
-    def test_release_of_an_unknown_ask(self, asker, entry):
-        asker.fill(1)
+    def test_release_of_an_unknown_request(self, requester, entry):
+        requester.fill(1)
         entry.owner.release(PEER, [99, 99])
         assert entry.owner.ledger_by_replica[R0].load == 1
 
 
-class TestCareful:
-    """Symptom: a replica is swamped right after its owner changed.
+class TestUncertainCounts:
+    """A replica must not be overloaded just after a change of owner.
 
-    Sequence: the new owner knows nothing yet of what others hold. Cause:
-    its count is too low.
+    The count of the new owner is too low until entry daemons have renewed
+    their placements.
     """
 
-    def test_new_owner_goes_by_the_engines_report(self, asker, entry):
-        asker.fill(1)
+    def test_new_owner_uses_the_engines_report(self, requester, entry):
+        requester.fill(1)
         entry.owner.record_engine_report(R0, 10)
-        assert asker.ask() is VERDICT.full
+        assert requester.ask() is VERDICT.full
 
-    def test_until_entries_have_renewed(self, asker, entry, clock):
-        asker.fill(1)
+    def test_only_until_entry_daemons_had_time_to_renew(
+        self, requester, entry, clock
+    ):
+        requester.fill(1)
         entry.owner.record_engine_report(R0, 10)
         clock.advance(2.6)
-        assert asker.ask() is VERDICT.granted
+        assert requester.ask() is VERDICT.granted
 
-    def test_after_a_pause(self, asker, entry, clock):
-        asker.fill(1)
+    def test_after_a_pause_of_the_owner(self, requester, entry, clock):
+        requester.fill(1)
         clock.advance(5)
         entry.owner.record_engine_report(R0, 0)
         entry.owner.mark_counts_uncertain()
         entry.owner.record_engine_report(R0, 10)
-        assert asker.ask() is VERDICT.full
+        assert requester.ask() is VERDICT.full
 
-    def test_load_that_another_owner_admits(self, asker, entry, clock):
-        asker.fill(1)
+    def test_load_admitted_by_another_owner_counts(
+        self, requester, entry, clock
+    ):
+        requester.fill(1)
         clock.advance(5)
         for _ in range(3):
             entry.owner.record_engine_report(R0, 10)
-        assert asker.ask() is VERDICT.full
+        assert requester.ask() is VERDICT.full
 
 
 class TestTransfer:
-    def test_displaced_chats_are_handed_over(self, entry):
-        note = messages.Displaced(
+    def test_displaced_chats_are_returned_for_the_new_owner(self, entry):
+        entry_message = messages.Displaced(
             group=fixtures.POOL, home="r0", chat=7, replica="r1"
         )
-        entry.owner.displaced.record(note)
+        entry.owner.displaced.record(entry_message)
         moved = _ownership.Transfer(R0, entry.daemon, PEER)
-        assert entry.owner.apply_transfers([moved]) == {PEER: [note]}
+        assert entry.owner.apply_transfers([moved]) == {PEER: [entry_message]}
         assert len(entry.owner.displaced) == 0
 
-    def test_pool_without_slots_in_the_list_takes_the_rows(self, clock):
+    def test_replica_listed_without_slots_uses_those_of_its_row(self, clock):
         entry = fixtures.Entry(
             "d1",
             targets=[fixtures.target("r0", slots=0)],
@@ -152,7 +155,7 @@
             clock=clock,
             links=fixtures.NoLinks(),
         )
-        asker = Asker(entry)
+        requester = Requester(entry)
         clock.advance(5)
-        asker.fill(16)
-        assert asker.ask() is VERDICT.full
+        requester.fill(16)
+        assert requester.ask() is VERDICT.full
--- a/tests/topazlug/routing/test_ownership.py
+++ b/tests/topazlug/routing/test_ownership.py
@@ -1,4 +1,4 @@
-"""Owners kept by difference are the owners of a full ranking."""
+"""Incrementally updated owners equal those of a full ranking."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -35,19 +35,19 @@
             for change in ownership.update(daemons=daemons, replicas=replicas):
                 assert seen.get(change.replica) == change.before
                 seen[change.replica] = change.after
-            wanted = full_ranking(daemons, replicas)
-            assert owners(ownership, replicas) == wanted
+            expected = full_ranking(daemons, replicas)
+            assert owners(ownership, replicas) == expected
             assert {r: d for r, d in seen.items() if d} == {
-                r: d for r, d in wanted.items() if d
+                r: d for r, d in expected.items() if d
             }
 
-    def test_callbacks_get_what_changed(self):
+    def test_callbacks_receive_changes_once(self):
         ownership = _ownership.Ownership()
-        told = []
-        ownership.on_transfer(told.extend)
+        received = []
+        ownership.on_transfer(received.extend)
         for _ in range(2):
             ownership.update(daemons=["d1"], replicas=["r1"])
-        assert told == [_ownership.Transfer("r1", None, "d1")]
+        assert received == [_ownership.Transfer("r1", None, "d1")]
 
     def test_owned_by(self):
         ownership = _ownership.Ownership()
--- a/tests/topazlug/routing/test_policies.py
+++ b/tests/topazlug/routing/test_policies.py
@@ -1,4 +1,4 @@
-"""The baselines, which routing is measured against."""
+"""Baseline routing policies."""
 
 import types
 
@@ -41,28 +41,28 @@
     return [admission.admit(request).target.replica for _ in range(count)]
 
 
-class TestAdmissionOf:
+class TestMakeAdmission:
     def test_owners(self, make):
         assert replicas(make(POLICY.owners), 1)
 
-    def test_hash_sticks_to_the_home(self, make):
+    def test_hash_always_chooses_the_home(self, make):
         home = _ranking.first(
             ["r0", "r1", "r2", "r3"], _ranking.chat_hash("c")
         )
         assert replicas(make(POLICY.hash), 20) == [home] * 20
 
-    def test_sliver_spreads_its_own(self, make):
+    def test_sliver_spreads_the_load_of_one_daemon(self, make):
         rows = replicas(make(POLICY.sliver), 40)
         assert len(set(rows)) == 4
 
-    def test_two_choices_take_the_less_loaded(self, make):
+    def test_two_choices_prefers_the_less_loaded(self, make):
         admission = make(POLICY.two_choices)
         for replica in ("r0", "r1", "r2"):
             admission.record_engine_report(replica, 10)
         rows = replicas(admission, 100)
         assert rows.count("r3") > 25
 
-    def test_random_uses_all(self, make):
+    def test_random_uses_all_replicas(self, make):
         assert len(set(replicas(make(POLICY.random), 200))) == 4
 
     @pytest.mark.parametrize("name", list(POLICY))
--- a/tests/topazlug/routing/test_ranking.py
+++ b/tests/topazlug/routing/test_ranking.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: a change moves only its own share."""
+"""Rendezvous hashing: a change of candidates moves only their share."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -25,7 +25,7 @@
         assert len(ordered) == min(count, len(names))
 
     @given(NAMES, strategies.data())
-    def test_leave_moves_only_its_own(self, names, data):
+    def test_removal_moves_only_the_chats_of_the_removed(self, names, data):
         gone = data.draw(strategies.sampled_from(sorted(names)))
         before = home_by_chat(names)
         after = home_by_chat(names - {gone})
@@ -33,14 +33,14 @@
             assert before[chat] in (gone, after[chat])
 
     @given(NAMES, strategies.data())
-    def test_leave_sends_its_chats_to_their_second(self, names, data):
+    def test_removal_moves_chats_to_their_second_candidate(self, names, data):
         gone = data.draw(strategies.sampled_from(sorted(names)))
         for chat in CHATS[:20]:
             first, second = _ranking.rank(names, chat, count=2)
             if first == gone:
                 assert _ranking.first(names - {gone}, chat) == second
 
-    def test_join_takes_about_its_share(self):
+    def test_new_candidate_takes_about_its_share(self):
         names = {f"r{number}" for number in range(9)}
         chats = [_ranking.chat_hash("c", str(n)) for n in range(5000)]
         taken = [
@@ -50,8 +50,8 @@
         ]
         assert 400 < len(taken) < 600
 
-    def test_nobody(self):
+    def test_no_candidates(self):
         assert _ranking.first([], CHATS[0]) is None
 
-    def test_parts_are_kept_apart(self):
+    def test_boundaries_between_parts_change_the_hash(self):
         assert _ranking.chat_hash("ab", "c") != _ranking.chat_hash("a", "bc")
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -1,9 +1,9 @@
-"""The request path of one daemon in this process, and targets for it.
+"""The request path of one daemon, run in the test process, and its targets.
 
-The listener, the calls, the attempts, the admission with its owner and the
-connections are the daemon's own; only membership and the platform are
-fakes. Engines and services are the stand-ins, in this process too, so a
-test sets their faults and reads their journals directly.
+The listener, calls, attempts, admission, owner and connections are the real
+ones; only membership and the platform are fakes. Engines and services are the
+stand-ins and run in the test process too, so that tests can set their faults
+and read their journals directly.
 """
 
 import collections
@@ -70,14 +70,17 @@
 
 
 def wait_until(condition: Callable[[], bool], what: str = "condition") -> None:
-    """Wait until something holds; far beyond any load of the machine."""
-    with gevent.Timeout(20, AssertionError(f"never came: {what}")):
+    """Wait until a condition is true.
+
+    The timeout is long enough for a heavily loaded machine.
+    """
+    with gevent.Timeout(20, AssertionError(f"timed out waiting for: {what}")):
         while not condition():
             gevent.sleep(0.002)
 
 
 class QuickClock:
-    """The machine's clock, but pauses between repeats are short."""
+    """The system clock, with sleeps limited to 2 ms."""
 
     def __init__(self) -> None:
         self.now = _clock.SystemClock().now
@@ -88,7 +91,7 @@
 
 
 class LeavingRecorder:
-    """Keeps which targets said that they are leaving."""
+    """Records the targets that reported that they are leaving."""
 
     def __init__(self) -> None:
         self.replicas: list[str] = []
@@ -101,7 +104,7 @@
 
 
 class FakeQuotas:
-    """Grants every ticket and counts those that are out."""
+    """Grants every ticket and counts the outstanding ones."""
 
     def __init__(self) -> None:
         self.outstanding = 0
@@ -121,7 +124,7 @@
 
 
 class NoLinks:
-    """A fleet of one: there is no peer to talk to."""
+    """Connections of a fleet of one daemon: every peer is unreachable."""
 
     def send(self, to, message):
         raise _errors.PeerUnreachable(to)
@@ -134,7 +137,7 @@
 
 
 def table_holder(rows: Any = None) -> _configuration.ConfigurationHolder:
-    """Make a holder with a table in force."""
+    """Return a configuration holder with a table applied."""
     holder = _configuration.ConfigurationHolder()
     changes = [
         messages.RowChange(
@@ -158,7 +161,7 @@
     incarnation: int = 1,
     leaving: bool = False,
 ) -> _targets.Target:
-    """Make a target as the platform lists it."""
+    """Return a target as the platform lists it."""
     return _targets.Target(
         replica=_ids.ReplicaId(replica),
         kind=_targets.TargetKind.ENGINE,
@@ -173,7 +176,7 @@
 
 
 def dead_fact(replica: str) -> messages.Fact:
-    """Give the fact that a replica is dead."""
+    """Return the fact that a replica is dead."""
     return messages.Fact(
         kind=messages.FactKind.target,
         subject=replica,
@@ -184,7 +187,7 @@
 
 
 def placement_request(**changes: Any) -> _placement.PlacementRequest:
-    """Make a request for a place, with the values most tests share."""
+    """Return a placement request with common values."""
     request = _placement.PlacementRequest(
         group=POOL,
         chat=_ranking.chat_hash("c"),
@@ -198,7 +201,7 @@
 
 @final
 class Entry:
-    """One daemon's entry and owner roles over fake links."""
+    """One daemon's entry and owner roles over given connections."""
 
     def __init__(
         self,
@@ -322,11 +325,11 @@
 
     @property
     def port(self) -> int:
-        """Give the port that callers use."""
+        """Port of the callers' listener."""
         return self.server.server_port
 
     def list_target(self, replica: str, port: int, **changes: Any) -> None:
-        """Put a target on the list."""
+        """Add a target to the list of targets."""
         self.listed.append(target(replica, port=port, **changes))
         self.entry.targets.take_list(self.listed)
         self.entry.ownership.update(
@@ -376,25 +379,25 @@
     def scripted(
         self, name: str, script: Callable[[Any], None], **changes: Any
     ) -> None:
-        """Start a target that does what a function does with a socket."""
+        """Start a target whose connections are handled by a function."""
         server = wire_fixtures.scripted_server(script)
         self.servers.append(server)
         self.list_target(name, server.server_port, **changes)
 
     def held_load(self) -> int:
-        """Give the places that the owner counts."""
+        """Return the load that the owner counts."""
         ledgers = self.entry.owner.ledger_by_replica.values()
         return sum(ledger.load for ledger in ledgers)
 
     def wait_idle(self) -> None:
-        """Wait until no request runs and no place is in use."""
-        wait_until(lambda: not self.app.in_progress, "all requests ended")
-        wait_until(lambda: not self.held_load(), "all places given back")
+        """Wait until no request runs and no placement is held."""
+        wait_until(lambda: not self.app.in_progress, "end of all requests")
+        wait_until(lambda: not self.held_load(), "release of all placements")
         assert not self.entry.admission.held_placements.placement_by_ask
         assert not self.quotas.outstanding
 
     def connect(self) -> socket.socket:
-        """Open a connection as a caller."""
+        """Open a connection to the callers' listener."""
         return socket.create_connection((HOST, self.port), 20)
 
     def send(
@@ -406,7 +409,7 @@
         body: bytes = b"",
         key: str = KEY,
     ) -> wire_fixtures.Answer:
-        """Send a request on a connection of its own; give the answer."""
+        """Send a request on a new connection and return the response."""
         with self.connect() as sock:
             sock.sendall(
                 wire_fixtures.raw_request(
@@ -418,18 +421,18 @@
     def chat(
         self, question: str, *, stream: bool = False, **options: Any
     ) -> wire_fixtures.Answer:
-        """Send one chat request."""
+        """Send one chat request and return the response."""
         headers = options.pop("headers", ())
         body = wire_fixtures.chat_body(question, stream=stream, **options)
         return self.send("POST", CHAT_PATH, headers=headers, body=body)
 
     def stop(self) -> None:
-        """End the listener and all targets."""
+        """Stop the listener and all targets."""
         for server in self.servers:
             server.stop(timeout=0)
         self.connections.close()
 
 
 def journal_events(engine: _engine.Engine) -> collections.Counter[str]:
-    """Count an engine's journal by event."""
+    """Return the number of entries of an engine's journal, by event."""
     return collections.Counter(entry.event for entry in engine.journal)
