--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -53,7 +53,7 @@
 
     def __init__(self, ranked: list[_ids.ReplicaId]) -> None:
         self.ranked = ranked
-        self.asked: set[_ids.ReplicaId] = set()
+        self.requested: set[_ids.ReplicaId] = set()
         self.load_by_replica: dict[_ids.ReplicaId, int] = {}
         self.displaced_to: _ids.ReplicaId | None = None
         self.retry_after = 0.0
@@ -69,12 +69,12 @@
 
     @property
     def least_loaded(self) -> _ids.ReplicaId | None:
-        """Replica with the lowest load in the replies, None without any."""
+        """Replica with the lowest reported load, None if none replied."""
         loads = self.load_by_replica
         return min(loads, key=loads.__getitem__) if loads else None
 
     def group_load(self, replicas: int) -> int:
-        """Return the group's load from current replies for all replicas.
+        """Return the group's load if all its replicas' owners replied.
 
         The mean that owners use lags. In a burst, each owner still assumes
         that the replicas of others are idle, and all reject the request,
@@ -228,7 +228,7 @@
         *,
         redirects: int = _MAX_REDIRECTS,
     ) -> _placement.Placement | None:
-        if replica in search.asked:
+        if replica in search.requested:
             return None
         if replica != search.ranked[0] and self._is_known_full(replica):
             search.load_by_replica[replica] = self._full_by_replica[
@@ -238,7 +238,7 @@
             return None
         is_home = replica == search.ranked[0]
         has_context = replica == (search.displaced_to or search.ranked[0])
-        answer = self._client.ask(
+        owner_reply = self._client.ask(
             request,
             replica,
             home=is_home and redirects > 0,
@@ -248,9 +248,9 @@
                 else 0.0
             ),
         )
-        if answer is None:
+        if owner_reply is None:
             return None
-        ask, owner, reply = answer
+        ask, owner, reply = owner_reply
         if reply.verdict is messages.Verdict.elsewhere:
             displaced_to = _ids.ReplicaId(reply.replica)
             search.displaced_to = displaced_to
@@ -264,7 +264,7 @@
             # The replica that the chat was displaced to did not admit it.
             # Try the home again, without a redirect.
             return self._try_replica(request, search, replica, redirects=0)
-        search.asked.add(replica)
+        search.requested.add(replica)
         if reply.backoff > 0:
             self._targets.take_told_backoff(replica, reply.backoff)
             search.retry_after = max(search.retry_after, reply.backoff)
@@ -306,19 +306,19 @@
                 "no slot was free before the deadline"
             )
         replicas = len(self._targets.in_service(request.group))
-        answer = self._client.ask(
+        owner_reply = self._client.ask(
             request,
             replica,
             home=False,
             wait=wait,
             total=search.group_load(replicas),
         )
-        if answer is None:
+        if owner_reply is None:
             # The owner stopped responding while the request was queued. There
             # is time left, and another owner may have free slots.
             search.should_retry = True
             return None
-        ask, owner, reply = answer
+        ask, owner, reply = owner_reply
         if reply.verdict is messages.Verdict.granted:
             is_home = replica == search.ranked[0]
             placement = self._new_placement(
@@ -376,10 +376,10 @@
         )
 
     def report_backoff(
-        self, target: _targets.Target, word: _target_word.TargetWord
+        self, target: _targets.Target, status: _target_word.TargetWord
     ) -> None:
         """Report a backoff requested of this daemon to the target's owner."""
-        self._client.report_backoff(target, word)
+        self._client.report_backoff(target, status)
 
     def release(self, placement: _placement.Placement) -> None:
         """Release a placement; does nothing if it was released before."""
--- a/src/topazlug/routing/_admission_control.py
+++ b/src/topazlug/routing/_admission_control.py
@@ -117,7 +117,7 @@
         ledger: _ledger.ReplicaLedger,
         reply: _owner_replies.Reply,
     ) -> bool:
-        """Reject the request if its replica is cold and at its cold rate.
+        """Reject the request if its replica is cold and at its tolerated rate.
 
         If all chats of a replica return in the first second after its
         start, it crashes, and its chats move to the next replica.
@@ -137,7 +137,7 @@
             return False
         wait = ledger.cold_rate.wait(rate)
         _log.info(
-            "rejected at {replica}: cold, at its tolerated rate",
+            "rejected at {replica}: cold and at its tolerated rate",
             replica=ledger.replica,
             tolerated=rate,
             retry_after=round(wait, 3),
@@ -294,13 +294,13 @@
         if self._tolerated_rate(ledger) is not None:
             ledger.cold_rate.note_sent()
         ledger.reservations.forget(ask.request)
-        first = turn is _context_reads.Turn.FIRST
-        if first:
+        is_first = turn is _context_reads.Turn.FIRST
+        if is_first:
             ledger.context_reads.begin(entry.chat, key, now=now)
         else:
             ledger.context_reads.note_use(entry.chat, now=now)
         self._replies.send(
-            reply, messages.Verdict.granted, load=ledger.load, reads=first
+            reply, messages.Verdict.granted, load=ledger.load, reads=is_first
         )
 
     def _recheck_returning_chat(
--- a/src/topazlug/routing/_held_placements.py
+++ b/src/topazlug/routing/_held_placements.py
@@ -19,7 +19,7 @@
 from topazlug.routing import _ownership
 from topazlug.routing import _placement
 
-# An owner that has not confirmed for this long is no longer contacted.
+# An owner that has not confirmed for this long is removed from renewals.
 _UNCONFIRMED_SECONDS = 300.0
 _CONFIRM_TIMEOUT = 1.0
 
@@ -171,7 +171,7 @@
         return len(recipients)
 
     def _confirm_nothing_held(self, owner: _ids.DaemonId) -> None:
-        """Renew with an owner that nothing is held with, and await its reply.
+        """Send an owner an empty renewal and wait for its confirmation.
 
         A sent message may still be lost with its connection, so only the
         owner's reply removes it from the unconfirmed owners.
--- a/src/topazlug/routing/_ledger.py
+++ b/src/topazlug/routing/_ledger.py
@@ -24,9 +24,9 @@
 from topazlug.limits import _fair_queue
 
 _INTERVAL_SMOOTHING = 0.1
-# One in this many queued requests granted is batch work.
+# Every eighth grant from the queues goes to batch work.
 _BATCH_TURN_INTERVAL = 8
-_REPORTS_KEPT = 3
+_MAX_REPORTS = 3
 # Rank of work that is not subject to limits by rank.
 UNRANKED = -1
 
@@ -127,12 +127,12 @@
         self._release_interval = 0.0
         self._last_release: float | None = None
         self._reports: collections.deque[int] = collections.deque(
-            maxlen=_REPORTS_KEPT
+            maxlen=_MAX_REPORTS
         )
         # Highest load since the last report.
         self._peak_load = 0
         self._peak_loads: collections.deque[int] = collections.deque(
-            maxlen=_REPORTS_KEPT
+            maxlen=_MAX_REPORTS
         )
 
     def check_capacity(
@@ -156,7 +156,7 @@
         Returns
         -------
         Fit
-            FREE, OVER_BOUND, or FULL if no slot is free.
+            FREE, OVER_BOUND, or FULL if no slot is free for it.
         """
         load = self.effective_load(now=now, mean=mean)
         if load + weight > self.slots and self.load:
@@ -168,7 +168,7 @@
         return Fit.FREE
 
     def effective_load(self, *, now: float, mean: float) -> int:
-        """Return the load to decide admission by, in load units.
+        """Return the load to use for admission, in load units.
 
         The count of a new owner, or of one that was paused, lacks what entry
         daemons hold and have not renewed yet, so it would admit over the
@@ -195,14 +195,14 @@
         return self.observed_load() + len(self.queued_by_key)
 
     def _load_of_other_owners(self) -> int:
-        """Return the load in the engine's reports that is not counted here.
+        """Return the load that the engine reports beyond the count here.
 
         While daemons disagree on the owner, another one admits requests too.
         Reports lag: requests in them may have been released when the report
         is recorded. So only the amount by which the lowest recent report
         exceeds the highest load counted over the same period is returned.
         """
-        if len(self._reports) < _REPORTS_KEPT:
+        if len(self._reports) < _MAX_REPORTS:
             return 0
         return max(0, min(self._reports) - max(self._peak_loads))
 
@@ -264,10 +264,10 @@
         if entry.batch:
             self.batch_load -= entry.weight
         self.context_reads.note_ended(key)
-        self._note_release(now)
+        self._record_release(now)
         return True
 
-    def _note_release(self, now: float) -> None:
+    def _record_release(self, now: float) -> None:
         """Update the moving average of the time between two releases.
 
         Idle periods are excluded. Otherwise the expected wait of the first
--- a/src/topazlug/routing/_no_usable_replica.py
+++ b/src/topazlug/routing/_no_usable_replica.py
@@ -20,8 +20,7 @@
     request : PlacementRequest
         The request.
     retry_after : float
-        Suggested retry delay in seconds, used if no replica has announced
-        when its backoff ends.
+        Suggested retry delay in seconds, used if no replica is in backoff.
 
     Returns
     -------
@@ -36,7 +35,7 @@
             f"no usable replica of {request.group}", retry_after=retry_after
         )
     error = _errors.Overloaded(
-        f"all replicas of {request.group} have asked for a backoff",
+        f"all replicas of {request.group} are in backoff",
         retry_after=wait,
     )
     error.refused_for = wait
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -180,32 +180,32 @@
         )
         return True
 
-    def record_unreached(self, note: messages.Unreached) -> None:
+    def record_unreached(self, message: messages.Unreached) -> None:
         """Treat a replica as cold after a failed connection to it."""
         target = self._targets.target_by_replica.get(
-            _ids.ReplicaId(note.replica)
+            _ids.ReplicaId(message.replica)
         )
         if target is not None:
             self._targets.cold.suspect([target])
 
     def record_backoff(
-        self, sender: _ids.DaemonId, note: messages.Backoff
+        self, sender: _ids.DaemonId, message: messages.Backoff
     ) -> None:
         """Record that a replica requested a backoff from a daemon."""
-        ledger = self.ledger_by_replica.get(_ids.ReplicaId(note.replica))
-        if ledger is not None and ledger.incarnation == note.incarnation:
+        ledger = self.ledger_by_replica.get(_ids.ReplicaId(message.replica))
+        if ledger is not None and ledger.incarnation == message.incarnation:
             ledger.backoff.note(
-                sender, seconds=note.seconds, now=self._clock.monotonic()
+                sender, seconds=message.seconds, now=self._clock.monotonic()
             )
 
-    def record_rejection(self, note: messages.TurnedAway) -> None:
+    def record_rejection(self, message: messages.TurnedAway) -> None:
         """Reserve a slot for a rejected request that may be sent again."""
-        ledger = self.ledger_by_replica.get(_ids.ReplicaId(note.replica))
-        if ledger is not None and note.request:
+        ledger = self.ledger_by_replica.get(_ids.ReplicaId(message.replica))
+        if ledger is not None and message.request:
             ledger.reservations.note(
-                note.request,
-                note.rank,
-                seconds=note.seconds,
+                message.request,
+                message.rank,
+                seconds=message.seconds,
                 now=self._clock.monotonic(),
             )
 
@@ -354,10 +354,10 @@
             if target is None or target.incarnation == ledger.incarnation:
                 continue
             ledger.reject_all(messages.Verdict.expired)
-            fresh = self._open_ledger(target)
+            new_ledger = self._open_ledger(target)
             # Nothing is held on the new process yet, so the count is exact.
-            fresh.uncertain_until = 0.0
-            self.ledger_by_replica[replica] = fresh
+            new_ledger.uncertain_until = 0.0
+            self.ledger_by_replica[replica] = new_ledger
         self.displaced.remove_restarted(self._targets.target_by_replica)
 
     def mark_counts_uncertain(self) -> None:
--- a/src/topazlug/routing/_owner_client.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -323,10 +323,10 @@
             Replica that the owner has recorded.
         """
         replica = placement.target.replica
-        unmoved = replica == displaced_to or (
+        is_unmoved = replica == displaced_to or (
             placement.home and not displaced_to
         )
-        if unmoved or placement.request.excluded:
+        if is_unmoved or placement.request.excluded:
             return
         owner = self._ownership.owner_of(home)
         message = messages.Displaced(
--- a/src/topazlug/routing/_owner_endpoint.py
+++ b/src/topazlug/routing/_owner_endpoint.py
@@ -43,7 +43,7 @@
         This daemon.
     owner : Owner
         Owner role of this daemon.
-    held_placements : Holdings
+    held_placements : HeldPlacements
         Placements that this daemon holds with owners.
     links : PeerLinks
         Connections to peers.
@@ -181,8 +181,8 @@
             owners = self._held_placements.renew()
 
     def _renew_seconds(self, owners: int) -> float:
-        spread = owners * _RENEW_BYTES / _RENEW_BYTES_PER_SECOND
-        return max(self._routing.renew_interval, spread)
+        min_interval = owners * _RENEW_BYTES / _RENEW_BYTES_PER_SECOND
+        return max(self._routing.renew_interval, min_interval)
 
     def drop_silent(self, owners: int) -> None:
         """Release the placements of daemons that missed their renewals.
@@ -232,7 +232,7 @@
         if collector == self._daemon:
             return self._collector.add_report(self._daemon, report)
         try:
-            answer = self._links.call(
+            reply = self._links.call(
                 collector, report, timeout=_REPORT_TIMEOUT
             )
         except _errors.PeerUnreachable:
@@ -246,7 +246,7 @@
             )
             self._clock.sleep(_RETRY_SECONDS)
             return None
-        return answer if isinstance(answer, messages.LoadSummary) else None
+        return reply if isinstance(reply, messages.LoadSummary) else None
 
     def _responsive_daemons(self) -> list[_ids.DaemonId]:
         """Return the usable daemons except collectors that did not reply.
--- a/src/topazlug/routing/_owner_queue.py
+++ b/src/topazlug/routing/_owner_queue.py
@@ -14,8 +14,8 @@
 from topazlug.routing import _owner_replies
 from topazlug.targets import _targets
 
-# A request that waits no longer than this is rejected as soon as its wait is
-# over; a longer one ends with its caller's deadline.
+# Requests that may wait at most this long get a reply when their wait is over.
+# Longer waits end at the caller's deadline.
 SHORT_WAIT_SECONDS = 1.0
 _MIN_RETRY_AFTER_SECONDS = 0.1
 
--- a/src/topazlug/routing/_placement.py
+++ b/src/topazlug/routing/_placement.py
@@ -17,7 +17,7 @@
     group : GroupName
         Pool or service.
     chat : ChatHash
-        Hash of the chat, or of the call where there is no chat.
+        Hash of the chat, or of the call if it belongs to no chat.
     team : TeamName
         Team of the caller.
     batch : bool
@@ -25,11 +25,11 @@
     weight : int
         Slots that the request occupies, also called load units.
     deadline : float
-        Monotonic time in seconds after which the request has failed.
+        Monotonic time in seconds at which the caller stops waiting.
     excluded : frozenset of ReplicaId
         Replicas on which this request has already failed.
     returning : bool
-        Whether the replica of the chat's previous turn holds its context.
+        Whether the chat has a context on the replica of its previous turn.
     keeps_context : bool
         Whether replicas keep context between requests. If not, all
         replicas are equally suitable.
--- a/src/topazlug/routing/_routing_assembly.py
+++ b/src/topazlug/routing/_routing_assembly.py
@@ -120,7 +120,7 @@
             targets=self.targets,
             connections=self.connections,
             signs=self._fleet.membership,
-            report=self._take_engine_report,
+            report=self._record_engine_report,
             interval=settings.routing.poll_interval,
             clock=self._clock,
         )
@@ -153,7 +153,7 @@
             return list(self.targets.target_by_replica)
         return list(self.owner.ledger_by_replica)
 
-    def _take_engine_report(
+    def _record_engine_report(
         self, replica: _ids.ReplicaId, running: int
     ) -> None:
         self.owner.record_engine_report(replica, running)
@@ -180,9 +180,9 @@
         self.targets.on_change(self._update_ownership)
 
     def _publish_leaving(
-        self, target: _targets.Target, word: _target_word.TargetWord
+        self, target: _targets.Target, status: _target_word.TargetWord
     ) -> None:
-        if not word.leaving:
+        if not status.leaving:
             return
         self._fleet.membership.publish_target(
             target.replica,
