--- a/tests/topazlug/routing/test_admission.py
+++ b/tests/topazlug/routing/test_admission.py
@@ -152,7 +152,7 @@
             )
             fleet.clock.advance(0.02)
 
-    def test_is_asked_again_after_a_second(self, fleet):
+    def test_is_requested_again_after_a_second(self, fleet):
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
         fleet.silent.add("d2")
@@ -291,11 +291,11 @@
 
     @pytest.mark.parametrize("status", [BACKOFF, LEAVING])
     def test_placement_granted_too_late_is_released(self, status):
-        """A queued request must not be sent to a replica that backs off.
+        """A granted request must not be sent to a replica that is unusable.
 
-        While the request is in the owner's queue, the replica answers
-        another request of the same daemon with a backoff or a sign that it
-        is leaving.
+        While the request is queued, the replica's response to another request
+        of the same daemon asks for a backoff, or reports that the replica is
+        leaving.
         """
         fleet = fleet_fakes.FakeFleet("d1", targets=some_targets(1, slots=1))
         fleet.clock.advance(5)
@@ -504,10 +504,10 @@
 
 class TestOverload:
     def test_full_replicas_are_not_requested_again_at_once(self):
-        """Control traffic must not grow with overload, to 92 KB/s.
+        """Control traffic must not grow with overload.
 
-        All slots are taken and requests keep arriving. Each of them was sent
-        to each owner, and rejected each time.
+        All slots are taken and requests keep arriving. When each of them was
+        sent to each owner and rejected, control traffic grew to 92 KB/s.
         """
         fleet = fleet_fakes.FakeFleet(
             "d1", "d2", targets=some_targets(4, slots=1), owners=["d2"]
--- a/tests/topazlug/routing/test_ledger.py
+++ b/tests/topazlug/routing/test_ledger.py
@@ -86,15 +86,15 @@
         """Batch work must run even under interactive overload."""
         ledger = make_ledger(slots=1, batch_slots=1, capacity=50)
         batch = Waiter(ledger, 99, batch=True)
-        order = [Waiter(ledger, ask) for ask in range(20)]
-        turns = 0
+        interactive = [Waiter(ledger, ask) for ask in range(20)]
+        rounds = 0
         while batch.outcome is None:
             ledger.grant_queued(**NO_LIMIT)
-            turns += 1
+            rounds += 1
             for ask in list(ledger.entry_by_key):
                 ledger.release(ask, now=100.0)
-        assert turns == 8
-        assert [w.outcome for w in order].count("granted") == 7
+        assert rounds == 8
+        assert [w.outcome for w in interactive].count("granted") == 7
 
     def test_requests_of_a_dead_daemon_leave_the_queue(self):
         ledger = make_ledger()
@@ -126,7 +126,7 @@
     ),
     strategies.tuples(strategies.just("drop"), DAEMON_NAMES),
     strategies.tuples(strategies.just("queue"), DAEMON_NAMES, ASKS),
-    strategies.tuples(strategies.just("pump")),
+    strategies.tuples(strategies.just("grant")),
 )
 
 
@@ -156,8 +156,8 @@
         model.setdefault(key(daemon, ask), held)
 
     def release(self, ledger, model, daemon, ask):
-        freed = ledger.release(key(daemon, ask), now=1.0)
-        assert freed is (model.pop(key(daemon, ask), None) is not None)
+        released = ledger.release(key(daemon, ask), now=1.0)
+        assert released is (model.pop(key(daemon, ask), None) is not None)
 
     def renew(self, ledger, model, daemon, asks):
         held_by_ask = {
@@ -183,11 +183,11 @@
             return
         Waiter(ledger, ask, daemon=daemon)
 
-    def pump(self, ledger, model):
+    def grant(self, ledger, model):
         before = dict(ledger.queued_by_key)
         ledger.grant_queued(**NO_LIMIT)
-        for waiting in before.keys() - ledger.queued_by_key.keys():
-            model[waiting] = before[waiting].entry
+        for granted in before.keys() - ledger.queued_by_key.keys():
+            model[granted] = before[granted].entry
 
 
 class TestExpectedWait:
--- a/tests/topazlug/routing/test_owner.py
+++ b/tests/topazlug/routing/test_owner.py
@@ -64,7 +64,7 @@
     return Requester(entry)
 
 
-class TestAsk:
+class TestAdmissionRequest:
     def test_slots_are_counted_exactly(self, requester, clock):
         clock.advance(5)
         requester.fill(10)
@@ -139,15 +139,15 @@
 
 class TestTransfer:
     def test_displaced_chats_are_returned_for_the_new_owner(self, entry):
-        entry_message = messages.Displaced(
+        displaced = messages.Displaced(
             group=fixtures.POOL, home="r0", chat=7, replica="r1"
         )
-        entry.owner.displaced.record(entry_message)
+        entry.owner.displaced.record(displaced)
         moved = _ownership.Transfer(R0, entry.daemon, PEER)
-        assert entry.owner.apply_transfers([moved]) == {PEER: [entry_message]}
+        assert entry.owner.apply_transfers([moved]) == {PEER: [displaced]}
         assert len(entry.owner.displaced) == 0
 
-    def test_replica_listed_without_slots_uses_those_of_its_row(self, clock):
+    def test_replica_listed_without_slots_uses_those_of_its_pool(self, clock):
         entry = fixtures.Entry(
             "d1",
             targets=[fixtures.target("r0", slots=0)],
