--- a/src/topazlug/routing/_group_limits.py
+++ b/src/topazlug/routing/_group_limits.py
@@ -90,12 +90,12 @@
         self, group: _ids.GroupName, total: GroupTotal | None = None
     ) -> int:
         """Return the load that the bound allows on a replica."""
-        known = self.total(group) if total is None else total
+        current = self.total(group) if total is None else total
         return _group_load.bound_limit(
             bound=self._bounds.bound_of(group),
             allowance=self._bounds.allowance_of(group),
-            total=known.load,
-            replicas=known.replicas,
+            total=current.load,
+            replicas=current.replicas,
         )
 
     def ledgers_of(self, group: _ids.GroupName) -> list[_ledger.ReplicaLedger]:
--- a/src/topazlug/routing/_group_load.py
+++ b/src/topazlug/routing/_group_load.py
@@ -70,13 +70,13 @@
         group = _ids.GroupName(report.group)
         by_replica = self._reports.setdefault(group, {})
         interval = self._interval_of(by_replica)
-        stale = max(_STALE_SECONDS, _STALE_INTERVALS * interval)
+        max_age = max(_STALE_SECONDS, _STALE_INTERVALS * interval)
         for entry in report.loads:
             by_replica[_ids.ReplicaId(entry.replica)] = _Report(
                 load=entry.load, reporter=sender, at=now
             )
         for replica, stored in list(by_replica.items()):
-            if now - stored.at > stale:
+            if now - stored.at > max_age:
                 del by_replica[replica]
         return messages.LoadSummary(
             group=group,
@@ -135,13 +135,13 @@
         now : float
             Monotonic seconds.
         """
-        stale = max(_STALE_SECONDS, _STALE_INTERVALS * self.interval)
-        if now - self.at > stale or not self.replicas:
+        max_age = max(_STALE_SECONDS, _STALE_INTERVALS * self.interval)
+        if now - self.at > max_age or not self.replicas:
             # No recent total: extrapolate from the owner's own replicas.
             return own / max(1, own_replicas) * replicas
         others = max(0, self.total - self.own_reported)
-        seen = max(1, self.replicas)
-        return (others + own) / seen * max(seen, replicas)
+        reporting = max(1, self.replicas)
+        return (others + own) / reporting * max(reporting, replicas)
 
 
 def bound_limit(
--- a/src/topazlug/routing/_policies.py
+++ b/src/topazlug/routing/_policies.py
@@ -49,6 +49,7 @@
     pass
 
 
+# Bounded consistent hashing by this daemon's own load, a sliver of the total.
 class _Sliver(msgspec.Struct, frozen=True):
     pass
 
@@ -137,7 +138,7 @@
     ----------
     policy : object
         Baseline policy.
-    dependencies : Parts
+    dependencies : PolicyDependencies
         Objects of this daemon that policies use.
     """
 
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -97,9 +97,9 @@
         self.replicas: list[str] = []
 
     def take_word(
-        self, target: _targets.Target, word: _target_word.TargetWord
+        self, target: _targets.Target, status: _target_word.TargetWord
     ) -> None:
-        if word.leaving:
+        if status.leaving:
             self.replicas.append(target.replica)
 
 
