--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -30,7 +30,7 @@
 from topazlug.peers import _peers
 from topazlug.placement import _context
 from topazlug.placement import _mechanisms
-from topazlug.placement import _owned_admission
+from topazlug.placement import _owner_admission
 from topazlug.placement import _owners
 from topazlug.placement import _replica_list
 from topazlug.placement import _replica_view
@@ -101,9 +101,9 @@
             clock=clock, flap_window=_FLAP_SECONDS
         )
         self.views = _replica_view.ReplicaViews(
-            clock=clock, without=options.without
+            clock=clock, disabled=options.disabled
         )
-        self.contexts = _context.ContextMemory(
+        self.contexts = _context.ContextLocator(
             targets=self.targets, clock=clock
         )
         self.budget = _retry_share.RetryShare(
@@ -114,18 +114,18 @@
             clock=clock,
         )
         self.replicas = _replica_list.ReplicaList(
-            changed=self._take_replicas,
+            on_change=self._take_replicas,
             unreachable=options.news.unreachable,
             clock=clock,
         )
-        self._admission = _owned_admission.OwnedAdmission(
-            alone=_view_admission.ViewAdmission(
+        self._admission = _owner_admission.OwnerAdmission(
+            view_admission=_view_admission.ViewAdmission(
                 targets=self.targets, views=self.views
             ),
             targets=self.targets,
             views=self.views,
             clock=clock,
-            without=options.without,
+            disabled=options.disabled,
         )
         self._owners: _owners.FleetOwners | None = None
         self._fleet = _fleet.Fleet(
@@ -154,7 +154,7 @@
             targets=self.targets,
             new_store=new_store,
             daemons=lambda: self._fleet.directory.daemons_by_id,
-            refuses=_mechanisms.Mechanism.CRASH_GUARD not in options.without,
+            refuses=_mechanisms.Mechanism.CRASH_GUARD not in options.disabled,
             clock=clock,
         )
         self.metrics = _metrics.Metrics(
@@ -172,7 +172,7 @@
             targets=self.targets,
             views=self.views,
             wire=replica_wire,
-            without=options.without,
+            disabled=options.disabled,
         )
         self._app = _app.ForwardingApp(
             forwarder=parts.build(),
@@ -288,7 +288,7 @@
         self._owners.take_daemons(self._fleet.directory.daemons_by_id)
         self._greenlets += self._owners.start()
         self._crashes.join(links)
-        if _mechanisms.Mechanism.OWNERS not in self._options.without:
+        if _mechanisms.Mechanism.OWNERS not in self._options.disabled:
             self._admission.asks = self._owners.asks
             self.targets.on_word(self._owners.asks.tell_backoff)
 
@@ -298,10 +298,10 @@
         # Rows of daemons that are gone stay, so this is never too low once
         # all have joined; before, the fleet may still be growing.
         self.budget.daemons = max(_FLEET_LEAST, daemons)
-        seconds = _replica_view.REPORT_SECONDS
+        seconds = _replica_view.REPORT_LIFETIME_SECONDS
         if daemons > _fleet_directory.SMALL_FLEET:
-            seconds = _replica_view.LARGE_FLEET_REPORT_SECONDS
-        self.views.count_reports_for(seconds)
+            seconds = _replica_view.LARGE_FLEET_REPORT_LIFETIME_SECONDS
+        self.views.set_report_lifetime(seconds)
 
     def follow(
         self,
--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -48,7 +48,7 @@
         Knows requests that crash replicas.
     clock : Clock
         Time.
-    without : frozenset of Mechanism
+    disabled : frozenset of Mechanism
         What is switched off.
 
     Attributes
@@ -66,10 +66,10 @@
         views: _replica_view.ReplicaViews,
         guard: _crash_guard.CrashGuard,
         clock: _clock.Clock,
-        without: _mechanisms.Without = _mechanisms.NONE,
+        disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
         self._guard = guard
-        self.is_off = _mechanisms.Mechanism.RESUMPTION in without
+        self.is_off = _mechanisms.Mechanism.RESUMPTION in disabled
         self._admission = admission
         self._exchange = exchange
         self._budget = budget
@@ -78,7 +78,7 @@
 
     def release(self, place: _place.Place, *, failed: bool) -> None:
         """Give a place back, with how its stream ended."""
-        view = self._views.of_start(place.target)
+        view = self._views.of_incarnation(place.target)
         view.note_outcome(failed=failed)
         self._admission.release(place)
 
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -57,7 +57,7 @@
         Known replicas.
     views : ReplicaViews
         Gets load, latency and outcomes.
-    contexts : ContextMemory
+    contexts : ContextLocator
         Knows where prompts' contexts lie.
     wire : ReplicaWire
         Names on the wire.
@@ -69,7 +69,7 @@
         an answer, and the seconds that this took.
     clock : Clock
         Time.
-    without : frozenset of Mechanism
+    disabled : frozenset of Mechanism
         What is switched off.
     """
 
@@ -79,14 +79,14 @@
         connections: _target_client.TargetConnections,
         targets: _targets.TargetDirectory,
         views: _replica_view.ReplicaViews,
-        contexts: _context.ContextMemory,
+        contexts: _context.ContextLocator,
         wire: _wire.ReplicaWire,
         note_unreached: NoteUnreached,
         note_head: Callable[[_place.Place, int, int, float], None],
         clock: _clock.Clock,
-        without: _mechanisms.Without = _mechanisms.NONE,
+        disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
-        self._copies = _mechanisms.Mechanism.COPIES not in without
+        self._copies = _mechanisms.Mechanism.COPIES not in disabled
         self._note_unreached = note_unreached
         self._note_head = note_head
         self._connections = connections
@@ -115,7 +115,7 @@
         RequestError
             It may have run.
         """
-        view = self._views.of_start(place.target)
+        view = self._views.of_incarnation(place.target)
         sent_at = self._clock.monotonic()
         try:
             answer = self._connections.exchange(
@@ -180,7 +180,7 @@
         answer: _target_answer.TargetAnswer,
         sent_at: float,
     ) -> None:
-        view = self._views.of_start(place.target)
+        view = self._views.of_incarnation(place.target)
         seconds = self._clock.monotonic() - sent_at
         view.note_latency(seconds)
         self._targets.reach.note_answer(place.target)
--- a/src/topazlug/forwarding/_forwarder.py
+++ b/src/topazlug/forwarding/_forwarder.py
@@ -73,7 +73,7 @@
         What is counted.
     clock : Clock
         Time.
-    without : frozenset of Mechanism
+    disabled : frozenset of Mechanism
         What is switched off.
     """
 
@@ -89,9 +89,11 @@
         budget: _retry_share.RetryShare,
         measures: _measures.Measures,
         clock: _clock.Clock,
-        without: _mechanisms.Without = _mechanisms.NONE,
+        disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
-        self._second_tries = _mechanisms.Mechanism.SECOND_TRIES not in without
+        self._second_tries = (
+            _mechanisms.Mechanism.EARLY_RETRIES not in disabled
+        )
         self._attempts = attempts
         self._admission = admission
         self._exchange = exchange
@@ -172,7 +174,7 @@
             return left
         if not self._budget.has_left(call.group):
             return left
-        usual = self._views.of_start(place.target).latency
+        usual = self._views.of_incarnation(place.target).latency
         late = max(
             _SECOND_TRY_OBJECTIVES * route.objective,
             _SECOND_TRY_LATENCIES * usual,
@@ -194,7 +196,7 @@
             if len(head) > _MAX_BUFFERED_BYTES:
                 return self._long(call, place, answer, bytes(head), chunks)
         failed = answer.status >= _SERVER_ERROR
-        self._views.of_start(place.target).note_outcome(failed=failed)
+        self._views.of_incarnation(place.target).note_outcome(failed=failed)
         if failed and call.route.repeatable:
             raise _exchange.AnsweredWithFailure(answer, bytes(head))
         self._admission.release(place)
--- a/src/topazlug/forwarding/_forwarder_parts.py
+++ b/src/topazlug/forwarding/_forwarder_parts.py
@@ -16,7 +16,7 @@
 from topazlug.limits import _retry_share
 from topazlug.placement import _context
 from topazlug.placement import _mechanisms
-from topazlug.placement import _owned_admission
+from topazlug.placement import _owner_admission
 from topazlug.placement import _replica_view
 from topazlug.routing import _place
 from topazlug.targets import _target_client
@@ -31,7 +31,7 @@
 
     Attributes
     ----------
-    admission : OwnedAdmission
+    admission : OwnerAdmission
         Finds places.
     budget : RetryShare
         Retries of this daemon.
@@ -39,7 +39,7 @@
         Time.
     connections : TargetConnections
         Connections to replicas.
-    contexts : ContextMemory
+    contexts : ContextLocator
         Knows where prompts' contexts lie.
     guard : CrashGuard
         Refuses requests that crash replicas.
@@ -51,21 +51,21 @@
         How replicas answer.
     wire : ReplicaWire
         Names on the wire.
-    without : frozenset of Mechanism
+    disabled : frozenset of Mechanism
         What is switched off.
     """
 
-    admission: _owned_admission.OwnedAdmission
+    admission: _owner_admission.OwnerAdmission
     budget: _retry_share.RetryShare
     clock: _clock.Clock
     connections: _target_client.TargetConnections
-    contexts: _context.ContextMemory
+    contexts: _context.ContextLocator
     guard: _crash_guard.CrashGuard
     measures: _measures.Measures
     targets: _targets.TargetDirectory
     views: _replica_view.ReplicaViews
     wire: _wire.ReplicaWire
-    without: _mechanisms.Without
+    disabled: _mechanisms.DisabledMechanisms
 
     def build(self) -> _forwarder.Forwarder:
         """Give the forwarder."""
@@ -79,7 +79,7 @@
             views=self.views,
             budget=self.budget,
             measures=self.measures,
-            without=self.without,
+            disabled=self.disabled,
             clock=self.clock,
         )
 
@@ -92,7 +92,7 @@
             wire=self.wire,
             note_unreached=self.admission.note_unreached,
             note_head=self.admission.note_head,
-            without=self.without,
+            disabled=self.disabled,
             clock=self.clock,
         )
 
@@ -114,7 +114,7 @@
             budget=self.budget,
             views=self.views,
             guard=self.guard,
-            without=self.without,
+            disabled=self.disabled,
             clock=self.clock,
         )
 
--- a/src/topazlug/forwarding/_options.py
+++ b/src/topazlug/forwarding/_options.py
@@ -41,7 +41,7 @@
         Whether the whole system starts for the first time.
     max_connections : int
         Callers' connections served at once.
-    without : frozenset of Mechanism
+    disabled : frozenset of Mechanism
         What is switched off.
     """
 
@@ -60,4 +60,4 @@
     news: _news_bounds.NewsBounds
     first_start: bool
     max_connections: int
-    without: _mechanisms.Without = _mechanisms.NONE
+    disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED
--- a/src/topazlug/placement/_context.py
+++ b/src/topazlug/placement/_context.py
@@ -42,7 +42,7 @@
 
 
 @final
-class ContextMemory:
+class ContextLocator:
     """Finds the replica that probably holds a prompt's context.
 
     Parameters
--- a/src/topazlug/placement/_mechanisms.py
+++ b/src/topazlug/placement/_mechanisms.py
@@ -16,21 +16,21 @@
     COPIES = "copies"
     CONTEXT_READS = "context-reads"
     CRASH_GUARD = "crash-guard"
-    DISPLACED = "displaced"
-    HOLDING_OUT = "holding-out"
-    KEPT_PLACES = "kept-places"
+    DISPLACEMENT = "displaced"
+    OUTLIER_EJECTION = "holding-out"
+    RESERVATIONS = "kept-places"
     OWNERS = "owners"
     RANK_LIMITS = "rank-limits"
     RESUMPTION = "resumption"
-    SECOND_TRIES = "second-tries"
-    WAITING = "waiting"
+    EARLY_RETRIES = "second-tries"
+    ADMISSION_WAIT = "waiting"
 
 
-Without = frozenset[Mechanism]
-NONE: Without = frozenset()
+DisabledMechanisms = frozenset[Mechanism]
+NONE_DISABLED: DisabledMechanisms = frozenset()
 
 
-def without_of(words: Iterable[str]) -> Without:
+def parse_disabled(words: Iterable[str]) -> DisabledMechanisms:
     """Give the mechanisms that words name.
 
     Raises
--- a/src/topazlug/placement/_owned_admission.py
+++ b/src/topazlug/placement/_owner_admission.py
@@ -35,12 +35,12 @@
 
 
 @final
-class OwnedAdmission:
+class OwnerAdmission:
     """Finds places with the owners' word.
 
     Parameters
     ----------
-    alone : ViewAdmission
+    view_admission : ViewAdmission
         Decides without owners.
     targets : TargetDirectory
         Which replicas may get new work.
@@ -48,7 +48,7 @@
         Their load and health as seen here.
     clock : Clock
         Time.
-    without : frozenset of Mechanism
+    disabled : frozenset of Mechanism
         What is switched off.
 
     Attributes
@@ -60,23 +60,23 @@
     def __init__(
         self,
         *,
-        alone: _view_admission.ViewAdmission,
+        view_admission: _view_admission.ViewAdmission,
         targets: _targets.TargetDirectory,
         views: _replica_view.ReplicaViews,
         clock: _clock.Clock,
-        without: _mechanisms.Without = _mechanisms.NONE,
+        disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
         self._clock = clock
-        self._without = without
-        self._alone = alone
+        self._disabled = disabled
+        self._view_admission = view_admission
         self._targets = targets
         self._views = views
         self._search = _owner_search.OwnerSearch(
-            alone=alone,
+            view_admission=view_admission,
             targets=targets,
             views=views,
             clock=clock,
-            without=without,
+            disabled=disabled,
         )
         self.asks: _owner_asks.OwnerAsks | None = None
         # Replicas whose last answer told that work waits there.
@@ -94,10 +94,10 @@
         """
         asks = self.asks
         if asks is None:
-            return self._alone.admit(request)
+            return self._view_admission.admit(request)
         if not request.keeps_context:
             return self._by_latency(asks, request)
-        if _mechanisms.Mechanism.RANK_LIMITS in self._without:
+        if _mechanisms.Mechanism.RANK_LIMITS in self._disabled:
             request = msgspec.structs.replace(request, rank=-1)
         place = self._ask_in_time(asks, request)
         return self._by_view(asks, request) if place is None else place
@@ -110,10 +110,10 @@
         Only if all of them have just started their owners are asked: they
         alone know what a cold replica has got in the last second.
         """
-        if self._alone.warm(self._alone.candidates(request)):
-            return self._alone.admit(request)
+        if self._view_admission.warm(self._view_admission.candidates(request)):
+            return self._view_admission.admit(request)
         place = self._ask_in_time(asks, request)
-        return self._alone.admit(request) if place is None else place
+        return self._view_admission.admit(request) if place is None else place
 
     def _by_view(
         self, asks: _owner_asks.OwnerAsks, request: _place.PlaceRequest
@@ -124,7 +124,7 @@
         than it is, by all that was placed meanwhile, and let in as much
         again. The next renewal tells it.
         """
-        place = self._alone.admit(request)
+        place = self._view_admission.admit(request)
         place.ask = asks.new_number()
         asks.holdings.place_by_ask[place.ask] = place
         return place
@@ -140,7 +140,7 @@
         repeat that most callers make.
         """
         longest = request.context_wait * _WAIT_PART
-        if _mechanisms.Mechanism.WAITING in self._without:
+        if _mechanisms.Mechanism.ADMISSION_WAIT in self._disabled:
             longest = 0.0
         try:
             return self._search.search(asks, request)
@@ -180,7 +180,7 @@
         home: _ids.ReplicaId,
         seconds: float,
     ) -> None:
-        if _mechanisms.Mechanism.KEPT_PLACES not in self._without:
+        if _mechanisms.Mechanism.RESERVATIONS not in self._disabled:
             asks.note_turned_away(request, home, seconds=seconds)
 
     def note_unreached(self, place: _place.Place, *, is_silent: bool) -> None:
@@ -251,4 +251,4 @@
             held = self.asks.holdings.place_by_ask
             if held.get(place.ask) is place:
                 self.asks.holdings.release(place)
-        self._alone.release(place)
+        self._view_admission.release(place)
--- a/src/topazlug/placement/_owner_search.py
+++ b/src/topazlug/placement/_owner_search.py
@@ -49,7 +49,7 @@
 
     Parameters
     ----------
-    alone : ViewAdmission
+    view_admission : ViewAdmission
         Says which replicas may be asked for.
     targets : TargetDirectory
         Which replicas may get new work.
@@ -57,34 +57,34 @@
         Get what owners say.
     clock : Clock
         Time.
-    without : frozenset of Mechanism
+    disabled : frozenset of Mechanism
         What is switched off.
     """
 
     def __init__(
         self,
         *,
-        alone: _view_admission.ViewAdmission,
+        view_admission: _view_admission.ViewAdmission,
         targets: _targets.TargetDirectory,
         views: _replica_view.ReplicaViews,
         clock: _clock.Clock,
-        without: _mechanisms.Without = _mechanisms.NONE,
+        disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
-        self._alone = alone
+        self._view_admission = view_admission
         self._targets = targets
         self._views = views
         self._clock = clock
-        self._without = without
+        self._disabled = disabled
 
     @property
     def _forgets_displaced(self) -> bool:
-        return _mechanisms.Mechanism.DISPLACED in self._without
+        return _mechanisms.Mechanism.DISPLACEMENT in self._disabled
 
     def search(
         self, asks: _owner_asks.OwnerAsks, request: _place.PlaceRequest
     ) -> _place.Place | None:
         """Ask owners in the order of the rank; None if none gave a word."""
-        candidates = self._alone.candidates(request)
+        candidates = self._view_admission.candidates(request)
         ranked = _ranked(candidates, request, count=_MOST_ASKS)
         ranked += self._warm_ones(candidates, request, ranked)
         home = ranked[0]
@@ -133,7 +133,7 @@
         After a zone's return most of a chat's rank may be cold and have no
         room, while the other zones have.
         """
-        warm = self._alone.warm(candidates)
+        warm = self._view_admission.warm(candidates)
         if len(warm) == len(candidates) or not set(ranked) - set(warm):
             return []
         found = _ranked(warm, request, count=_MOST_ASKS)
@@ -154,7 +154,7 @@
         """
         started = self._clock.monotonic()
         longest = request.context_wait
-        if _mechanisms.Mechanism.CONTEXT_READS in self._without:
+        if _mechanisms.Mechanism.CONTEXT_READS in self._disabled:
             longest = 0.0
         while True:
             left = longest - (self._clock.monotonic() - started)
@@ -166,7 +166,7 @@
                 patience=min(
                     _LONGEST_WORD_SECONDS, request.context_wait * _WORD_PART
                 ),
-                cold=self._alone.is_cold(replica),
+                cold=self._view_admission.is_cold(replica),
             )
             if answer is None:
                 return None
@@ -267,7 +267,7 @@
             home=replica == home,
         )
         target = self._targets.target_by_replica[replica]
-        self._views.of_start(target).in_flight += 1
+        self._views.of_incarnation(target).in_flight += 1
         place = _place.Place(
             target=target,
             ask=answer.ask,
--- a/src/topazlug/placement/_replica_list.py
+++ b/src/topazlug/placement/_replica_list.py
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    changed : callable
+    on_change : callable
         Gets all targets after each change.
     unreachable : float
         Seconds after a cut in which a daemon need not know what left.
@@ -49,11 +49,11 @@
     def __init__(
         self,
         *,
-        changed: Callable[[list[_targets.Target]], None],
+        on_change: Callable[[list[_targets.Target]], None],
         unreachable: float,
         clock: _clock.Clock,
     ) -> None:
-        self._changed = changed
+        self._on_change = on_change
         self._clock = clock
         self._longest = unreachable - _MARGIN_SECONDS
         self._listed: dict[_ids.ReplicaId, _targets.Target] = {}
@@ -69,7 +69,7 @@
             _ids.ReplicaId, collections.deque[int]
         ] = {}
 
-    def store_regained(self, lost_since: float) -> None:
+    def note_store_reconnected(self, lost_since: float) -> None:
         """Note that the store is back after a loss.
 
         Parameters
@@ -176,7 +176,7 @@
         self._tell()
 
     def _tell(self) -> None:
-        self._changed([*self._listed.values(), *self._lapsed.values()])
+        self._on_change([*self._listed.values(), *self._lapsed.values()])
 
 
 def log_changes(
--- a/src/topazlug/placement/_replica_view.py
+++ b/src/topazlug/placement/_replica_view.py
@@ -21,11 +21,11 @@
 _log = _logs.logger("replicas")
 # A report is as old as the answer that brought it. After this many seconds
 # the others' part is taken to have ended: about the length of a stream.
-REPORT_SECONDS = 2.0
+REPORT_LIFETIME_SECONDS = 2.0
 # In a large fleet each daemon hears of a replica every 7 s or so. A replica
 # that was full would look empty most of the time, and more than 3 in 100
 # requests reach replicas above twice the mean load (seen at 81 daemons).
-LARGE_FLEET_REPORT_SECONDS = 6.0
+LARGE_FLEET_REPORT_LIFETIME_SECONDS = 6.0
 # Outcomes older than this say nothing of a replica's health now.
 _OUTCOME_SECONDS = 6.0
 _MAX_OUTCOMES = 40
@@ -62,7 +62,10 @@
     """
 
     def __init__(
-        self, *, clock: _clock.Clock, report_seconds: float = REPORT_SECONDS
+        self,
+        *,
+        clock: _clock.Clock,
+        report_seconds: float = REPORT_LIFETIME_SECONDS,
     ) -> None:
         self._clock = clock
         self.report_seconds = report_seconds
@@ -128,7 +131,7 @@
     def note_outcome(self, *, failed: bool) -> None:
         """Take the outcome of one request."""
         self._outcomes.append(_Outcome(self._clock.monotonic(), failed))
-        if not failed and not self.is_held:
+        if not failed and not self.is_ejected:
             self._hold = _HOLD_SECONDS
 
     def failures(self) -> tuple[int, int]:
@@ -139,11 +142,11 @@
         return sum(one.failed for one in self._outcomes), len(self._outcomes)
 
     @property
-    def is_held(self) -> bool:
+    def is_ejected(self) -> bool:
         """Say whether it gets no new work for a moment."""
         return self._clock.monotonic() < self._held_until
 
-    def hold(self) -> float:
+    def eject(self) -> float:
         """Keep new work away, each time for longer.
 
         Afterwards its outcomes start anew, so that a replica that is well
@@ -169,7 +172,7 @@
     ----------
     clock : Clock
         Time.
-    without : frozenset of Mechanism
+    disabled : frozenset of Mechanism
         What is switched off.
     """
 
@@ -177,11 +180,11 @@
         self,
         *,
         clock: _clock.Clock,
-        without: _mechanisms.Without = _mechanisms.NONE,
+        disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
         self._clock = clock
-        self._without = without
-        self._report_seconds = REPORT_SECONDS
+        self._disabled = disabled
+        self._report_seconds = REPORT_LIFETIME_SECONDS
         self._view_by_replica: dict[_ids.ReplicaId, ReplicaView] = {}
         self._start_by_replica: dict[_ids.ReplicaId, int] = {}
 
@@ -198,7 +201,7 @@
             clock=self._clock, report_seconds=self._report_seconds
         )
 
-    def of_start(self, target: _targets.Target) -> ReplicaView:
+    def of_incarnation(self, target: _targets.Target) -> ReplicaView:
         """Give the view of one start of a replica.
 
         What is known late of a start that has ended goes to a view that
@@ -211,7 +214,7 @@
             return self._new_view()
         return self.of(target.replica)
 
-    def count_reports_for(self, seconds: float) -> None:
+    def set_report_lifetime(self, seconds: float) -> None:
         """Change for how long reports of load count."""
         self._report_seconds = seconds
         for view in self._view_by_replica.values():
@@ -236,7 +239,7 @@
                 del self._start_by_replica[replica]
         self._start_by_replica.update(listed)
 
-    def sound(
+    def healthy(
         self, replicas: Iterable[_ids.ReplicaId]
     ) -> list[_ids.ReplicaId]:
         """Give the replicas that are not ill, or all when all are.
@@ -245,11 +248,11 @@
         other would pile all requests on the last.
         """
         named = list(replicas)
-        if _mechanisms.Mechanism.HOLDING_OUT in self._without:
+        if _mechanisms.Mechanism.OUTLIER_EJECTION in self._disabled:
             return named
         self._hold_ill(named)
-        sound = [one for one in named if not self.of(one).is_held]
-        return sound if len(sound) * 2 >= len(named) else named
+        healthy = [one for one in named if not self.of(one).is_ejected]
+        return healthy if len(healthy) * 2 >= len(named) else named
 
     def _hold_ill(self, replicas: list[_ids.ReplicaId]) -> None:
         counts = {one: self.of(one).failures() for one in replicas}
@@ -261,7 +264,7 @@
             share = own_failed / own_ended
             others = (failed - own_failed) / max(1, ended - own_ended)
             if share >= _ILL_SHARE and share >= _ILL_RATIO * others:
-                seconds = self.of(replica).hold()
+                seconds = self.of(replica).eject()
                 _log.warning(
                     "{replica} is held out for {seconds:.0f} s: "
                     "{failed} of {ended} requests failed",
--- a/src/topazlug/placement/_view_admission.py
+++ b/src/topazlug/placement/_view_admission.py
@@ -79,7 +79,7 @@
             report_age=self._views.of(chosen).report_age,
         )
         target = self._targets.target_by_replica[chosen]
-        self._views.of_start(target).in_flight += 1
+        self._views.of_incarnation(target).in_flight += 1
         return _place.Place(
             target=target,
             ask=_ids.AskNumber(next(self._numbers)),
@@ -107,7 +107,7 @@
             raise _no_target.none_usable(
                 self._targets, request, retry_after=_NO_TARGET_SECONDS
             )
-        return self._views.sound(self._reachable(usable))
+        return self._views.healthy(self._reachable(usable))
 
     def _reachable(self, usable: list[_ids.ReplicaId]) -> list[_ids.ReplicaId]:
         """Leave out zones that this daemon has no way to, unless all are."""
@@ -238,4 +238,4 @@
         if place.released:
             return
         place.released = True
-        self._views.of_start(place.target).in_flight -= 1
+        self._views.of_incarnation(place.target).in_flight -= 1
--- a/tests/topazlug/placement/owner_fixtures.py
+++ b/tests/topazlug/placement/owner_fixtures.py
@@ -8,7 +8,7 @@
 from topazlug import _errors
 from topazlug import _ids
 from topazlug.peers import _peers
-from topazlug.placement import _owned_admission
+from topazlug.placement import _owner_admission
 from topazlug.placement import _owners
 from topazlug.placement import _replica_view
 from topazlug.placement import _view_admission
@@ -107,8 +107,8 @@
             targets=self.targets,
             clock=fleet.clock,
         )
-        self.admission = _owned_admission.OwnedAdmission(
-            alone=_view_admission.ViewAdmission(
+        self.admission = _owner_admission.OwnerAdmission(
+            view_admission=_view_admission.ViewAdmission(
                 targets=self.targets, views=self.views
             ),
             targets=self.targets,
--- a/tests/topazlug/placement/test_context.py
+++ b/tests/topazlug/placement/test_context.py
@@ -17,7 +17,7 @@
         self.targets = _targets.TargetDirectory(
             clock=self.clock, flap_window=10.0
         )
-        self.memory = _context.ContextMemory(
+        self.memory = _context.ContextLocator(
             targets=self.targets, clock=self.clock
         )
 
--- a/tests/topazlug/placement/test_mechanisms.py
+++ b/tests/topazlug/placement/test_mechanisms.py
@@ -8,7 +8,7 @@
 
 class TestWords:
     def test_words_are_found(self):
-        found = _mechanisms.without_of(["copies", " owners ", ""])
+        found = _mechanisms.parse_disabled(["copies", " owners ", ""])
         assert found == {
             _mechanisms.Mechanism.COPIES,
             _mechanisms.Mechanism.OWNERS,
@@ -16,4 +16,4 @@
 
     def test_unknown_word_says_what_is_known(self):
         with pytest.raises(_errors.SettingsInvalid, match="rank-limits"):
-            _mechanisms.without_of(["wings"])
+            _mechanisms.parse_disabled(["wings"])
--- a/tests/topazlug/placement/test_replica_list.py
+++ b/tests/topazlug/placement/test_replica_list.py
@@ -11,7 +11,7 @@
         monkeypatch.setattr(_replica_list, "_RETURN_SECONDS", seconds)
         self.names = []
         self.list = _replica_list.ReplicaList(
-            changed=self._take,
+            on_change=self._take,
             unreachable=120.0,
             clock=_clock.SystemClock(),
         )
@@ -36,7 +36,7 @@
         """
         rig = Rig(monkeypatch, 60.0)
         rig.take("a", "b")
-        rig.list.store_regained(0.0)
+        rig.list.note_store_reconnected(0.0)
         rig.take()
         assert rig.names == ["a", "b"]
         rig.take("a")
@@ -45,14 +45,14 @@
     def test_who_does_not_come_back_is_gone(self, monkeypatch):
         rig = Rig(monkeypatch, 0.05)
         rig.take("a", "b")
-        rig.list.store_regained(0.0)
+        rig.list.note_store_reconnected(0.0)
         rig.take("a")
         routing_fixtures.wait_until(lambda: rig.names == ["a"])
 
     def test_leaving_replica_is_not_kept(self, monkeypatch):
         rig = Rig(monkeypatch, 60.0)
         rig.take("a", "b", leaving=["b"])
-        rig.list.store_regained(0.0)
+        rig.list.note_store_reconnected(0.0)
         rig.take("a")
         assert rig.names == ["a"]
 
@@ -67,7 +67,7 @@
         """
         rig = Rig(monkeypatch, 60.0)
         rig.take("a", "b")
-        rig.list.store_regained(119.5)
+        rig.list.note_store_reconnected(119.5)
         rig.take("a")
         assert rig.names == ["a"]
 
@@ -90,7 +90,7 @@
         old = fixtures.target("a", leaving=True, incarnation=1)
         new = fixtures.target("a", incarnation=2)
         seen = []
-        rig.list._changed = seen.append
+        rig.list._on_change = seen.append
         for entry in (old, new, old):
             rig.list.take([entry])
         assert seen[-1] == [new]
@@ -98,7 +98,7 @@
     def test_start_after_the_clock_went_back_counts(self, monkeypatch):
         rig = Rig(monkeypatch, 60.0)
         seen = []
-        rig.list._changed = seen.append
+        rig.list._on_change = seen.append
         for start in (5, 3):
             rig.list.take([fixtures.target("a", incarnation=start)])
         assert seen[-1][0].incarnation == 3
@@ -117,7 +117,7 @@
         new = fixtures.target("new", port=7)
         other = fixtures.target("other", port=8)
         seen = []
-        rig.list._changed = seen.append
+        rig.list._on_change = seen.append
         for entries in (
             [old, other],
             [other],
@@ -130,7 +130,7 @@
     def test_replica_that_comes_back_alone_counts(self, monkeypatch):
         rig = Rig(monkeypatch, 60.0)
         seen = []
-        rig.list._changed = seen.append
+        rig.list._on_change = seen.append
         old = fixtures.target("old", port=7)
         for entries in ([old], [], [old]):
             rig.list.take(entries)
@@ -140,6 +140,6 @@
         """Symptom: a daemon that has just started leaves a live one out."""
         rig = Rig(monkeypatch, 60.0)
         seen = []
-        rig.list._changed = seen.append
+        rig.list._on_change = seen.append
         rig.list.take([fixtures.target(name, port=7) for name in "ab"])
         assert len(seen[-1]) == 2
--- a/tests/topazlug/placement/test_replica_view.py
+++ b/tests/topazlug/placement/test_replica_view.py
@@ -28,9 +28,9 @@
         outcomes(views, ONE, failed=5, good=5)
         outcomes(views, TWO, failed=0, good=20)
         outcomes(views, THREE, failed=1, good=20)
-        assert views.sound([ONE, TWO, THREE]) == [TWO, THREE]
+        assert views.healthy([ONE, TWO, THREE]) == [TWO, THREE]
         clock.advance(1.1)
-        assert views.sound([ONE, TWO, THREE]) == [ONE, TWO, THREE]
+        assert views.healthy([ONE, TWO, THREE]) == [ONE, TWO, THREE]
 
     def test_all_that_fail_alike_stay(self):
         """Symptom: all requests pile up on the last replica left.
@@ -40,17 +40,17 @@
         views = _replica_view.ReplicaViews(clock=claim_fakes.FakeClock())
         for replica in (ONE, TWO, THREE):
             outcomes(views, replica, failed=5, good=5)
-        assert views.sound([ONE, TWO, THREE]) == [ONE, TWO, THREE]
+        assert views.healthy([ONE, TWO, THREE]) == [ONE, TWO, THREE]
 
     def test_each_hold_is_longer(self):
         clock = claim_fakes.FakeClock()
         views = _replica_view.ReplicaViews(clock=clock)
         for seconds in (1.0, 2.0, 4.0, 4.0):
-            views.of(ONE).hold()
+            views.of(ONE).eject()
             clock.advance(seconds - 0.1)
-            assert views.of(ONE).is_held
+            assert views.of(ONE).is_ejected
             clock.advance(0.2)
-            assert not views.of(ONE).is_held
+            assert not views.of(ONE).is_ejected
 
 
 class TestLoad:
@@ -76,7 +76,9 @@
         views.of(ONE).note_report(12)
         clock.advance(3.0)
         assert views.of(ONE).load == 0
-        views.count_reports_for(_replica_view.LARGE_FLEET_REPORT_SECONDS)
+        views.set_report_lifetime(
+            _replica_view.LARGE_FLEET_REPORT_LIFETIME_SECONDS
+        )
         assert views.of(ONE).load == 6
         views.of(TWO).note_report(12)
         clock.advance(3.0)
@@ -101,32 +103,32 @@
     def test_load_latency_and_outcomes_end(self):
         views = _replica_view.ReplicaViews(clock=claim_fakes.FakeClock())
         old = self.started(views, 1)
-        view = views.of_start(old)
+        view = views.of_incarnation(old)
         view.in_flight = 3
         view.note_latency(4.0)
         view.note_report(60)
-        view.hold()
+        view.eject()
         new = self.started(views, 2)
-        fresh = views.of_start(new)
+        fresh = views.of_incarnation(new)
         assert (fresh.in_flight, fresh.latency, fresh.load) == (0, 0.0, 0)
-        assert not fresh.is_held
+        assert not fresh.is_ejected
 
     def test_word_of_the_old_start_counts_for_nothing(self):
         views = _replica_view.ReplicaViews(clock=claim_fakes.FakeClock())
         old = self.started(views, 1)
-        views.of_start(old).in_flight += 1
+        views.of_incarnation(old).in_flight += 1
         new = self.started(views, 2)
-        views.of_start(old).in_flight -= 1
-        views.of_start(old).note_outcome(failed=True)
-        assert views.of_start(new).in_flight == 0
-        assert views.of_start(new).failures() == (0, 0)
+        views.of_incarnation(old).in_flight -= 1
+        views.of_incarnation(old).note_outcome(failed=True)
+        assert views.of_incarnation(new).in_flight == 0
+        assert views.of_incarnation(new).failures() == (0, 0)
 
     def test_one_that_left_the_list_meanwhile(self):
         views = _replica_view.ReplicaViews(clock=claim_fakes.FakeClock())
         old = self.started(views, 1)
-        views.of_start(old).in_flight += 1
+        views.of_incarnation(old).in_flight += 1
         views.take_list([])
         new = self.started(views, 2)
-        assert views.of_start(new).in_flight == 0
-        views.of_start(old).in_flight -= 1
-        assert views.of_start(new).in_flight == 0
+        assert views.of_incarnation(new).in_flight == 0
+        views.of_incarnation(old).in_flight -= 1
+        assert views.of_incarnation(new).in_flight == 0
