--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -9,7 +9,7 @@
 from topazlug import _ids
 from topazlug._generated import messages
 from topazlug._generated import table
-from topazlug.capacity import _place_key
+from topazlug.capacity import _slot_key
 from topazlug.configuration import _configuration
 from topazlug.configuration import _table_snapshot
 from topazlug.limits import _quota_owner
@@ -227,7 +227,7 @@
         found = [_empty_ledger(number) for number in range(_LEDGERS)]
         for ledger in found:
             for number in range(places):
-                key = _place_key.PlaceKey(
+                key = _slot_key.SlotKey(
                     _ids.DaemonId(f"daemon-{number:04}"),
                     _ids.AskNumber(10**6 + number),
                 )
--- a/bench/experiments/overload.py
+++ b/bench/experiments/overload.py
@@ -22,8 +22,8 @@
 import msgspec
 
 from topazlug import _ids
-from topazlug.capacity import _rank_room
-from topazlug.capacity import _returns
+from topazlug.capacity import _rank_limits
+from topazlug.capacity import _reservations
 
 _STEP_SECONDS = 0.005
 _SLOW_PART = 0.5
@@ -186,8 +186,10 @@
     """
 
     def __init__(self, slots: int = 64, *, with_returns: bool = True) -> None:
-        self.room = _rank_room.RankRoom(slots=slots)
-        self._returns = _returns.Returns(chance=random.Random(slots).random)
+        self.room = _rank_limits.RankLimits(slots=slots)
+        self._reservations = _reservations.Reservations(
+            chance=random.Random(slots).random
+        )
         self._with_returns = with_returns
         self._interval = 0.02
         self._released_at = 0.0
@@ -195,29 +197,31 @@
     def decide(self, request: Request, load: int, now: float) -> float | None:
         """Ask the room; keep a place for who can still be on time."""
         rank = request.kind.rank
-        self.room.note_asked(rank, now=now)
-        is_due = self._returns.is_due(request.number, now=now)
-        if self.room.has_room(
+        self.room.note_demand(rank, now=now)
+        is_due = self._reservations.is_due(request.number, now=now)
+        if self.room.has_capacity(
             rank,
             load=load,
-            promised=self._returns.kept(rank, now=now, is_due=is_due),
+            reserved=self._reservations.reserved(rank, now=now, is_due=is_due),
             is_due=is_due,
             now=now,
         ):
             return None
         left = request.gives_up - now
-        after = self._returns.after(
+        retry_after = self._reservations.retry_after(
             rank, interval=self._interval, longest=left * 0.3, now=now
         )
         in_time = request.arrived + request.kind.in_time
-        if self._with_returns and now + after <= in_time:
-            self._returns.note(request.number, rank, seconds=after, now=now)
-        return after
+        if self._with_returns and now + retry_after <= in_time:
+            self._reservations.note(
+                request.number, rank, seconds=retry_after, now=now
+            )
+        return retry_after
 
     def note_held(self, request: Request, now: float) -> None:
         """Count it."""
         self.room.note_held(request.kind.rank)
-        self._returns.forget(request.number)
+        self._reservations.remove(request.number)
 
     def note_released(self, request: Request, now: float) -> None:
         """Count it no more; learn how fast places are given back."""
@@ -277,8 +281,8 @@
 
     def _come(self, request: Request, now: float) -> None:
         load = len(self._running) + len(self._waiting)
-        after = self._policy.decide(request, load, now)
-        if after is None:
+        retry_after = self._policy.decide(request, load, now)
+        if retry_after is None:
             request.to_read = float(request.kind.prompt)
             request.to_make = float(request.kind.output)
             self._waiting.append(request)
@@ -290,9 +294,9 @@
             return
         request.tries += 1
         left = request.gives_up - now
-        after = min(max(_SOONEST_RETURN_SECONDS, after), left / 3)
+        retry_after = min(max(_SOONEST_RETURN_SECONDS, retry_after), left / 3)
         heapq.heappush(
-            self._returning, (now + after, next(self._numbers), request)
+            self._returning, (now + retry_after, next(self._numbers), request)
         )
 
     def _work(self, now: float) -> None:
--- a/src/topazlug/capacity/_cold_rate.py
+++ b/src/topazlug/capacity/_cold_rate.py
@@ -14,7 +14,7 @@
 
 
 @final
-class ColdRate:
+class ColdRateLimiter:
     """Lets requests in at a rate, some at once.
 
     It begins with room for one: who takes over from an owner that has just
@@ -25,7 +25,7 @@
         self._room = 1.0
         self._at: float | None = None
 
-    def has_room(self, tolerated: float, *, now: float) -> bool:
+    def has_capacity(self, tolerated: float, *, now: float) -> bool:
         """Say whether one more may be let in.
 
         Parameters
@@ -41,7 +41,7 @@
         self._at = now
         return self._room >= 1.0
 
-    def note_sent(self) -> None:
+    def note_admitted(self) -> None:
         """Count one that was let in."""
         self._room -= 1.0
 
--- a/src/topazlug/capacity/_context_reads.py
+++ b/src/topazlug/capacity/_context_reads.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from topazlug import _ids
-from topazlug.capacity import _place_key
+from topazlug.capacity import _slot_key
 
 # Below this many shared tokens the word of an owner takes longer than the
 # engine's reading (38 to 140 tokens a millisecond were seen).
-LEAST_SHARED_TOKENS = 1000
+MIN_SHARED_TOKENS = 1000
 # An engine that was not asked for a context for so long may have dropped it.
 _KNOWN_SECONDS = 30.0
 # A read that took longer has lost its word; the next request reads itself.
@@ -32,7 +32,7 @@
 _MAX_CHATS = 4096
 
 
-class Turn(enum.Enum):
+class ReadState(enum.Enum):
     """What a request finds on a replica."""
 
     KNOWN = "known"
@@ -41,7 +41,7 @@
 
 
 class _Reading(msgspec.Struct, frozen=True):
-    key: _place_key.PlaceKey
+    key: _slot_key.SlotKey
     since: float
 
 
@@ -53,17 +53,17 @@
         self._known_at_by_chat: collections.OrderedDict[_ids.ChatHash, float]
         self._known_at_by_chat = collections.OrderedDict()
         self._reading_by_chat: dict[_ids.ChatHash, _Reading] = {}
-        self._chat_by_key: dict[_place_key.PlaceKey, _ids.ChatHash] = {}
+        self._chat_by_key: dict[_slot_key.SlotKey, _ids.ChatHash] = {}
 
-    def turn(self, chat: _ids.ChatHash, *, now: float) -> Turn:
+    def state(self, chat: _ids.ChatHash, *, now: float) -> ReadState:
         """Say what a request of a chat finds now."""
         known_at = self._known_at_by_chat.get(chat)
         if known_at is not None and now - known_at <= _KNOWN_SECONDS:
-            return Turn.KNOWN
+            return ReadState.KNOWN
         reading = self._reading_by_chat.get(chat)
         if reading is None or now - reading.since > _LONGEST_READ_SECONDS:
-            return Turn.FIRST
-        return Turn.WAIT
+            return ReadState.FIRST
+        return ReadState.WAIT
 
     def wait(self, chat: _ids.ChatHash, *, now: float) -> float:
         """Give the seconds after which a read may have ended.
@@ -75,7 +75,7 @@
         return min(_LONGEST_WAIT_SECONDS, wait)
 
     def begin(
-        self, chat: _ids.ChatHash, key: _place_key.PlaceKey, *, now: float
+        self, chat: _ids.ChatHash, key: _slot_key.SlotKey, *, now: float
     ) -> None:
         """Note that a request reads a chat's context from now on."""
         before = self._reading_by_chat.get(chat)
@@ -100,7 +100,7 @@
         if len(self._known_at_by_chat) > _MAX_CHATS:
             self._known_at_by_chat.popitem(last=False)
 
-    def note_ended(self, key: _place_key.PlaceKey) -> None:
+    def note_ended(self, key: _slot_key.SlotKey) -> None:
         """Note that a request is gone; what it had not read, nobody has."""
         chat = self._chat_by_key.pop(key, None)
         if chat is not None:
--- a/src/topazlug/capacity/_rank_room.py
+++ b/src/topazlug/capacity/_rank_limits.py
@@ -43,7 +43,7 @@
 
 
 @final
-class RankRoom:
+class RankLimits:
     """Limits what each rank may hold on one replica.
 
     Parameters
@@ -77,7 +77,7 @@
         """Count a request no more."""
         self._held_by_rank[rank] -= 1
 
-    def note_asked(self, rank: int, *, now: float) -> None:
+    def note_demand(self, rank: int, *, now: float) -> None:
         """Note that a rank is about."""
         self._seen_at_by_rank[rank] = now
 
@@ -113,12 +113,12 @@
             self._limit = min(float(self._slots), self._limit + step)
         self._moved_at = now
 
-    def has_room(
+    def has_capacity(
         self,
         rank: int,
         *,
         load: int,
-        promised: int,
+        reserved: int,
         is_due: bool,
         now: float,
     ) -> bool:
@@ -130,7 +130,7 @@
             The rank, 0 first.
         load : int
             Requests that the replica holds.
-        promised : int
+        reserved : int
             Places that are kept for requests which come back.
         is_due : bool
             Whether it comes back to a place of its own: then it leaves the
@@ -138,7 +138,7 @@
         now : float
             Monotonic seconds.
         """
-        free = self._limit - load - promised
+        free = self._limit - load - reserved
         if free < 1:
             return False
         share = max(1.0, self._limit * _SHARE_PART)
--- a/src/topazlug/capacity/_returns.py
+++ b/src/topazlug/capacity/_reservations.py
@@ -34,7 +34,7 @@
 
 
 @final
-class Returns:
+class Reservations:
     """Requests that were turned away from one replica and may come back.
 
     Parameters
@@ -48,7 +48,7 @@
         self._return_by_prompt: collections.OrderedDict[int, _Return]
         self._return_by_prompt = collections.OrderedDict()
 
-    def after(
+    def retry_after(
         self, rank: int, *, interval: float, longest: float, now: float
     ) -> float:
         """Give the seconds after which a request should come back.
@@ -92,11 +92,11 @@
             return False
         return now >= found.due - _LATE_SECONDS / 4
 
-    def forget(self, prompt: int) -> None:
+    def remove(self, prompt: int) -> None:
         """Drop the return of a request that was let in."""
         self._return_by_prompt.pop(prompt, None)
 
-    def kept(self, rank: int, *, now: float, is_due: bool = False) -> int:
+    def reserved(self, rank: int, *, now: float, is_due: bool = False) -> int:
         """Give the places kept from a request.
 
         From a newcomer, those of returns of its own and more urgent ranks
--- a/src/topazlug/capacity/_shared_backoff.py
+++ b/src/topazlug/capacity/_shared_backoff.py
@@ -58,12 +58,12 @@
             if until > now
         }
 
-    def note_let_in(self) -> None:
+    def note_admitted(self) -> None:
         """Note that a request may go to the replica."""
         if self._until_by_daemon:
             self._let_in += 1
 
-    def left(self, *, now: float) -> float:
+    def remaining(self, *, now: float) -> float:
         """Give the seconds for which nobody should send it a request."""
         if self._turned_away < _LEAST_PART * self._let_in:
             return 0.0
--- a/src/topazlug/capacity/_place_key.py
+++ b/src/topazlug/capacity/_slot_key.py
@@ -5,7 +5,7 @@
 from topazlug import _ids
 
 
-class PlaceKey(NamedTuple):
+class SlotKey(NamedTuple):
     """Names one place: the entry daemon and the number it gave."""
 
     daemon: _ids.DaemonId
--- a/src/topazlug/capacity/_start_room.py
+++ b/src/topazlug/capacity/_start_allowance.py
@@ -14,7 +14,7 @@
 
 
 @final
-class StartRoom:
+class StartAllowance:
     """Gives room on a replica while its owner has just started.
 
     Parameters
--- a/src/topazlug/routing/_ledger.py
+++ b/src/topazlug/routing/_ledger.py
@@ -17,10 +17,10 @@
 from topazlug._generated import messages
 from topazlug.capacity import _cold_rate
 from topazlug.capacity import _context_reads
-from topazlug.capacity import _place_key
-from topazlug.capacity import _rank_room
-from topazlug.capacity import _returns
+from topazlug.capacity import _rank_limits
+from topazlug.capacity import _reservations
 from topazlug.capacity import _shared_backoff
+from topazlug.capacity import _slot_key
 from topazlug.limits import _fair_queue
 
 _INTERVAL_SMOOTHING = 0.1
@@ -43,7 +43,7 @@
 class Waiting(msgspec.Struct):
     """One ask in the queue."""
 
-    key: _place_key.PlaceKey
+    key: _slot_key.SlotKey
     held: Held
     deadline: float
     grant: Callable[[], None]
@@ -97,12 +97,12 @@
         self.batch_load = 0
         self.careful_until = 0.0
         self.reads = _context_reads.ContextReads()
-        self.room = _rank_room.RankRoom(slots=slots)
-        self.cold = _cold_rate.ColdRate()
-        self.returns = _returns.Returns()
+        self.room = _rank_limits.RankLimits(slots=slots)
+        self.cold = _cold_rate.ColdRateLimiter()
+        self.returns = _reservations.Reservations()
         self.backoff = _shared_backoff.SharedBackoff()
-        self.held_by_key: dict[_place_key.PlaceKey, Held] = {}
-        self.waiting_by_key: dict[_place_key.PlaceKey, Waiting] = {}
+        self.held_by_key: dict[_slot_key.SlotKey, Held] = {}
+        self.waiting_by_key: dict[_slot_key.SlotKey, Waiting] = {}
         self._interactive = _fair_queue.FairQueue[Waiting](
             capacity=queue_capacity
         )
@@ -200,7 +200,7 @@
         self._reports.clear()
         self._counts.clear()
 
-    def hold(self, key: _place_key.PlaceKey, held: Held) -> None:
+    def hold(self, key: _slot_key.SlotKey, held: Held) -> None:
         """Count a place; a repeated one is counted once."""
         if key in self.held_by_key:
             return
@@ -211,10 +211,10 @@
         if held.batch:
             self.batch_load += held.weight
 
-    def let_in(self, key: _place_key.PlaceKey, held: Held) -> None:
+    def let_in(self, key: _slot_key.SlotKey, held: Held) -> None:
         """Count a place that an ask gets now."""
         self.hold(key, held)
-        self.backoff.note_let_in()
+        self.backoff.note_admitted()
 
     def holds_chat(self, chat: _ids.ChatHash) -> bool:
         """Say whether exactly one place is this chat's.
@@ -228,7 +228,7 @@
         """Give how many places are a chat's."""
         return sum(held.chat == chat for held in self.held_by_key.values())
 
-    def release(self, key: _place_key.PlaceKey, *, now: float) -> bool:
+    def release(self, key: _slot_key.SlotKey, *, now: float) -> bool:
         """Free a place, or take its ask out of the queue.
 
         Returns
@@ -370,7 +370,7 @@
                 self.release(key, now=now)
         for ask, place in held.items():
             self.hold(
-                _place_key.PlaceKey(daemon, ask),
+                _slot_key.SlotKey(daemon, ask),
                 Held(
                     weight=place.weight,
                     team=_ids.TeamName(place.team),
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -15,8 +15,8 @@
 from topazlug import _logs
 from topazlug._generated import messages
 from topazlug._generated import settings as _settings_types
-from topazlug.capacity import _place_key
-from topazlug.capacity import _start_room
+from topazlug.capacity import _slot_key
+from topazlug.capacity import _start_allowance
 from topazlug.routing import _displaced
 from topazlug.routing import _group_accounts
 from topazlug.routing import _ledger
@@ -116,7 +116,7 @@
             answers=self._answers,
             queue=self._queue,
             targets=targets,
-            start=_start_room.StartRoom(
+            start=_start_allowance.StartAllowance(
                 part=start_part, started_at=clock.monotonic()
             ),
             clock=clock,
@@ -211,14 +211,14 @@
         """Free places of an entry daemon, on whichever ledger they are."""
         now = self._clock.monotonic()
         for ask in asks:
-            key = _place_key.PlaceKey(sender, _ids.AskNumber(ask))
+            key = _slot_key.SlotKey(sender, _ids.AskNumber(ask))
             ledger = self._find(key)
             if ledger is None:
                 continue
             ledger.release(key, now=now)
             self._queue.pump(ledger)
 
-    def _find(self, key: _place_key.PlaceKey) -> _ledger.ReplicaLedger | None:
+    def _find(self, key: _slot_key.SlotKey) -> _ledger.ReplicaLedger | None:
         for ledger in self.ledger_by_replica.values():
             if key in ledger.held_by_key or key in ledger.waiting_by_key:
                 return ledger
--- a/src/topazlug/routing/_owner_judge.py
+++ b/src/topazlug/routing/_owner_judge.py
@@ -11,8 +11,8 @@
 from topazlug import _logs
 from topazlug._generated import messages
 from topazlug.capacity import _context_reads
-from topazlug.capacity import _place_key
-from topazlug.capacity import _start_room
+from topazlug.capacity import _slot_key
+from topazlug.capacity import _start_allowance
 from topazlug.routing import _group_accounts
 from topazlug.routing import _ledger
 from topazlug.routing import _owner_answers
@@ -36,7 +36,7 @@
         Takes those that may wait.
     targets : TargetDirectory
         Which replicas there are, and which are cold.
-    start : StartRoom
+    start : StartAllowance
         What holds while this owner has just started.
     clock : Clock
         Time.
@@ -49,7 +49,7 @@
         answers: _owner_answers.OwnerAnswers,
         queue: _owner_queue.OwnerQueue,
         targets: _targets.TargetDirectory,
-        start: _start_room.StartRoom,
+        start: _start_allowance.StartAllowance,
         clock: _clock.Clock,
     ) -> None:
         self._accounts = accounts
@@ -88,20 +88,20 @@
         self, ledger: _ledger.ReplicaLedger, reply: _owner_answers.Reply
     ) -> bool:
         """Turn an ask away while its replica wants no request of anybody."""
-        left = ledger.backoff.left(now=self._clock.monotonic())
-        if left <= 0:
+        remaining = ledger.backoff.remaining(now=self._clock.monotonic())
+        if remaining <= 0:
             return False
         _log.info(
             "no room at {replica}: it has asked daemons for a backoff",
             replica=ledger.replica,
-            retry_after=round(left, 3),
+            retry_after=round(remaining, 3),
         )
         self._answers.give(
             reply,
             messages.Verdict.full,
             load=ledger.load,
-            retry_after=left,
-            backoff=left,
+            retry_after=remaining,
+            backoff=remaining,
         )
         return True
 
@@ -122,7 +122,7 @@
         tolerated = self._tolerated(ledger)
         if tolerated is None:
             return False
-        if ledger.cold.has_room(tolerated, now=self._clock.monotonic()):
+        if ledger.cold.has_capacity(tolerated, now=self._clock.monotonic()):
             return False
         wait = ledger.cold.wait(tolerated)
         _log.info(
@@ -151,7 +151,7 @@
         ledger: _ledger.ReplicaLedger,
         reply: _owner_answers.Reply,
     ) -> None:
-        key = _place_key.PlaceKey(sender, _ids.AskNumber(ask.ask))
+        key = _slot_key.SlotKey(sender, _ids.AskNumber(ask.ask))
         held = _ledger.Held(
             weight=ask.weight,
             team=_ids.TeamName(ask.team),
@@ -219,12 +219,12 @@
         self, ledger: _ledger.ReplicaLedger, ask: messages.AdmitAsk
     ) -> bool:
         now = self._clock.monotonic()
-        ledger.room.note_asked(ask.rank, now=now)
+        ledger.room.note_demand(ask.rank, now=now)
         load = ledger.seen_load()
         is_due = ledger.returns.is_due(ask.request, now=now)
-        kept = ledger.returns.kept(ask.rank, now=now, is_due=is_due)
-        return ledger.room.has_room(
-            ask.rank, load=load, promised=kept, is_due=is_due, now=now
+        reserved = ledger.returns.reserved(ask.rank, now=now, is_due=is_due)
+        return ledger.room.has_capacity(
+            ask.rank, load=load, reserved=reserved, is_due=is_due, now=now
         )
 
     def _turn_away(
@@ -233,7 +233,7 @@
         ask: messages.AdmitAsk,
         reply: _owner_answers.Reply,
     ) -> None:
-        after = ledger.returns.after(
+        retry_after = ledger.returns.retry_after(
             ask.rank,
             interval=ledger.release_interval,
             longest=ask.longest,
@@ -247,29 +247,29 @@
             load=ledger.load,
             limit=ledger.room.limit,
             home=ask.home,
-            retry_after=round(after, 3),
+            retry_after=round(retry_after, 3),
         )
         self._answers.give(
             reply,
             messages.Verdict.full,
             load=ledger.load,
-            retry_after=after,
+            retry_after=retry_after,
         )
 
     def _grant(
         self,
         ledger: _ledger.ReplicaLedger,
-        key: _place_key.PlaceKey,
+        key: _slot_key.SlotKey,
         held: _ledger.Held,
         ask: messages.AdmitAsk,
         reply: _owner_answers.Reply,
     ) -> None:
         """Count a place, unless its context is being read there just now."""
         now = self._clock.monotonic()
-        turn = _context_reads.Turn.KNOWN
-        if ask.shared >= _context_reads.LEAST_SHARED_TOKENS:
-            turn = ledger.reads.turn(held.chat, now=now)
-        if turn is _context_reads.Turn.WAIT and ask.may_wait:
+        state = _context_reads.ReadState.KNOWN
+        if ask.shared >= _context_reads.MIN_SHARED_TOKENS:
+            state = ledger.reads.state(held.chat, now=now)
+        if state is _context_reads.ReadState.WAIT and ask.may_wait:
             self._answers.give(
                 reply,
                 messages.Verdict.reading,
@@ -279,9 +279,9 @@
             return
         ledger.let_in(key, held)
         if self._tolerated(ledger) is not None:
-            ledger.cold.note_sent()
-        ledger.returns.forget(ask.request)
-        first = turn is _context_reads.Turn.FIRST
+            ledger.cold.note_admitted()
+        ledger.returns.remove(ask.request)
+        first = state is _context_reads.ReadState.FIRST
         if first:
             ledger.reads.begin(held.chat, key, now=now)
         else:
--- a/src/topazlug/routing/_owner_queue.py
+++ b/src/topazlug/routing/_owner_queue.py
@@ -8,7 +8,7 @@
 from topazlug import _clock
 from topazlug import _ids
 from topazlug._generated import messages
-from topazlug.capacity import _place_key
+from topazlug.capacity import _slot_key
 from topazlug.routing import _group_accounts
 from topazlug.routing import _ledger
 from topazlug.routing import _owner_answers
@@ -54,7 +54,7 @@
     def enqueue(
         self,
         ledger: _ledger.ReplicaLedger,
-        key: _place_key.PlaceKey,
+        key: _slot_key.SlotKey,
         held: _ledger.Held,
         wait: float,
         reply: _owner_answers.Reply,
--- a/tests/topazlug/routing/test_ledger.py
+++ b/tests/topazlug/routing/test_ledger.py
@@ -6,7 +6,7 @@
 
 from topazlug import _ids
 from topazlug._generated import messages
-from topazlug.capacity import _place_key
+from topazlug.capacity import _slot_key
 from topazlug.routing import _ledger
 
 DAEMONS = ("d1", "d2")
@@ -24,7 +24,7 @@
 
 
 def key(daemon, ask):
-    return _place_key.PlaceKey(daemon, ask)
+    return _slot_key.SlotKey(daemon, ask)
 
 
 def held(weight=1, *, batch=False, team="acme"):
