--- a/src/topazlug/capacity/__init__.py
+++ b/src/topazlug/capacity/__init__.py
@@ -1,5 +1,5 @@
-"""Decides what a replica takes on: how work waits and is turned away.
+"""Admission control for one replica: limits, reservations and backoff.
 
-Nothing in here sends, receives or waits. Each decision is asked with the time
-and what has been observed, and is driven by a replay of load in its tests.
+Nothing here sends, receives or waits. Each decision takes the time and the
+observations as arguments, so that tests can replay a load.
 """
--- a/src/topazlug/capacity/_cold_rate.py
+++ b/src/topazlug/capacity/_cold_rate.py
@@ -1,50 +1,50 @@
-"""How many requests a second the owner of a cold replica lets in.
+"""Rate limit for requests that an owner admits to a cold replica.
 
-A replica that has just started crashes well above the rate that it says it
-stands. What counts is what all daemons send it together in any second.
+A replica that has just started crashes well above the rate that it reports to
+tolerate. What counts is the rate from all daemons together in any second.
 """
 
 from typing import final
 
-# Part of the rate, and requests beside it, that one owner lets in. While
-# daemons don't agree on the owner two of them let in requests: together they
-# stay below one and a half times the rate, and five.
-_RATE_PART = 0.75
-_BURST = 2.0
+# Fraction of the rate, and burst, that one owner admits. While daemons don't
+# agree on the owner two of them admit requests: together they stay below one
+# and a half times the rate plus five.
+_RATE_FRACTION = 0.75
+_MAX_TOKENS = 2.0
 
 
 @final
 class ColdRateLimiter:
-    """Lets requests in at a rate, some at once.
+    """Token bucket for the requests to a cold replica.
 
-    It begins with room for one: who takes over from an owner that has just
-    let in what it may must not do the same again.
+    It starts with a single token: a daemon that takes over from an owner which
+    has just admitted a full burst must not admit another one.
     """
 
     def __init__(self) -> None:
-        self._room = 1.0
-        self._at: float | None = None
+        self._tokens = 1.0
+        self._refilled_at: float | None = None
 
     def has_capacity(self, tolerated: float, *, now: float) -> bool:
-        """Say whether one more may be let in.
+        """Return whether one more request may be admitted.
 
         Parameters
         ----------
         tolerated : float
-            Requests a second that the replica stands.
+            Requests a second that the replica tolerates.
         now : float
             Monotonic seconds.
         """
-        if self._at is not None:
-            gained = (now - self._at) * tolerated * _RATE_PART
-            self._room = min(_BURST, self._room + gained)
-        self._at = now
-        return self._room >= 1.0
+        if self._refilled_at is not None:
+            gained = (now - self._refilled_at) * tolerated * _RATE_FRACTION
+            self._tokens = min(_MAX_TOKENS, self._tokens + gained)
+        self._refilled_at = now
+        return self._tokens >= 1.0
 
     def note_admitted(self) -> None:
-        """Count one that was let in."""
-        self._room -= 1.0
+        """Count an admitted request."""
+        self._tokens -= 1.0
 
     def wait(self, tolerated: float) -> float:
-        """Give the seconds after which there is room for one."""
-        return max(0.0, 1.0 - self._room) / (tolerated * _RATE_PART)
+        """Return the seconds until one request may be admitted."""
+        return max(0.0, 1.0 - self._tokens) / (tolerated * _RATE_FRACTION)
--- a/src/topazlug/capacity/_context_reads.py
+++ b/src/topazlug/capacity/_context_reads.py
@@ -1,10 +1,10 @@
-"""Lets one request read a context that several need at the same time.
+"""Avoids that several requests read the same context at the same time.
 
 Load pattern: a replica is lost, or a chat's home is over its bound, and all
-requests of that chat turn to a replica that does not hold its context. An
-engine reads the shared parts of a prompt for each request that is there
-before the first one has read them; under load, that work alone is more than
-the engines can do, and all first tokens are late.
+requests of that chat go to a replica that does not hold its context. An
+engine reads the shared parts of a prompt for each request that arrives before
+the first one has read them. Under load this work alone exceeds the capacity
+of the engines, and all first tokens are late.
 """
 
 import collections
@@ -16,92 +16,97 @@
 from topazlug import _ids
 from topazlug.capacity import _slot_key
 
-# Below this many shared tokens the word of an owner takes longer than the
-# engine's reading (38 to 140 tokens a millisecond were seen).
+# With fewer shared tokens the owner's reply takes longer than the engine needs
+# to read them (measured: 38 to 140 tokens a millisecond).
 MIN_SHARED_TOKENS = 1000
-# An engine that was not asked for a context for so long may have dropped it.
+# An engine may have evicted a context that was not used for this long.
 _KNOWN_SECONDS = 30.0
-# A read that took longer has lost its word; the next request reads itself.
-_LONGEST_READ_SECONDS = 2.0
-# Asking again costs a message each way; reading 8,600 tokens takes 0.06 to
+# After this time the report of a read counts as lost, and the next request
+# reads the context itself.
+_MAX_READ_SECONDS = 2.0
+# Each check costs a message each way; reading 8,600 tokens takes 0.06 to
 # 0.22 s on an idle engine.
-_SHORTEST_WAIT_SECONDS = 0.02
-_LONGEST_WAIT_SECONDS = 0.1
-# Contexts of one replica that are remembered, by least recent use. An engine
-# has room for some hundred.
+_MIN_WAIT_SECONDS = 0.02
+_MAX_WAIT_SECONDS = 0.1
+# Contexts kept for one replica; the least recently used is evicted. An engine
+# can hold some hundred.
 _MAX_CHATS = 4096
 
 
 class ReadState(enum.Enum):
-    """What a request finds on a replica."""
+    """State of a context on a replica, for the next request.
+
+    KNOWN: the replica holds it. FIRST: no request is reading it, so this one
+    does. WAIT: another request is reading it.
+    """
 
     KNOWN = "known"
     FIRST = "first"
     WAIT = "wait"
 
 
-class _Reading(msgspec.Struct, frozen=True):
+class _ActiveRead(msgspec.Struct, frozen=True):
     key: _slot_key.SlotKey
     since: float
 
 
 @final
 class ContextReads:
-    """Which contexts a replica holds, and which are being read there."""
+    """Contexts that a replica holds, and those that are being read there."""
 
     def __init__(self) -> None:
         self._known_at_by_chat: collections.OrderedDict[_ids.ChatHash, float]
         self._known_at_by_chat = collections.OrderedDict()
-        self._reading_by_chat: dict[_ids.ChatHash, _Reading] = {}
+        self._active_read_by_chat: dict[_ids.ChatHash, _ActiveRead] = {}
         self._chat_by_key: dict[_slot_key.SlotKey, _ids.ChatHash] = {}
 
     def state(self, chat: _ids.ChatHash, *, now: float) -> ReadState:
-        """Say what a request of a chat finds now."""
+        """Return the state of a chat's context."""
         known_at = self._known_at_by_chat.get(chat)
         if known_at is not None and now - known_at <= _KNOWN_SECONDS:
             return ReadState.KNOWN
-        reading = self._reading_by_chat.get(chat)
-        if reading is None or now - reading.since > _LONGEST_READ_SECONDS:
+        active = self._active_read_by_chat.get(chat)
+        if active is None or now - active.since > _MAX_READ_SECONDS:
             return ReadState.FIRST
         return ReadState.WAIT
 
     def wait(self, chat: _ids.ChatHash, *, now: float) -> float:
-        """Give the seconds after which a read may have ended.
+        """Return the seconds until the next check whether a read has ended.
 
-        The longer it has taken, the longer it may still take.
+        The longer the read has taken, the longer it may still take.
         """
-        since = self._reading_by_chat[chat].since
-        wait = max(_SHORTEST_WAIT_SECONDS, (now - since) / 2)
-        return min(_LONGEST_WAIT_SECONDS, wait)
+        since = self._active_read_by_chat[chat].since
+        wait = max(_MIN_WAIT_SECONDS, (now - since) / 2)
+        return min(_MAX_WAIT_SECONDS, wait)
 
     def begin(
         self, chat: _ids.ChatHash, key: _slot_key.SlotKey, *, now: float
     ) -> None:
-        """Note that a request reads a chat's context from now on."""
-        before = self._reading_by_chat.get(chat)
+        """Record that a request starts to read a chat's context."""
+        before = self._active_read_by_chat.get(chat)
         if before is not None:
             self._chat_by_key.pop(before.key, None)
-        self._reading_by_chat[chat] = _Reading(key, now)
+        self._active_read_by_chat[chat] = _ActiveRead(key, now)
         self._chat_by_key[key] = chat
 
     def note_use(self, chat: _ids.ChatHash, *, now: float) -> None:
-        """Note that a context that is held is used once more."""
+        """Record another use of a context that the replica holds."""
         if chat in self._known_at_by_chat:
             self._known_at_by_chat[chat] = now
             self._known_at_by_chat.move_to_end(chat)
 
     def note_read(self, chat: _ids.ChatHash, *, now: float) -> None:
-        """Note that a context has been read."""
-        reading = self._reading_by_chat.pop(chat, None)
-        if reading is not None:
-            self._chat_by_key.pop(reading.key, None)
+        """Record that a context has been read."""
+        active = self._active_read_by_chat.pop(chat, None)
+        if active is not None:
+            self._chat_by_key.pop(active.key, None)
         self._known_at_by_chat[chat] = now
         self._known_at_by_chat.move_to_end(chat)
         if len(self._known_at_by_chat) > _MAX_CHATS:
             self._known_at_by_chat.popitem(last=False)
 
     def note_ended(self, key: _slot_key.SlotKey) -> None:
-        """Note that a request is gone; what it had not read, nobody has."""
+        """Record the end of a request, and discard its unfinished read."""
         chat = self._chat_by_key.pop(key, None)
         if chat is not None:
-            del self._reading_by_chat[chat]
+            del self._active_read_by_chat[chat]
--- a/src/topazlug/capacity/_rank_limits.py
+++ b/src/topazlug/capacity/_rank_limits.py
@@ -1,44 +1,46 @@
-"""How much of one replica each rank may hold, learnt from what it reports.
+"""Limits of what each rank may hold on a replica, adapted to its reports.
 
-Load pattern: more work arrives than the replicas can do, for seconds. Left
-to the replicas' own queues, each request waits behind hundreds, holds its
-place until its deadline and is then lost, the urgent ones too; what a
-replica has read for them is dropped and read again.
+Load pattern: for seconds more work arrives than the replicas can do. In the
+replicas' own queues each request would wait behind hundreds of others, hold
+its slot until its deadline and then fail, urgent ones too; what a replica has
+read for them would be evicted and read again.
 """
 
 import collections
 import math
 from typing import final
 
-# A replica that lets this part of its slots wait has all that it can run. A
-# shorter queue is refilled too late: a place that is given back is known to
-# its owner some milliseconds later. At least two, for replicas of few slots.
-_QUEUE_PART = 1 / 16
-_LEAST_QUEUE = 2
-# However little a replica seems to run, so much of its slots stays open: its
-# next report would otherwise never show that it can run more.
-_LEAST_PART = 1 / 8
-# Reports come with each answer. The limit moves once in this many seconds, so
-# that one moment's queue is answered once.
+# A queue of this fraction of the slots keeps a replica busy. A shorter one is
+# refilled too late, as the owner learns of a released slot some milliseconds
+# later. At least two, for replicas with few slots.
+_QUEUE_FRACTION = 1 / 16
+_MIN_QUEUE = 2
+# The limit never falls below this fraction of the slots: otherwise reports
+# could never show that the replica can run more.
+_MIN_LIMIT_FRACTION = 1 / 8
+# Reports come with each answer. The limit changes at most once in this time,
+# so that it reacts only once to a queue.
 _STEP_SECONDS = 0.1
-# The limit falls to this part of itself in a step at most: a queue may be of
-# one moment. From 64 to half of it in half a second.
-_FALL = 0.85
-# Part of the slots by which the limit grows a step; from an eighth to all of
-# them in 1.4 s.
-_GROWTH_PART = 1 / 16
-# Part of the limit that a rank leaves to each more urgent rank that is about.
-# On a day of four times the usual load, leaving nothing made the most urgent
-# wait as long as the rest.
-_MARGIN_PART = 1 / 8
-# Part of that margin that is left by who comes back to a kept place. With no
-# margin the least urgent returns fill the room of the urgent; with all of it
-# they are refused again, and the places kept for them stay empty.
-_DUE_PART = 1 / 2
-# Part of the limit that a rank may hold beside all margins, so that the least
-# urgent are served too.
-_SHARE_PART = 1 / 12
-# A rank that has held nothing for so many seconds is left no room.
+# The limit falls at most by this factor in a step, as a queue may last only a
+# moment: from 64 to half of it in half a second.
+_MAX_DECREASE = 0.85
+# Fraction of the slots by which the limit grows in a step: from an eighth to
+# all of them in 1.4 s.
+_INCREASE_FRACTION = 1 / 16
+# Fraction of the limit that a rank leaves to each more urgent active rank.
+# Without it, at four times the usual load, the most urgent rank waited as long
+# as the others.
+_MARGIN_FRACTION = 1 / 8
+# Fraction of that margin for requests with a reservation that is due. With no
+# margin the least urgent of them take the capacity of the urgent ranks;
+# with the full margin they are rejected again, and their reserved slots stay
+# empty.
+_DUE_MARGIN_FRACTION = 1 / 2
+# Fraction of the limit that a rank may hold regardless of the margins, so that
+# the least urgent rank is served too.
+_MIN_SHARE_FRACTION = 1 / 12
+# A rank without requests for this long is no longer active: no margin is left
+# for it.
 _ACTIVE_SECONDS = 2.0
 
 
@@ -49,69 +51,69 @@
     Parameters
     ----------
     slots : int
-        Requests that the replica says it runs at once.
+        Requests that the replica reports to run concurrently.
     """
 
     def __init__(self, *, slots: int) -> None:
         self._slots = slots
         self._limit = float(slots)
-        self._moved_at = -math.inf
+        self._changed_at = -math.inf
         self._held_by_rank: collections.Counter[int] = collections.Counter()
-        self._seen_at_by_rank: dict[int, float] = {}
+        self._requested_at_by_rank: dict[int, float] = {}
 
     @property
     def limit(self) -> int:
-        """Give the requests that the replica may hold in all."""
+        """Return the maximum of requests on the replica."""
         return int(self._limit)
 
     @property
     def queue(self) -> int:
-        """Give the requests that may wait on the replica itself."""
-        return max(_LEAST_QUEUE, int(self._slots * _QUEUE_PART))
+        """Return the maximum of requests that wait on the replica itself."""
+        return max(_MIN_QUEUE, int(self._slots * _QUEUE_FRACTION))
 
     def note_held(self, rank: int) -> None:
-        """Count a request."""
+        """Count a request that holds a slot."""
         self._held_by_rank[rank] += 1
 
     def note_released(self, rank: int) -> None:
-        """Count a request no more."""
+        """Remove a request from the count."""
         self._held_by_rank[rank] -= 1
 
     def note_demand(self, rank: int, *, now: float) -> None:
-        """Note that a rank is about."""
-        self._seen_at_by_rank[rank] = now
+        """Record that a rank has sent a request."""
+        self._requested_at_by_rank[rank] = now
 
     def take_report(
         self, running: int, waiting: int, *, slow: bool, now: float
     ) -> None:
-        """Learn from what the replica says that it runs.
+        """Adapt the limit to a report of the replica.
 
-        A replica with a queue whose answers are slow runs all it can,
-        whatever binds it: places, memory or the reading of prompts. The
-        limit falls towards that and a short queue, and rises by small steps
-        while none waits. A queue alone says little: prompts that are read
-        in a moment stand in it too.
+        A replica that has a queue and answers slowly is at its capacity,
+        whether slots, memory or the reading of prompts limits it. The limit
+        falls towards what it runs plus a short queue, and rises in small steps
+        while no request waits. A queue alone is no sign of overload, as it
+        also holds prompts that are read within moments.
 
         Parameters
         ----------
         running, waiting : int
-            Requests that it runs, and that wait there.
+            Requests that the replica runs, and that wait there.
         slow : bool
-            Whether the answer that told it began late.
+            Whether the answer that carried the report began late.
         now : float
             Monotonic seconds.
         """
-        if now - self._moved_at < _STEP_SECONDS:
+        if now - self._changed_at < _STEP_SECONDS:
             return
         if waiting > self.queue and slow:
-            least = max(1.0, self._slots * _LEAST_PART)
-            able = max(least, float(running + self.queue))
-            lower = max(able, self._limit * _FALL)
+            min_limit = max(1.0, self._slots * _MIN_LIMIT_FRACTION)
+            sustainable = max(min_limit, float(running + self.queue))
+            lower = max(sustainable, self._limit * _MAX_DECREASE)
             self._limit = min(self._limit, lower)
         elif waiting <= self.queue / 2:
-            step = max(1.0, self._slots * _GROWTH_PART)
+            step = max(1.0, self._slots * _INCREASE_FRACTION)
             self._limit = min(float(self._slots), self._limit + step)
-        self._moved_at = now
+        self._changed_at = now
 
     def has_capacity(
         self,
@@ -122,37 +124,39 @@
         is_due: bool,
         now: float,
     ) -> bool:
-        """Say whether a rank may hold one more.
+        """Return whether a rank may hold one more request.
 
         Parameters
         ----------
         rank : int
-            The rank, 0 first.
+            The rank; 0 is the most urgent.
         load : int
             Requests that the replica holds.
         reserved : int
-            Places that are kept for requests which come back.
+            Slots that are reserved for rejected requests that will be retried.
         is_due : bool
-            Whether it comes back to a place of its own: then it leaves the
-            more urgent half of the room.
+            Whether the request has a reservation that is due: then it leaves
+            only half of the margin to more urgent ranks.
         now : float
             Monotonic seconds.
         """
         free = self._limit - load - reserved
         if free < 1:
             return False
-        share = max(1.0, self._limit * _SHARE_PART)
+        share = max(1.0, self._limit * _MIN_SHARE_FRACTION)
         if self._held_by_rank[rank] < share:
             return True
-        margin = self._limit * _MARGIN_PART * self._more_urgent(rank, now)
+        margin = (
+            self._limit * _MARGIN_FRACTION * self._more_urgent_ranks(rank, now)
+        )
         if is_due:
-            margin *= _DUE_PART
+            margin *= _DUE_MARGIN_FRACTION
         return free - margin >= 1
 
-    def _more_urgent(self, rank: int, now: float) -> int:
+    def _more_urgent_ranks(self, rank: int, now: float) -> int:
         since = now - _ACTIVE_SECONDS
         return sum(
-            seen_at > since
-            for other, seen_at in self._seen_at_by_rank.items()
+            requested_at > since
+            for other, requested_at in self._requested_at_by_rank.items()
             if other < rank
         )
--- a/src/topazlug/capacity/_reservations.py
+++ b/src/topazlug/capacity/_reservations.py
@@ -1,9 +1,9 @@
-"""When those who are turned away come back, and what is kept for them.
+"""When rejected requests are retried, and the slots reserved for them.
 
-Load pattern: for seconds a replica gets more than it can run. Those turned
-away come back, once as a rule. Told the same time, they come together and
-most are turned away again; served after newcomers, they are lost while others
-never waited.
+Load pattern: for seconds a replica gets more requests than it can run. Callers
+retry a rejected request, as a rule once. With equal delays the retries arrive
+together and most are rejected again; if newcomers went first, the retries
+would fail while others never waited.
 """
 
 import collections
@@ -13,105 +13,105 @@
 
 import msgspec
 
-# The soonest return in seconds: some ten places of a busy replica are given
-# back meanwhile.
-_SOONEST_SECONDS = 0.05
-# Part by which returns are spread, so that those told in one moment do not
-# come in one moment.
-_SPREAD = 0.25
-# A place is kept for a return until it is so many seconds late.
-_LATE_SECONDS = 0.5
-# Part of the places given back that goes to returns; the rest is for
-# newcomers of more urgent ranks.
-_RETURNING_PART = 0.5
-# Returns remembered for one replica, the oldest out first.
-_MOST_RETURNS = 2000
-
-
-class _Return(msgspec.Struct, frozen=True):
+# Minimum delay of a retry: a busy replica releases some ten slots in this
+# time.
+_MIN_DELAY_SECONDS = 0.05
+# Jitter as a fraction of the delay, so that requests rejected at the same
+# time are not retried at the same time.
+_JITTER = 0.25
+# A reservation expires when the retry is this late.
+_EXPIRY_SECONDS = 0.5
+# Fraction of the released slots that goes to retries; the rest is for new
+# requests of more urgent ranks.
+_RETRY_FRACTION = 0.5
+# Reservations kept for one replica; the oldest is evicted.
+_MAX_RESERVATIONS = 2000
+
+
+class _Reservation(msgspec.Struct, frozen=True):
     rank: int
     due: float
 
 
 @final
 class Reservations:
-    """Requests that were turned away from one replica and may come back.
+    """Requests that were rejected at one replica and may be retried.
 
     Parameters
     ----------
     chance : callable
-        Gives numbers from 0 to 1, to spread returns by.
+        Returns random numbers from 0 to 1, for jitter.
     """
 
     def __init__(self, *, chance: Callable[[], float] = random.random) -> None:
         self._chance = chance
-        self._return_by_prompt: collections.OrderedDict[int, _Return]
-        self._return_by_prompt = collections.OrderedDict()
+        self._reservation_by_prompt: collections.OrderedDict[int, _Reservation]
+        self._reservation_by_prompt = collections.OrderedDict()
 
     def retry_after(
         self, rank: int, *, interval: float, longest: float, now: float
     ) -> float:
-        """Give the seconds after which a request should come back.
+        """Return the seconds after which a request should be retried.
 
         Parameters
         ----------
         rank : int
-            Its rank; only returns of its own and more urgent ranks come
+            Its rank; only reservations of its own and more urgent ranks come
             before it.
         interval : float
-            Seconds between two places that are given back.
+            Seconds between two released slots.
         longest : float
-            Longest time that its caller would wait.
+            Maximum time that the caller would wait.
         now : float
             Monotonic seconds.
         """
-        self._drop_old(now)
-        returns = self._return_by_prompt.values()
-        before = sum(one.rank <= rank for one in returns)
-        wait = _SOONEST_SECONDS + before * interval / _RETURNING_PART
-        wait *= 1.0 + _SPREAD * self._chance()
+        self._remove_expired(now)
+        reservations = self._reservation_by_prompt.values()
+        before = sum(one.rank <= rank for one in reservations)
+        wait = _MIN_DELAY_SECONDS + before * interval / _RETRY_FRACTION
+        wait *= 1.0 + _JITTER * self._chance()
         return min(wait, longest)
 
     def note(
         self, prompt: int, rank: int, *, seconds: float, now: float
     ) -> None:
-        """Note that a request was told to come back."""
-        self._return_by_prompt.pop(prompt, None)
-        self._return_by_prompt[prompt] = _Return(rank, now + seconds)
-        if len(self._return_by_prompt) > _MOST_RETURNS:
-            self._return_by_prompt.popitem(last=False)
+        """Reserve a slot for a request that was rejected with a delay."""
+        self._reservation_by_prompt.pop(prompt, None)
+        self._reservation_by_prompt[prompt] = _Reservation(rank, now + seconds)
+        if len(self._reservation_by_prompt) > _MAX_RESERVATIONS:
+            self._reservation_by_prompt.popitem(last=False)
 
     def is_due(self, prompt: int, *, now: float) -> bool:
-        """Say whether a request comes back as it was told to.
+        """Return whether a request is a retry whose reservation is due.
 
-        One that comes before its time has no claim: who repeats without
-        waiting would otherwise go before those who wait.
+        A retry that arrives early has no claim: callers that do not wait would
+        otherwise be served before those that do.
         """
-        found = self._return_by_prompt.get(prompt)
+        found = self._reservation_by_prompt.get(prompt)
         if found is None:
             return False
-        return now >= found.due - _LATE_SECONDS / 4
+        return now >= found.due - _EXPIRY_SECONDS / 4
 
     def remove(self, prompt: int) -> None:
-        """Drop the return of a request that was let in."""
-        self._return_by_prompt.pop(prompt, None)
+        """Remove the reservation of a request that was admitted."""
+        self._reservation_by_prompt.pop(prompt, None)
 
     def reserved(self, rank: int, *, now: float, is_due: bool = False) -> int:
-        """Give the places kept from a request.
+        """Return the number of slots reserved against a request.
 
-        From a newcomer, those of returns of its own and more urgent ranks
-        that are due now or in a moment; from a return that is due itself,
-        those of more urgent ranks.
+        For a new request, these are the reservations of its own and more
+        urgent ranks that are due now or soon; for a retry that is due itself,
+        only those of more urgent ranks.
         """
-        self._drop_old(now)
-        soon = now + _LATE_SECONDS / 2
+        self._remove_expired(now)
+        soon = now + _EXPIRY_SECONDS / 2
         least_urgent = rank - 1 if is_due else rank
         return sum(
             one.rank <= least_urgent and one.due <= soon
-            for one in self._return_by_prompt.values()
+            for one in self._reservation_by_prompt.values()
         )
 
-    def _drop_old(self, now: float) -> None:
-        for prompt, one in list(self._return_by_prompt.items()):
-            if now > one.due + _LATE_SECONDS:
-                del self._return_by_prompt[prompt]
+    def _remove_expired(self, now: float) -> None:
+        for prompt, one in list(self._reservation_by_prompt.items()):
+            if now > one.due + _EXPIRY_SECONDS:
+                del self._reservation_by_prompt[prompt]
--- a/src/topazlug/capacity/_shared_backoff.py
+++ b/src/topazlug/capacity/_shared_backoff.py
@@ -1,12 +1,14 @@
-"""How long a replica wants no request of anybody, as several daemons heard.
+"""Backoffs of a replica that several daemons were asked for.
 
-Load pattern: a replica turns requests away for seconds and asks each daemon
-that it answers for a backoff. A daemon sees a sliver of the requests, so each
-of 70 would have one turned away before it knows, again after each backoff.
+Load pattern: a replica rejects requests for seconds and asks each daemon that
+it answers for a backoff. A daemon sees only a small part of the requests, so
+each of 70 daemons would have a request rejected before it backs off, and
+another one after each backoff.
 
-What one daemon alone was asked for may be about that daemon. What several were
-asked for is about the replica, unless it serves most of what it gets: one that
-is a little over its limit turns a few away, and would idle if all kept off.
+A backoff that only one daemon was asked for may concern that daemon. One that
+several daemons were asked for concerns the replica, unless it serves most of
+its requests: a replica that is slightly over its limit rejects a few, and
+would idle if all daemons backed off.
 """
 
 from typing import final
@@ -14,10 +16,10 @@
 from topazlug import _ids
 
 # Daemons that must be in a backoff at the same time.
-_LEAST_DAEMONS = 2
-# Part of the requests let in since the first of these backoffs that must have
-# been turned away.
-_LEAST_PART = 0.5
+_MIN_DAEMONS = 2
+# Minimum fraction of the requests admitted since the first of these backoffs
+# that must have been rejected.
+_MIN_REJECTED_FRACTION = 0.5
 
 
 @final
@@ -26,32 +28,32 @@
 
     def __init__(self) -> None:
         self._until_by_daemon: dict[_ids.DaemonId, float] = {}
-        self._let_in = 0
-        self._turned_away = 0
+        self._admitted = 0
+        self._rejected = 0
 
     def note(
         self, daemon: _ids.DaemonId, *, seconds: float, now: float
     ) -> None:
-        """Note that a daemon was asked for one.
+        """Record that a daemon was asked for a backoff.
 
         Parameters
         ----------
         daemon : DaemonId
-            Whom the replica has turned away.
+            The daemon whose request was rejected.
         seconds : float
-            For how long it wants nothing of it.
+            How long the daemon is to send no requests.
         now : float
             Monotonic seconds.
         """
-        self._forget_ended(now)
+        self._remove_expired(now)
         if not self._until_by_daemon:
-            # The one that was turned away had been let in before.
-            self._let_in = 1
-            self._turned_away = 0
-        self._turned_away += 1
+            # The rejected request had been admitted before.
+            self._admitted = 1
+            self._rejected = 0
+        self._rejected += 1
         self._until_by_daemon[daemon] = now + seconds
 
-    def _forget_ended(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         self._until_by_daemon = {
             daemon: until
             for daemon, until in self._until_by_daemon.items()
@@ -59,15 +61,15 @@
         }
 
     def note_admitted(self) -> None:
-        """Note that a request may go to the replica."""
+        """Count a request that was admitted to the replica."""
         if self._until_by_daemon:
-            self._let_in += 1
+            self._admitted += 1
 
     def remaining(self, *, now: float) -> float:
-        """Give the seconds for which nobody should send it a request."""
-        if self._turned_away < _LEAST_PART * self._let_in:
+        """Return the seconds for which no daemon should send it a request."""
+        if self._rejected < _MIN_REJECTED_FRACTION * self._admitted:
             return 0.0
         ends = sorted(self._until_by_daemon.values(), reverse=True)
-        if len(ends) < _LEAST_DAEMONS:
+        if len(ends) < _MIN_DAEMONS:
             return 0.0
-        return max(0.0, ends[_LEAST_DAEMONS - 1] - now)
+        return max(0.0, ends[_MIN_DAEMONS - 1] - now)
--- a/src/topazlug/capacity/_slot_key.py
+++ b/src/topazlug/capacity/_slot_key.py
@@ -1,4 +1,4 @@
-"""The name of one place that an owner counts."""
+"""Identifies a slot in an owner's counts."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class SlotKey(NamedTuple):
-    """Names one place: the entry daemon and the number it gave."""
+    """The daemon that holds a slot, and the number it gave that slot."""
 
     daemon: _ids.DaemonId
     ask: _ids.AskNumber
--- a/src/topazlug/capacity/_start_allowance.py
+++ b/src/topazlug/capacity/_start_allowance.py
@@ -1,26 +1,26 @@
-"""What an owner lets in just after its start, before it knows the mean load.
+"""What an owner admits just after its start, before it has the mean load.
 
-Load pattern: all daemons lose power, and all callers come back at once. Owners
-count from nothing: each first request makes its home the fullest replica, over
-any multiple of a mean near zero. Sent elsewhere, half of the chats would have
-their contexts read again by replicas that are all but idle.
+Load pattern: all daemons lose power, and all callers return at the same time.
+Owners count from zero: each first request makes its home the fullest replica,
+over any multiple of a mean near zero. Sent elsewhere, half of the chats would
+have their contexts read again by replicas that are nearly idle.
 """
 
 from typing import final
 
-# By then the reports of all owners have been added up, and callers that all
-# came at once are served or gone.
+# After this time the reports of all owners have been added up, and the
+# callers that returned at the same time are served or gone.
 _STARTING_SECONDS = 2.5
 
 
 @final
 class StartAllowance:
-    """Gives room on a replica while its owner has just started.
+    """Admits requests up to a fixed load while an owner has just started.
 
     Parameters
     ----------
     part : float
-        Part of the replica's slots; 0 for none.
+        Fraction of the replica's slots; 0 to admit none.
     started_at : float
         Monotonic seconds.
     """
@@ -30,5 +30,5 @@
         self._until = started_at + _STARTING_SECONDS
 
     def limit(self, slots: int, *, now: float) -> int:
-        """Give the load that is let in whatever the mean is."""
+        """Return the load that is admitted regardless of the mean."""
         return int(slots * self._part) if now < self._until else 0
--- a/tests/topazlug/capacity/test_context_reads.py
+++ b/tests/topazlug/capacity/test_context_reads.py
@@ -1,9 +1,9 @@
-"""One request reads a context that several need."""
+"""Only one request reads a context that several need."""
 
 from topazlug.capacity import _context_reads
 from topazlug.capacity import _slot_key
 
-TURN = _context_reads.ReadState
+STATE = _context_reads.ReadState
 CHAT = 77
 
 
@@ -12,43 +12,43 @@
 
 
 class TestContextReads:
-    def test_the_others_wait_for_the_first(self):
-        """Symptom: engines read one prompt many times and all are late.
+    def test_other_requests_wait_for_the_first(self):
+        """Engines must not read the same prompt for many requests.
 
-        Sequence: a chat's home is lost; its requests, at many daemons, turn
-        to the next replica within the time that a prompt takes to be read.
-        Cause: each was sent on at once, and the engine read it for each.
+        A chat's home is lost. Its requests arrive at many daemons and go to
+        the next replica within the time that it takes to read a prompt. Each
+        was forwarded at once, and the engine read the prompt for each.
         """
         reads = _context_reads.ContextReads()
-        assert reads.state(CHAT, now=0.0) is TURN.FIRST
+        assert reads.state(CHAT, now=0.0) is STATE.FIRST
         reads.begin(CHAT, key(1), now=0.0)
-        assert reads.state(CHAT, now=0.1) is TURN.WAIT
+        assert reads.state(CHAT, now=0.1) is STATE.WAIT
         assert 0.0 < reads.wait(CHAT, now=0.1) <= 0.1
         reads.note_read(CHAT, now=0.2)
-        assert reads.state(CHAT, now=0.2) is TURN.KNOWN
+        assert reads.state(CHAT, now=0.2) is STATE.KNOWN
 
     def test_other_chats_do_not_wait(self):
         reads = _context_reads.ContextReads()
         reads.begin(CHAT, key(1), now=0.0)
-        assert reads.state(CHAT + 1, now=0.0) is TURN.FIRST
+        assert reads.state(CHAT + 1, now=0.0) is STATE.FIRST
 
-    def test_next_one_reads_when_the_first_is_gone(self):
+    def test_next_request_reads_if_the_first_ended(self):
         reads = _context_reads.ContextReads()
         reads.begin(CHAT, key(1), now=0.0)
         reads.note_ended(key(1))
-        assert reads.state(CHAT, now=0.1) is TURN.FIRST
+        assert reads.state(CHAT, now=0.1) is STATE.FIRST
 
-    def test_word_that_was_lost_holds_nobody_up(self):
+    def test_lost_report_does_not_block_others(self):
         reads = _context_reads.ContextReads()
         reads.begin(CHAT, key(1), now=0.0)
-        assert reads.state(CHAT, now=3.0) is TURN.FIRST
+        assert reads.state(CHAT, now=3.0) is STATE.FIRST
         reads.begin(CHAT, key(2), now=3.0)
         reads.note_ended(key(1))
-        assert reads.state(CHAT, now=3.1) is TURN.WAIT
+        assert reads.state(CHAT, now=3.1) is STATE.WAIT
 
     def test_context_in_use_stays_known(self):
         reads = _context_reads.ContextReads()
         reads.note_read(CHAT, now=0.0)
         reads.note_use(CHAT, now=25.0)
-        assert reads.state(CHAT, now=50.0) is TURN.KNOWN
-        assert reads.state(CHAT, now=90.0) is TURN.FIRST
+        assert reads.state(CHAT, now=50.0) is STATE.KNOWN
+        assert reads.state(CHAT, now=90.0) is STATE.FIRST
--- a/tests/topazlug/capacity/test_rank_limits.py
+++ b/tests/topazlug/capacity/test_rank_limits.py
@@ -1,4 +1,4 @@
-"""How much of a replica each rank may hold."""
+"""Limits of what each rank may hold on a replica."""
 
 import pytest
 
@@ -8,104 +8,104 @@
 
 
 @pytest.fixture
-def room():
+def limits():
     return _rank_limits.RankLimits(slots=SLOTS)
 
 
-def has_capacity(room, rank, *, load, now=0.0, reserved=0, is_due=False):
-    return room.has_capacity(
+def has_capacity(limits, rank, *, load, now=0.0, reserved=0, is_due=False):
+    return limits.has_capacity(
         rank, load=load, reserved=reserved, now=now, is_due=is_due
     )
 
 
-def hold(room, rank, count):
+def hold(limits, rank, count):
     for _ in range(count):
-        room.note_held(rank)
+        limits.note_held(rank)
 
 
 class TestRanks:
-    """Symptom: the most urgent wait as long as the least urgent.
+    """The most urgent rank must not wait as long as the least urgent.
 
-    Sequence: more comes than the replicas can do; all places go to whoever
-    comes first. Cause: nothing was left for the urgent.
+    More requests arrive than the replicas can run. Slots went to the first to
+    arrive, and none were left for urgent ranks.
     """
 
-    def test_lower_ranks_leave_room_for_the_urgent(self, room):
+    def test_lower_ranks_leave_capacity_for_the_urgent(self, limits):
         for rank in range(3):
-            room.note_demand(rank, now=0.0)
-        hold(room, 1, 30)
-        hold(room, 2, 30)
-        assert has_capacity(room, 0, load=SLOTS - 1)
-        assert not has_capacity(room, 1, load=SLOTS - 1)
-        assert has_capacity(room, 1, load=SLOTS - 10)
-        assert not has_capacity(room, 2, load=SLOTS - 10)
-
-    def test_nothing_is_left_for_ranks_that_are_not_about(self, room):
-        room.note_demand(0, now=0.0)
-        hold(room, 2, 30)
-        assert not has_capacity(room, 2, load=SLOTS - 1, now=1.0)
-        assert has_capacity(room, 2, load=SLOTS - 1, now=3.0)
-
-    def test_the_least_urgent_is_served_too(self, room):
+            limits.note_demand(rank, now=0.0)
+        hold(limits, 1, 30)
+        hold(limits, 2, 30)
+        assert has_capacity(limits, 0, load=SLOTS - 1)
+        assert not has_capacity(limits, 1, load=SLOTS - 1)
+        assert has_capacity(limits, 1, load=SLOTS - 10)
+        assert not has_capacity(limits, 2, load=SLOTS - 10)
+
+    def test_nothing_is_left_for_inactive_ranks(self, limits):
+        limits.note_demand(0, now=0.0)
+        hold(limits, 2, 30)
+        assert not has_capacity(limits, 2, load=SLOTS - 1, now=1.0)
+        assert has_capacity(limits, 2, load=SLOTS - 1, now=3.0)
+
+    def test_least_urgent_rank_is_served_too(self, limits):
         for rank in range(6):
-            room.note_demand(rank, now=0.0)
-        hold(room, 0, 50)
-        assert has_capacity(room, 5, load=50)
-        hold(room, 5, 6)
-        assert not has_capacity(room, 5, load=56)
+            limits.note_demand(rank, now=0.0)
+        hold(limits, 0, 50)
+        assert has_capacity(limits, 5, load=50)
+        hold(limits, 5, 6)
+        assert not has_capacity(limits, 5, load=56)
 
-    def test_nobody_gets_more_than_the_limit(self, room):
-        assert not has_capacity(room, 0, load=SLOTS)
-        assert not has_capacity(room, 0, load=SLOTS - 2, reserved=2)
+    def test_no_rank_exceeds_the_limit(self, limits):
+        assert not has_capacity(limits, 0, load=SLOTS)
+        assert not has_capacity(limits, 0, load=SLOTS - 2, reserved=2)
 
-    def test_return_that_is_due_leaves_half_of_the_margin(self, room):
+    def test_due_reservation_leaves_half_of_the_margin(self, limits):
         for rank in range(3):
-            room.note_demand(rank, now=0.0)
-        hold(room, 2, 30)
-        # A quarter of the limit is 16 places, and half of that 8.
-        assert not has_capacity(room, 2, load=SLOTS - 10)
-        assert has_capacity(room, 2, load=SLOTS - 10, is_due=True)
-        assert not has_capacity(room, 2, load=SLOTS - 8, is_due=True)
+            limits.note_demand(rank, now=0.0)
+        hold(limits, 2, 30)
+        # A quarter of the limit is 16 slots, and half of that 8.
+        assert not has_capacity(limits, 2, load=SLOTS - 10)
+        assert has_capacity(limits, 2, load=SLOTS - 10, is_due=True)
+        assert not has_capacity(limits, 2, load=SLOTS - 8, is_due=True)
         assert not has_capacity(
-            room, 2, load=SLOTS - 10, reserved=2, is_due=True
+            limits, 2, load=SLOTS - 10, reserved=2, is_due=True
         )
 
 
-class TestLearning:
-    """Symptom: requests wait for seconds on replicas that have free slots.
+class TestAdaptation:
+    """Requests must not wait for seconds on replicas with free slots.
 
-    Sequence: prompts are long, so that memory or their reading binds the
-    engine; it runs 24 and lets 40 wait. Cause: its slots were the limit.
+    Prompts are long, so that memory or reading them limits the engine: it runs
+    24 requests and queues 40. The number of slots alone was the limit.
     """
 
-    def test_limit_falls_to_what_is_run_and_a_short_queue(self, room):
+    def test_limit_falls_to_running_requests_and_a_short_queue(self, limits):
         for step in range(100):
-            room.take_report(24, 40, slow=True, now=step * 0.1)
-        assert room.limit == 24 + room.queue
+            limits.take_report(24, 40, slow=True, now=step * 0.1)
+        assert limits.limit == 24 + limits.queue
 
-    def test_one_moment_moves_it_little(self, room):
+    def test_reports_of_one_moment_change_it_little(self, limits):
         for _ in range(50):
-            room.take_report(5, 40, slow=True, now=1.0)
-        assert room.limit > SLOTS * 0.8
+            limits.take_report(5, 40, slow=True, now=1.0)
+        assert limits.limit > SLOTS * 0.8
 
-    def test_queue_that_delays_nobody_is_no_sign(self, room):
-        room.take_report(5, 40, slow=False, now=1.0)
-        assert room.limit == SLOTS
+    def test_queue_without_delays_changes_nothing(self, limits):
+        limits.take_report(5, 40, slow=False, now=1.0)
+        assert limits.limit == SLOTS
 
-    def test_limit_rises_again(self, room):
+    def test_limit_rises_again(self, limits):
         for step in range(100):
-            room.take_report(10, 40, slow=True, now=step * 0.1)
+            limits.take_report(10, 40, slow=True, now=step * 0.1)
         for step in range(100, 140):
-            room.take_report(14, 0, slow=False, now=step * 0.1)
-        assert room.limit == SLOTS
+            limits.take_report(14, 0, slow=False, now=step * 0.1)
+        assert limits.limit == SLOTS
 
-    def test_it_never_closes(self, room):
+    def test_some_capacity_always_remains(self, limits):
         for step in range(200):
-            room.take_report(0, 40, slow=True, now=step * 0.1)
-        assert has_capacity(room, 0, load=4)
+            limits.take_report(0, 40, slow=True, now=step * 0.1)
+        assert has_capacity(limits, 0, load=4)
 
     def test_few_slots(self):
-        room = _rank_limits.RankLimits(slots=1)
+        limits = _rank_limits.RankLimits(slots=1)
         for step in range(100):
-            room.take_report(1, 9, slow=True, now=step * 0.1)
-        assert has_capacity(room, 3, load=0)
+            limits.take_report(1, 9, slow=True, now=step * 0.1)
+        assert has_capacity(limits, 3, load=0)
