--- a/bench/capacity/capacity_routing.py
+++ b/bench/capacity/capacity_routing.py
@@ -330,7 +330,7 @@
     )
     owner = _quota_owner.QuotaOwner(
         team_of=lambda team: row,
-        reachable_part=lambda: 1.0,
+        reachable_fraction=lambda: 1.0,
         clock=_clock.SystemClock(),
     )
     ask = messages.SliceAsk(team="team-00001", want=1, unused=0, running=1)
--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -291,7 +291,7 @@
     def owner() -> _quota_owner.QuotaOwner:
         made = _quota_owner.QuotaOwner(
             team_of=lambda team: row,
-            reachable_part=lambda: 1.0,
+            reachable_fraction=lambda: 1.0,
             clock=_CLOCK,
         )
         for number in range(_HELD):
@@ -307,7 +307,7 @@
             daemon=_ids.DaemonId("me"),
             owner=_quota_owner.QuotaOwner(
                 team_of=lambda team: row,
-                reachable_part=lambda: 1.0,
+                reachable_fraction=lambda: 1.0,
                 clock=_CLOCK,
             ),
             links=_NoLinks(),
@@ -315,7 +315,7 @@
             clock=_CLOCK,
         )
         tickets = [
-            made.take(
+            made.acquire(
                 table.TeamRow(name=f"team-{number:05}"),
                 deadline=_CLOCK.monotonic() + 60,
             )
--- a/src/topazlug/_fleet_parts.py
+++ b/src/topazlug/_fleet_parts.py
@@ -129,7 +129,7 @@
             incarnation=self.incarnation,
         )
 
-    def reachable_part(self) -> float:
+    def reachable_fraction(self) -> float:
         """Give which part of the fleet is on this side of a cut.
 
         A daemon that is silent but still on the platform's list may run on
--- a/src/topazlug/administration/_fleet_status.py
+++ b/src/topazlug/administration/_fleet_status.py
@@ -100,7 +100,7 @@
         return messages.StatusAnswer(
             revision=self._configuration.revision,
             replicas=replicas,
-            teams=self._quotas.use(),
+            teams=self._quotas.usage(),
         )
 
     def _ask(self, daemon: _ids.DaemonId) -> messages.StatusAnswer | None:
@@ -202,18 +202,18 @@
     ) -> list[_status.TeamStatus]:
         uses: dict[str, list[messages.TeamUse]] = {}
         for answer in answers.values():
-            for use in answer.teams if answer else []:
-                uses.setdefault(use.team, []).append(use)
+            for usage in answer.teams if answer else []:
+                uses.setdefault(usage.team, []).append(usage)
         snapshot = self._configuration.current
         rows = snapshot.teams_by_name.values() if snapshot else []
         return [
             _status.TeamStatus(
                 name=row.name,
-                running=sum(use.running for use in uses.get(row.name, [])),
+                running=sum(usage.running for usage in uses.get(row.name, [])),
                 ceiling_running=row.ceiling_running,
-                rate=sum(use.rate for use in uses.get(row.name, [])),
+                rate=sum(usage.rate for usage in uses.get(row.name, [])),
                 ceiling_rate=row.ceiling_rate,
-                refused=sum(use.refused for use in uses.get(row.name, [])),
+                refused=sum(usage.refused for usage in uses.get(row.name, [])),
             )
             for row in rows
         ]
--- a/src/topazlug/calls/_call_path.py
+++ b/src/topazlug/calls/_call_path.py
@@ -77,7 +77,9 @@
         # Repeats come to any daemon. A chat that ends each engine which runs
         # it would end one with each of them, and up to four at once here.
         self._parts.guard.check(fingerprint)
-        ticket = self._parts.quotas.take(caller.team, deadline=wanted.deadline)
+        ticket = self._parts.quotas.acquire(
+            caller.team, deadline=wanted.deadline
+        )
         try:
             return self._parts.attempts.run(
                 wanted,
@@ -88,7 +90,7 @@
                 ),
             )
         except BaseException:
-            ticket.give_back()
+            ticket.release()
             raise
 
     def exchange(
--- a/src/topazlug/calls/_chat_calls.py
+++ b/src/topazlug/calls/_chat_calls.py
@@ -179,7 +179,7 @@
         finally:
             answer.close()
         self._parts.admission.release(place)
-        ticket.give_back()
+        ticket.release()
         self._note_first(call, answer)
         self._note_end(call, place, answer.status)
         headers = _caller_headers(call, place, answer)
@@ -248,7 +248,7 @@
         finally:
             watch.stop()
             self._parts.admission.release(place)
-            ticket.give_back()
+            ticket.release()
             if not stream.is_whole:
                 stream.answer.close()
                 self._cancel(call, place)
--- a/src/topazlug/calls/_service_calls.py
+++ b/src/topazlug/calls/_service_calls.py
@@ -283,7 +283,7 @@
         ticket: _quotas.Ticket,
     ) -> None:
         self._parts.admission.release(place)
-        ticket.give_back()
+        ticket.release()
         self._path.ended(
             call.caller,
             call.request,
--- a/src/topazlug/capacity/_start_allowance.py
+++ b/src/topazlug/capacity/_start_allowance.py
@@ -19,14 +19,14 @@
 
     Parameters
     ----------
-    part : float
+    fraction : float
         Fraction of the replica's slots; 0 to admit none.
     started_at : float
         Monotonic seconds.
     """
 
-    def __init__(self, *, part: float, started_at: float) -> None:
-        self._part = part
+    def __init__(self, *, fraction: float, started_at: float) -> None:
+        self._part = fraction
         self._until = started_at + _STARTING_SECONDS
 
     def limit(self, slots: int, *, now: float) -> int:
--- a/src/topazlug/forwarding/_forwarder.py
+++ b/src/topazlug/forwarding/_forwarder.py
@@ -172,7 +172,7 @@
             return left
         if not route.repeatable or tried >= route.max_replicas:
             return left
-        if not self._budget.has_left(call.group):
+        if not self._budget.can_retry(call.group):
             return left
         usual = self._views.of_incarnation(place.target).latency
         late = max(
--- a/src/topazlug/forwarding/_forwarder_parts.py
+++ b/src/topazlug/forwarding/_forwarder_parts.py
@@ -123,5 +123,5 @@
         _log.info(
             "another replica of {group} is tried",
             group=request.group,
-            budget_left=self.budget.left(request.group),
+            budget_left=self.budget.remaining(request.group),
         )
--- a/src/topazlug/limits/_quota_owner.py
+++ b/src/topazlug/limits/_quota_owner.py
@@ -46,7 +46,7 @@
     ----------
     team_of : callable
         Gives a team's row, None when there is none.
-    reachable_part : callable
+    reachable_fraction : callable
         Gives which part of the fleet this daemon can reach, 0 to 1.
     clock : Clock
         Time.
@@ -56,11 +56,11 @@
         self,
         *,
         team_of: Callable[[_ids.TeamName], table.TeamRow | None],
-        reachable_part: Callable[[], float],
+        reachable_fraction: Callable[[], float],
         clock: _clock.Clock,
     ) -> None:
         self._team_of = team_of
-        self._reachable_part = reachable_part
+        self._reachable_fraction = reachable_fraction
         self._clock = clock
         self._bucket_by_team: dict[_ids.TeamName, _TeamBucket] = {}
 
@@ -87,7 +87,7 @@
                 team=team, lent=0, lapse=0.0, retry_after=SLICE_SECONDS
             )
         bucket = self._bucket(team)
-        part = self._reachable_part()
+        part = self._reachable_fraction()
         slice_ = messages.Slice(team=team, lent=ask.want, lapse=SLICE_SECONDS)
         if row.ceiling_rate:
             self._lend_rate(bucket, row.ceiling_rate * part, ask, slice_)
@@ -101,7 +101,7 @@
         for bucket in self._bucket_by_team.values():
             bucket.room_by_daemon.pop(daemon, None)
 
-    def forget(self, owned: Callable[[_ids.TeamName], bool]) -> None:
+    def drop_unowned(self, owned: Callable[[_ids.TeamName], bool]) -> None:
         """Drop the buckets of teams that another daemon owns now."""
         for team in list(self._bucket_by_team):
             if not owned(team):
--- a/src/topazlug/limits/_quotas.py
+++ b/src/topazlug/limits/_quotas.py
@@ -36,14 +36,14 @@
 class Ticket(Protocol):
     """Leave for one request to run."""
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Say that the request has ended; a second time does nothing."""
 
 
 class Quotas(Protocol):
     """What grants tickets."""
 
-    def take(self, team: table.TeamRow, *, deadline: float) -> Ticket:
+    def acquire(self, team: table.TeamRow, *, deadline: float) -> Ticket:
         """Take a ticket.
 
         Raises
@@ -52,7 +52,7 @@
             The team uses all that its row allows.
         """
 
-    def use(self) -> list[messages.TeamUse]:
+    def usage(self) -> list[messages.TeamUse]:
         """Give what teams use of this daemon."""
 
 
@@ -75,7 +75,7 @@
     lender: _ids.DaemonId | None = None
     closed_until: float = 0.0
     waiting: int = 0
-    left: float = 0.0
+    remaining: float = 0.0
     lapses: float = 0.0
     rate: float = 0.0
     seen_at: float = 0.0
@@ -92,14 +92,14 @@
 
 @final
 class _Ticket:
-    def __init__(self, use: _Use) -> None:
-        self._use: _Use | None = use
-        use.running += 1
+    def __init__(self, usage: _Use) -> None:
+        self._use: _Use | None = usage
+        usage.running += 1
 
-    def give_back(self) -> None:
-        use, self._use = self._use, None
-        if use is not None:
-            use.running -= 1
+    def release(self) -> None:
+        usage, self._use = self._use, None
+        if usage is not None:
+            usage.running -= 1
 
 
 def owner_of(
@@ -148,7 +148,7 @@
         self._ranked_daemons: Iterable[_ids.DaemonId] | None = None
         self._owner_by_team: dict[_ids.TeamName, _ids.DaemonId | None] = {}
 
-    def take(self, team: table.TeamRow, *, deadline: float) -> Ticket:
+    def acquire(self, team: table.TeamRow, *, deadline: float) -> Ticket:
         """Take a ticket; a team without ceilings always gets one.
 
         Raises
@@ -157,25 +157,25 @@
             The team uses all that its row allows; the error says when a
             repeat makes sense.
         """
-        use = self._use(_ids.TeamName(team.name))
-        use.note_demand(self._clock.monotonic())
+        usage = self._use(_ids.TeamName(team.name))
+        usage.note_demand(self._clock.monotonic())
         if not team.ceiling_rate and not team.ceiling_running:
-            return _Ticket(use)
-        if not self._has(team, use):
-            self._open(team, use, deadline)
+            return _Ticket(usage)
+        if not self._has(team, usage):
+            self._open(team, usage, deadline)
         if team.ceiling_rate:
-            use.left -= 1
-        return _Ticket(use)
+            usage.remaining -= 1
+        return _Ticket(usage)
 
-    def _has(self, team: table.TeamRow, use: _Use) -> bool:
+    def _has(self, team: table.TeamRow, usage: _Use) -> bool:
         now = self._clock.monotonic()
-        if team.ceiling_rate and (use.left < 1 or now > use.lapses):
+        if team.ceiling_rate and (usage.remaining < 1 or now > usage.lapses):
             return False
         if not team.ceiling_running:
             return True
-        return use.running < use.room and now <= use.room_until
+        return usage.running < usage.room and now <= usage.room_until
 
-    def _open(self, team: table.TeamRow, use: _Use, deadline: float) -> None:
+    def _open(self, team: table.TeamRow, usage: _Use, deadline: float) -> None:
         """Get a slice, waiting a moment if that is all it takes.
 
         Retry-After counts in whole seconds. Refused for want of a tenth of
@@ -189,79 +189,79 @@
             There is no room, or none soon enough.
         """
         for is_last in (False, True):
-            wait = self._ask_once(team, use)
+            wait = self._ask_once(team, usage)
             if wait <= 0:
                 return
             now = self._clock.monotonic()
-            too_many = use.waiting >= _MAX_WAITING
+            too_many = usage.waiting >= _MAX_WAITING
             too_late = wait > _MAX_WAIT_SECONDS or now + wait >= deadline
             if is_last or too_many or too_late:
                 break
-            use.waiting += 1
+            usage.waiting += 1
             self._clock.sleep(wait)
-            use.waiting -= 1
-        use.refused += 1
+            usage.waiting -= 1
+        usage.refused += 1
         raise _errors.TeamCeiling(
             f"team {team.name} uses all that its ceiling allows",
             retry_after=max(wait, _MIN_RETRY_AFTER),
         )
 
-    def _ask_once(self, team: table.TeamRow, use: _Use) -> float:
+    def _ask_once(self, team: table.TeamRow, usage: _Use) -> float:
         """Ask for a slice; give the seconds to wait, 0 with one at hand."""
-        with use.lock:
-            if self._has(team, use):
+        with usage.lock:
+            if self._has(team, usage):
                 return 0.0
             now = self._clock.monotonic()
-            if now < use.closed_until:
-                return use.closed_until - now
-            retry_after = self._ask(team, use)
-            if self._has(team, use):
+            if now < usage.closed_until:
+                return usage.closed_until - now
+            retry_after = self._ask(team, usage)
+            if self._has(team, usage):
                 return 0.0
             retry_after = max(retry_after, _MIN_RETRY_AFTER)
             closed = min(retry_after, _MAX_WAIT_SECONDS)
-            use.closed_until = self._clock.monotonic() + closed
+            usage.closed_until = self._clock.monotonic() + closed
             return retry_after
 
-    def _ask(self, team: table.TeamRow, use: _Use) -> float:
+    def _ask(self, team: table.TeamRow, usage: _Use) -> float:
         """Ask the owner; give the seconds that it says to wait."""
         name = _ids.TeamName(team.name)
         owner = self._owner_of(name)
         now = self._clock.monotonic()
-        unused = math.floor(use.left) if now <= use.lapses else 0
-        wanted = math.ceil(use.rate * _SLICE_DEMAND_SECONDS)
+        unused = math.floor(usage.remaining) if now <= usage.lapses else 0
+        wanted = math.ceil(usage.rate * _SLICE_DEMAND_SECONDS)
         message = messages.SliceAsk(
             team=name,
             want=max(1, wanted),
             unused=max(0, unused),
-            running=use.running,
+            running=usage.running,
         )
-        use.left = 0.0
+        usage.remaining = 0.0
         answer = self._exchange(owner, message)
         if answer is None:
-            self._share_alone(team, use)
+            self._share_alone(team, usage)
             return _SILENT_SECONDS
-        use.lender = owner
-        self._note(team, use, answer)
+        usage.lender = owner
+        self._note(team, usage, answer)
         return answer.retry_after
 
     def _note(
-        self, team: table.TeamRow, use: _Use, answer: messages.Slice
+        self, team: table.TeamRow, usage: _Use, answer: messages.Slice
     ) -> None:
         now = self._clock.monotonic()
-        use.left = answer.lent
-        use.lapses = now + answer.lapse
+        usage.remaining = answer.lent
+        usage.lapses = now + answer.lapse
         if team.ceiling_running:
-            self._note_room(use, answer)
+            self._note_room(usage, answer)
 
-    def _note_room(self, use: _Use, answer: messages.Slice) -> None:
+    def _note_room(self, usage: _Use, answer: messages.Slice) -> None:
         """Note lent room, which counts for half the time it was lent for.
 
         Used until the owner forgets it, the same room would be lent to two
         daemons whenever a message is late.
         """
         now = self._clock.monotonic()
-        use.room = answer.running_room
-        use.room_until = now + _quota_owner.ROOM_SECONDS / 2
+        usage.room = answer.running_room
+        usage.room_until = now + _quota_owner.ROOM_SECONDS / 2
 
     def _exchange(
         self, owner: _ids.DaemonId | None, message: messages.SliceAsk
@@ -281,42 +281,42 @@
             return None
         return answer if isinstance(answer, messages.Slice) else None
 
-    def _share_alone(self, team: table.TeamRow, use: _Use) -> None:
+    def _share_alone(self, team: table.TeamRow, usage: _Use) -> None:
         """Keep to the even share while no owner answers."""
         now = self._clock.monotonic()
         daemons = max(1, len(list(self._daemons())))
         if team.ceiling_rate:
             rate = team.ceiling_rate / daemons
-            since = min(now - use.alone_at, _quota_owner.SLICE_SECONDS)
+            since = min(now - usage.alone_at, _quota_owner.SLICE_SECONDS)
             if since * rate >= 1:
-                use.left = math.floor(since * rate)
-                use.lapses = now + _quota_owner.SLICE_SECONDS
-                use.alone_at = now
+                usage.remaining = math.floor(since * rate)
+                usage.lapses = now + _quota_owner.SLICE_SECONDS
+                usage.alone_at = now
         if team.ceiling_running:
-            use.room = math.ceil(team.ceiling_running / daemons)
-            use.room_until = now + _quota_owner.SLICE_SECONDS
+            usage.room = math.ceil(team.ceiling_running / daemons)
+            usage.room_until = now + _quota_owner.SLICE_SECONDS
 
     def _use(self, team: _ids.TeamName) -> _Use:
-        use = self._use_by_team.get(team)
-        if use is None:
-            use = _Use(
+        usage = self._use_by_team.get(team)
+        if usage is None:
+            usage = _Use(
                 lock=lock.BoundedSemaphore(),
                 seen_at=self._clock.monotonic(),
             )
-            self._use_by_team[team] = use
-        return use
+            self._use_by_team[team] = usage
+        return usage
 
-    def use(self) -> list[messages.TeamUse]:
+    def usage(self) -> list[messages.TeamUse]:
         """Give what teams use of this daemon; idle ones are left out."""
         now = self._clock.monotonic()
         return [
             messages.TeamUse(
                 team=team,
-                running=use.running,
-                rate=use.rate if now - use.seen_at < 5 else 0.0,
-                refused=use.refused,
+                running=usage.running,
+                rate=usage.rate if now - usage.seen_at < 5 else 0.0,
+                refused=usage.refused,
             )
-            for team, use in self._use_by_team.items()
+            for team, usage in self._use_by_team.items()
         ]
 
     def renew(self) -> None:
@@ -328,29 +328,29 @@
         for nothing by themselves, only by this.
         """
         now = self._clock.monotonic()
-        for team, use in list(self._use_by_team.items()):
-            if use.room and self._is_out_of_step(team, use, now):
-                self._renew(team, use)
-            elif not use.running and now - use.seen_at > _FORGET_SECONDS:
+        for team, usage in list(self._use_by_team.items()):
+            if usage.room and self._is_out_of_step(team, usage, now):
+                self._renew(team, usage)
+            elif not usage.running and now - usage.seen_at > _FORGET_SECONDS:
                 del self._use_by_team[team]
 
     def _is_out_of_step(
-        self, team: _ids.TeamName, use: _Use, now: float
+        self, team: _ids.TeamName, usage: _Use, now: float
     ) -> bool:
-        if use.running < use.room or now > use.room_until:
+        if usage.running < usage.room or now > usage.room_until:
             return True
-        return use.lender != self._owner_of(team)
+        return usage.lender != self._owner_of(team)
 
-    def _renew(self, team: _ids.TeamName, use: _Use) -> None:
+    def _renew(self, team: _ids.TeamName, usage: _Use) -> None:
         message = messages.SliceAsk(
-            team=team, want=0, unused=0, running=use.running
+            team=team, want=0, unused=0, running=usage.running
         )
-        with use.lock:
+        with usage.lock:
             owner = self._owner_of(team)
             answer = self._exchange(owner, message)
             if answer is not None and answer.running_room >= 0:
-                use.lender = owner
-                self._note_room(use, answer)
+                usage.lender = owner
+                self._note_room(usage, answer)
 
     def _owner_of(self, team: _ids.TeamName) -> _ids.DaemonId | None:
         """Give a team's owner, remembered while the daemons stay the same.
--- a/src/topazlug/limits/_retry_share.py
+++ b/src/topazlug/limits/_retry_share.py
@@ -89,13 +89,13 @@
         window.add(now)
         window.count(now)
 
-    def has_left(self, group: _ids.GroupName) -> bool:
+    def can_retry(self, group: _ids.GroupName) -> bool:
         """Say whether a retry could be made now."""
         retries = self._window(self._retries_by_group, group)
         count = retries.count(self._clock.monotonic())
         return count + 1 <= self.allowed(group)
 
-    def left(self, group: _ids.GroupName) -> int:
+    def remaining(self, group: _ids.GroupName) -> int:
         """Give the retries that could be made now."""
         retries = self._window(self._retries_by_group, group)
         count = retries.count(self._clock.monotonic())
@@ -103,7 +103,7 @@
 
     def spend(self, group: _ids.GroupName) -> bool:
         """Take one retry out of the share; tell whether there was one."""
-        if not self.has_left(group):
+        if not self.can_retry(group):
             self.refused += 1
             return False
         retries = self._window(self._retries_by_group, group)
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -117,7 +117,7 @@
             queue=self._queue,
             targets=targets,
             start=_start_allowance.StartAllowance(
-                part=start_part, started_at=clock.monotonic()
+                fraction=start_part, started_at=clock.monotonic()
             ),
             clock=clock,
         )
--- a/src/topazlug/routing/_routing_parts.py
+++ b/src/topazlug/routing/_routing_parts.py
@@ -131,7 +131,7 @@
     def _build_quotas(self) -> None:
         self.quota_owner = _quota_owner.QuotaOwner(
             team_of=self.rules.team_of,
-            reachable_part=self._fleet.reachable_part,
+            reachable_fraction=self._fleet.reachable_fraction,
             clock=self._clock,
         )
         self.quotas = _quotas.TeamQuotas(
@@ -238,7 +238,7 @@
             # their deadline: its connection stays open.
             self._fleet.links.disconnect(daemon)
         self._dropped = dead
-        self.quota_owner.forget(self._lends)
+        self.quota_owner.drop_unowned(self._lends)
         self._update_ownership()
 
     def _lends(self, team: _ids.TeamName) -> bool:
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -106,7 +106,7 @@
     def __init__(self) -> None:
         self.out = 0
 
-    def take(self, team, *, deadline):
+    def acquire(self, team, *, deadline):
         self.out += 1
         return _Ticket(self)
 
@@ -115,7 +115,7 @@
     def __init__(self, tickets: Tickets) -> None:
         self._tickets = [tickets]
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         while self._tickets:
             self._tickets.pop().out -= 1
 
--- a/tests/topazlug_platform/test_boot_file.py
+++ b/tests/topazlug_platform/test_boot_file.py
@@ -117,10 +117,10 @@
         return program.Program(path=path, clock=_clock.SystemClock())
 
     def test_bounds_that_changed_are_in_force(self, made, tmp_path):
-        assert not made.daemon.budget.has_left("engines")
+        assert not made.daemon.budget.can_retry("engines")
         write(tmp_path, **RELOADED)
         made.reload()
-        assert made.daemon.budget.has_left("engines")
+        assert made.daemon.budget.can_retry("engines")
 
     def test_bad_file_leaves_the_last_in_force(self, made, tmp_path):
         """Symptom: a daemon ends when its settings file is half written."""
@@ -128,4 +128,4 @@
         made.reload()
         (tmp_path / "boot.json").write_text('{"node_name": ')
         made.reload()
-        assert made.daemon.budget.has_left("engines")
+        assert made.daemon.budget.can_retry("engines")
