--- a/src/topazlug/limits/__init__.py
+++ b/src/topazlug/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Ceilings of teams over the whole fleet, and fair queues."""
+"""Fleet-wide ceilings of teams, fair queues, and the retry budget."""
--- a/src/topazlug/limits/_fair_queue.py
+++ b/src/topazlug/limits/_fair_queue.py
@@ -1,10 +1,10 @@
-"""A bounded queue that is weighted fair between teams.
+"""A bounded queue with weighted fairness between teams.
 
-Start-time fair queueing [1]_: each team's requests carry virtual start
-times spaced by size over weight, and the earliest goes first. A team that
-surges lines up behind itself, not before the others. When the queue is full
-the longest team gives up its newest entry, so that a surge can't keep the
-others out.
+Start-time fair queueing [1]_: each team's requests have virtual start times
+that are spaced by size over weight, and the earliest is served first. A burst
+of one team queues up behind itself and does not delay other teams. When the
+queue is full, the newest entry of the team with most entries is evicted, so
+that a burst can't keep the others out.
 
 .. [1] Goyal, Vin, Cheng, "Start-time fair queueing", SIGCOMM 1996.
 """
@@ -26,7 +26,7 @@
     item: ItemT
 
 
-class _Line(msgspec.Struct, Generic[ItemT]):
+class _TeamQueue(msgspec.Struct, Generic[ItemT]):
     finish: float
     entries: collections.deque[_Entry[ItemT]]
 
@@ -43,9 +43,9 @@
 
     def __init__(self, *, capacity: int) -> None:
         self._capacity = capacity
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._size = 0
-        self._line_by_team: dict[_ids.TeamName, _Line[ItemT]] = {}
+        self._queue_by_team: dict[_ids.TeamName, _TeamQueue[ItemT]] = {}
         self._finish_by_idle_team: dict[_ids.TeamName, float] = {}
 
     def __len__(self) -> int:
@@ -59,14 +59,14 @@
         weight: float,
         size: float = 1.0,
     ) -> ItemT | None:
-        """Let an item wait.
+        """Add an item.
 
         Parameters
         ----------
         item : ItemT
-            What waits.
+            The item.
         team : TeamName
-            Whose line it joins.
+            The team whose queue it joins.
         weight : float
             The team's weight, above 0.
         size : float
@@ -75,98 +75,100 @@
         Returns
         -------
         ItemT or None
-            The item that had to give way; it may be the one pushed.
+            The item that was evicted, if any; it may be the one pushed.
         """
-        line = self._line_by_team.get(team)
-        if line is None:
-            finish = self._finish_by_idle_team.pop(team, self._virtual)
-            line = _Line(finish=finish, entries=collections.deque())
-            self._line_by_team[team] = line
-        start = max(self._virtual, line.finish)
-        line.finish = start + size / weight
-        line.entries.append(_Entry(start=start, item=item))
+        queue = self._queue_by_team.get(team)
+        if queue is None:
+            finish = self._finish_by_idle_team.pop(team, self._virtual_time)
+            queue = _TeamQueue(finish=finish, entries=collections.deque())
+            self._queue_by_team[team] = queue
+        start = max(self._virtual_time, queue.finish)
+        queue.finish = start + size / weight
+        queue.entries.append(_Entry(start=start, item=item))
         self._size += 1
         if self._size <= self._capacity:
             return None
-        return self._give_way()
+        return self._evict_newest()
 
     def pop(self) -> ItemT | None:
-        """Take the entry whose turn it is, None when nobody waits."""
+        """Remove and return the next item, None if the queue is empty."""
         if not self._size:
             return None
         team = min(
-            self._line_by_team,
-            key=lambda name: self._line_by_team[name].entries[0].start,
+            self._queue_by_team,
+            key=lambda name: self._queue_by_team[name].entries[0].start,
         )
-        line = self._line_by_team[team]
-        entry = line.entries.popleft()
-        self._virtual = entry.start
-        self._shrink(team, line)
+        queue = self._queue_by_team[team]
+        entry = queue.entries.popleft()
+        self._virtual_time = entry.start
+        self._note_removed(team, queue)
         return entry.item
 
     def remove(self, item: ItemT) -> bool:
-        """Take out an item that no longer waits.
+        """Remove an item that no longer waits.
 
         Returns
         -------
         bool
-            Whether it was here.
+            Whether it was in the queue.
         """
-        for team, line in self._line_by_team.items():
-            for entry in line.entries:
+        for team, queue in self._queue_by_team.items():
+            for entry in queue.entries:
                 if entry.item is item:
-                    line.entries.remove(entry)
-                    self._shrink(team, line)
+                    queue.entries.remove(entry)
+                    self._note_removed(team, queue)
                     return True
         return False
 
     def drain(self) -> list[ItemT]:
-        """Take out all entries."""
+        """Remove and return all items."""
         items = [
             entry.item
-            for line in self._line_by_team.values()
-            for entry in line.entries
+            for queue in self._queue_by_team.values()
+            for entry in queue.entries
         ]
-        self._line_by_team.clear()
+        self._queue_by_team.clear()
         self._finish_by_idle_team.clear()
         self._size = 0
         return items
 
-    def _give_way(self) -> ItemT:
+    def _evict_newest(self) -> ItemT:
         team = max(
-            self._line_by_team,
-            key=lambda name: len(self._line_by_team[name].entries),
+            self._queue_by_team,
+            key=lambda name: len(self._queue_by_team[name].entries),
         )
-        line = self._line_by_team[team]
-        entry = line.entries.pop()
-        line.finish = entry.start
-        self._shrink(team, line)
+        queue = self._queue_by_team[team]
+        entry = queue.entries.pop()
+        queue.finish = entry.start
+        self._note_removed(team, queue)
         return entry.item
 
-    def _shrink(self, team: _ids.TeamName, line: _Line[ItemT]) -> None:
+    def _note_removed(
+        self, team: _ids.TeamName, queue: _TeamQueue[ItemT]
+    ) -> None:
         self._size -= 1
-        if line.entries:
+        if queue.entries:
             return
-        del self._line_by_team[team]
+        del self._queue_by_team[team]
         if not self._size:
             self._finish_by_idle_team.clear()
             return
-        self._remember(team, line.finish)
+        self._keep_finish_time(team, queue.finish)
 
-    def _remember(self, team: _ids.TeamName, finish: float) -> None:
-        """Keep an idle team's finish time while it lies ahead.
+    def _keep_finish_time(self, team: _ids.TeamName, finish: float) -> None:
+        """Keep an idle team's finish time while it lies in the future.
 
-        Forgotten, a team of small weight that sends one request at a time
-        would start level with the others each time, and get as much as they.
+        Otherwise a team of small weight that sends one request at a time would
+        start level with the others each time, and get as much service as they.
         """
         idle = self._finish_by_idle_team
-        if finish > self._virtual:
+        if finish > self._virtual_time:
             idle[team] = finish
         if len(idle) <= self._capacity:
             return
-        # 13,000 teams on each replica would grow without bound; those whose
-        # time has come start level in any case.
-        for name in [n for n, at in idle.items() if at <= self._virtual]:
+        # Bounds memory, as there may be 13,000 teams on each replica. Teams
+        # whose finish time has passed start level with the others anyway.
+        for name in [n for n, at in idle.items() if at <= self._virtual_time]:
             del idle[name]
         while len(idle) > self._capacity:
             del idle[min(idle, key=lambda name: idle[name])]
--- a/src/topazlug/limits/_quota_owner.py
+++ b/src/topazlug/limits/_quota_owner.py
@@ -1,9 +1,10 @@
-"""The owner of a team's ceiling: lends parts of it to other daemons.
+"""The owner of a team's ceiling, which lends parts of it to other daemons.
 
-A rate is lent as requests that may start until the slice lapses; a ceiling
-on running requests as room. Both are soft state: a new owner starts with an
-empty bucket and learns what runs from the askers, so a change of owner never
-lends the same part twice for longer than a slice lasts.
+Of a rate it lends a number of requests that may start until the slice
+expires; of a ceiling on running requests it lends a number that may run, as a
+lease. Both are soft state: a new owner starts with an empty bucket and learns
+from the daemons' requests what runs, so a change of owner never lends the same
+part twice for longer than a slice lasts.
 """
 
 from collections.abc import Callable
@@ -20,22 +21,22 @@
 SLICE_SECONDS = 1.0
 BUCKET_SECONDS = 0.5
 MIN_BUCKET = 2.0
-ROOM_SECONDS = 60.0
-LEARN_SECONDS = 1.5
+LEASE_SECONDS = 60.0
+LEARNING_SECONDS = 1.5
 
 
-class _Room(msgspec.Struct):
+class _Lease(msgspec.Struct):
     lent: int
     until: float
 
 
 class _TeamBucket(msgspec.Struct):
-    """What is left of one team's ceiling."""
+    """The remainder of one team's ceiling, and its leases."""
 
     level: float
     filled_at: float
     opened_at: float
-    room_by_daemon: dict[_ids.DaemonId, _Room]
+    lease_by_daemon: dict[_ids.DaemonId, _Lease]
 
 
 @final
@@ -45,9 +46,9 @@
     Parameters
     ----------
     team_of : callable
-        Gives a team's row, None when there is none.
+        Returns a team's row, None if there is none.
     reachable_fraction : callable
-        Gives which part of the fleet this daemon can reach, 0 to 1.
+        Returns the fraction of the fleet that this daemon can reach, 0 to 1.
     clock : Clock
         Time.
     """
@@ -69,16 +70,16 @@
     ) -> messages.Slice:
         """Lend a part of a team's ceiling.
 
-        While links are cut each side has an owner of its own. Each lends
-        only the part of the ceiling that its side is of the fleet, so that
-        both together stay within it.
+        While the fleet is partitioned, each side has its own owner of a team.
+        Each owner lends only the fraction of the ceiling that its side is of
+        the fleet, so that both together stay within the ceiling.
 
         Parameters
         ----------
         sender : DaemonId
-            Who asks.
+            The requesting daemon.
         ask : SliceAsk
-            What it wants, and what it gives back.
+            What it requests, and what it returns unused.
         """
         team = _ids.TeamName(ask.team)
         row = self._team_of(team)
@@ -87,22 +88,22 @@
                 team=team, lent=0, lapse=0.0, retry_after=SLICE_SECONDS
             )
         bucket = self._bucket(team)
-        part = self._reachable_fraction()
+        fraction = self._reachable_fraction()
         slice_ = messages.Slice(team=team, lent=ask.want, lapse=SLICE_SECONDS)
         if row.ceiling_rate:
-            self._lend_rate(bucket, row.ceiling_rate * part, ask, slice_)
+            self._lend_rate(bucket, row.ceiling_rate * fraction, ask, slice_)
         if row.ceiling_running:
-            ceiling = math.floor(row.ceiling_running * part)
-            self._lend_room(bucket, max(1, ceiling), sender, ask, slice_)
+            ceiling = math.floor(row.ceiling_running * fraction)
+            self._lend_running(bucket, max(1, ceiling), sender, ask, slice_)
         return slice_
 
     def drop_daemon(self, daemon: _ids.DaemonId) -> None:
-        """Take back the room of a dead daemon."""
+        """Remove the leases of a dead daemon."""
         for bucket in self._bucket_by_team.values():
-            bucket.room_by_daemon.pop(daemon, None)
+            bucket.lease_by_daemon.pop(daemon, None)
 
     def drop_unowned(self, owned: Callable[[_ids.TeamName], bool]) -> None:
-        """Drop the buckets of teams that another daemon owns now."""
+        """Discard the buckets of teams that another daemon owns now."""
         for team in list(self._bucket_by_team):
             if not owned(team):
                 del self._bucket_by_team[team]
@@ -112,7 +113,7 @@
         if bucket is None:
             now = self._clock.monotonic()
             bucket = _TeamBucket(
-                level=0.0, filled_at=now, opened_at=now, room_by_daemon={}
+                level=0.0, filled_at=now, opened_at=now, lease_by_daemon={}
             )
             self._bucket_by_team[team] = bucket
         return bucket
@@ -135,7 +136,7 @@
         if not lent:
             slice_.retry_after = (1.0 - bucket.level) / rate
 
-    def _lend_room(
+    def _lend_running(
         self,
         bucket: _TeamBucket,
         ceiling: int,
@@ -143,22 +144,23 @@
         ask: messages.SliceAsk,
         slice_: messages.Slice,
     ) -> None:
-        """Lend room for running requests.
+        """Lend a number of running requests.
 
-        A new owner does not know yet what runs elsewhere. While it learns,
-        it confirms what askers say they run and lends nothing more.
+        A new owner has no leases of requests that run already. During its
+        learning time it confirms what daemons report as running and lends
+        nothing more.
         """
         now = self._clock.monotonic()
-        rooms = bucket.room_by_daemon
-        for daemon, room in list(rooms.items()):
-            if room.until < now and daemon != sender:
-                del rooms[daemon]
-        taken = sum(r.lent for d, r in rooms.items() if d != sender)
+        leases = bucket.lease_by_daemon
+        for daemon, lease in list(leases.items()):
+            if lease.until < now and daemon != sender:
+                del leases[daemon]
+        taken = sum(r.lent for d, r in leases.items() if d != sender)
         free = max(0, ceiling - taken - ask.running)
-        if now - bucket.opened_at < LEARN_SECONDS:
+        if now - bucket.opened_at < LEARNING_SECONDS:
             free = 0
         lent = ask.running + min(ask.want, free)
-        rooms[sender] = _Room(lent=lent, until=now + ROOM_SECONDS)
+        leases[sender] = _Lease(lent=lent, until=now + LEASE_SECONDS)
         slice_.running_room = lent
         if lent <= ask.running:
             slice_.retry_after = max(slice_.retry_after, 0.25)
--- a/src/topazlug/limits/_quotas.py
+++ b/src/topazlug/limits/_quotas.py
@@ -1,9 +1,9 @@
-"""Ceilings of teams over the whole fleet, as the entry daemon keeps them.
+"""Fleet-wide ceilings of teams, as enforced by the entry daemon.
 
 A team's owner daemon (ranked like a replica's) lends parts of the ceiling to
-the daemons that see the team's demand. A slice lapses, so what a dead daemon
-held comes back by itself. With no owner in reach a daemon keeps to its even
-share.
+the daemons that receive the team's requests. A slice expires, so what a dead
+daemon held becomes available again without a message. While no owner responds,
+a daemon limits each team to an even share of its ceiling.
 """
 
 from collections.abc import Callable
@@ -24,27 +24,27 @@
 from topazlug.routing import _ranking
 
 _ASK_TIMEOUT = 0.2
-_SILENT_SECONDS = 1.0
+_UNRESPONSIVE_SECONDS = 1.0
 _SMOOTHING_SECONDS = 1.0
 _MIN_RETRY_AFTER = 0.1
-_SLICE_DEMAND_SECONDS = 0.2
+_DEMAND_SECONDS = 0.2
 _MAX_WAIT_SECONDS = 0.3
 _MAX_WAITING = 8
-_FORGET_SECONDS = 60.0
+_IDLE_SECONDS = 60.0
 
 
 class Ticket(Protocol):
-    """Leave for one request to run."""
+    """Permission for one request to run."""
 
     def release(self) -> None:
-        """Say that the request has ended; a second time does nothing."""
+        """Return the ticket; repeated calls do nothing."""
 
 
 class Quotas(Protocol):
-    """What grants tickets."""
+    """Grants tickets."""
 
     def acquire(self, team: table.TeamRow, *, deadline: float) -> Ticket:
-        """Take a ticket.
+        """Acquire a ticket.
 
         Raises
         ------
@@ -53,51 +53,51 @@
         """
 
     def usage(self) -> list[messages.TeamUse]:
-        """Give what teams use of this daemon."""
+        """Return the usage of this daemon by team."""
 
 
 class Links(Protocol):
-    """What is needed of the peers' streams."""
+    """Connections to peers."""
 
     def call(
         self, to: _ids.DaemonId, message: msgspec.Struct, *, timeout: float
     ) -> msgspec.Struct:
-        """Ask and wait; raises PeerUnreachable."""
+        """Send a message and return the reply; raises PeerUnreachable."""
 
 
-class _Use(msgspec.Struct):
-    """What one team uses of this daemon, and what it was lent."""
+class _TeamUsage(msgspec.Struct):
+    """One team's usage of this daemon, and the slice it was lent."""
 
     lock: lock.BoundedSemaphore
     running: int = 0
-    room: int = 0
-    room_until: float = 0.0
+    leased: int = 0
+    leased_until: float = 0.0
     lender: _ids.DaemonId | None = None
-    closed_until: float = 0.0
+    rejected_until: float = 0.0
     waiting: int = 0
     remaining: float = 0.0
-    lapses: float = 0.0
+    expires_at: float = 0.0
     rate: float = 0.0
-    seen_at: float = 0.0
+    requested_at: float = 0.0
     refused: int = 0
-    alone_at: float = 0.0
+    even_share_at: float = 0.0
 
     def note_demand(self, now: float) -> None:
-        """Keep a smoothed rate of requests a second."""
-        gap = max(1e-6, now - self.seen_at)
+        """Update the smoothed rate of requests a second."""
+        gap = max(1e-6, now - self.requested_at)
         weight = 1.0 - math.exp(-gap / _SMOOTHING_SECONDS)
         self.rate += weight * (1.0 / gap - self.rate)
-        self.seen_at = now
+        self.requested_at = now
 
 
 @final
 class _Ticket:
-    def __init__(self, usage: _Use) -> None:
-        self._use: _Use | None = usage
+    def __init__(self, usage: _TeamUsage) -> None:
+        self._team_usage: _TeamUsage | None = usage
         usage.running += 1
 
     def release(self) -> None:
-        usage, self._use = self._use, None
+        usage, self._team_usage = self._team_usage, None
         if usage is not None:
             usage.running -= 1
 
@@ -105,7 +105,7 @@
 def owner_of(
     team: _ids.TeamName, daemons: Iterable[_ids.DaemonId]
 ) -> _ids.DaemonId | None:
-    """Give the daemon that lends a team's ceiling."""
+    """Return the daemon that lends a team's ceiling."""
     seed = _ranking.chat_hash("team", team)
     name = _ranking.first(daemons, seed)
     return None if name is None else _ids.DaemonId(name)
@@ -113,18 +113,18 @@
 
 @final
 class TeamQuotas:
-    """Tickets within the teams' ceilings.
+    """Grants tickets within the teams' ceilings.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     owner : QuotaOwner
-        Lends what this daemon itself owns.
+        Lends the ceilings of teams that this daemon owns.
     links : Links
-        Streams to peers.
+        Connections to peers.
     daemons : callable
-        Gives the usable daemons.
+        Returns the usable daemons.
     clock : Clock
         Time.
     """
@@ -143,53 +143,58 @@
         self._links = links
         self._daemons = daemons
         self._clock = clock
-        self._use_by_team: dict[_ids.TeamName, _Use] = {}
-        self._silent_until: dict[_ids.DaemonId, float] = {}
+        self._usage_by_team: dict[_ids.TeamName, _TeamUsage] = {}
+        self._unresponsive_until: dict[_ids.DaemonId, float] = {}
         self._ranked_daemons: Iterable[_ids.DaemonId] | None = None
         self._owner_by_team: dict[_ids.TeamName, _ids.DaemonId | None] = {}
 
     def acquire(self, team: table.TeamRow, *, deadline: float) -> Ticket:
-        """Take a ticket; a team without ceilings always gets one.
+        """Acquire a ticket; always granted to a team without ceilings.
 
         Raises
         ------
         TeamCeiling
-            The team uses all that its row allows; the error says when a
-            repeat makes sense.
+            The team uses all that its row allows; the error has the delay
+            after which a retry makes sense.
         """
-        usage = self._use(_ids.TeamName(team.name))
+        usage = self._team_usage(_ids.TeamName(team.name))
         usage.note_demand(self._clock.monotonic())
         if not team.ceiling_rate and not team.ceiling_running:
             return _Ticket(usage)
-        if not self._has(team, usage):
-            self._open(team, usage, deadline)
+        if not self._has_capacity(team, usage):
+            self._acquire_slice(team, usage, deadline)
         if team.ceiling_rate:
             usage.remaining -= 1
         return _Ticket(usage)
 
-    def _has(self, team: table.TeamRow, usage: _Use) -> bool:
+    def _has_capacity(self, team: table.TeamRow, usage: _TeamUsage) -> bool:
         now = self._clock.monotonic()
-        if team.ceiling_rate and (usage.remaining < 1 or now > usage.lapses):
+        if team.ceiling_rate and (
+            usage.remaining < 1 or now > usage.expires_at
+        ):
             return False
         if not team.ceiling_running:
             return True
-        return usage.running < usage.room and now <= usage.room_until
+        return usage.running < usage.leased and now <= usage.leased_until
 
-    def _open(self, team: table.TeamRow, usage: _Use, deadline: float) -> None:
-        """Get a slice, waiting a moment if that is all it takes.
+    def _acquire_slice(
+        self, team: table.TeamRow, usage: _TeamUsage, deadline: float
+    ) -> None:
+        """Get a slice, waiting a moment if that suffices.
 
-        Retry-After counts in whole seconds. Refused for want of a tenth of
-        one, callers come back late and a small ceiling is never reached.
-        Few may wait, or a surge would queue here unseen. While the owner's
-        refusal holds, others are refused without asking it again.
+        Retry-After counts in whole seconds. Without the wait, callers that
+        lack a tenth of a second would retry late, and a small ceiling would
+        never be used up. Only a few requests may wait, as a burst would
+        otherwise queue here unnoticed. While a rejection by the owner is in
+        force, further requests are rejected without asking it again.
 
         Raises
         ------
         TeamCeiling
-            There is no room, or none soon enough.
+            The ceiling is used up, and nothing is available soon enough.
         """
         for is_last in (False, True):
-            wait = self._ask_once(team, usage)
+            wait = self._request_slice(team, usage)
             if wait <= 0:
                 return
             now = self._clock.monotonic()
@@ -206,62 +211,67 @@
             retry_after=max(wait, _MIN_RETRY_AFTER),
         )
 
-    def _ask_once(self, team: table.TeamRow, usage: _Use) -> float:
-        """Ask for a slice; give the seconds to wait, 0 with one at hand."""
+    def _request_slice(self, team: table.TeamRow, usage: _TeamUsage) -> float:
+        """Return the seconds to wait for a slice, 0 if one is held now.
+
+        Requests a slice from the owner if none is held.
+        """
         with usage.lock:
-            if self._has(team, usage):
+            if self._has_capacity(team, usage):
                 return 0.0
             now = self._clock.monotonic()
-            if now < usage.closed_until:
-                return usage.closed_until - now
-            retry_after = self._ask(team, usage)
-            if self._has(team, usage):
+            if now < usage.rejected_until:
+                return usage.rejected_until - now
+            retry_after = self._request_from_owner(team, usage)
+            if self._has_capacity(team, usage):
                 return 0.0
             retry_after = max(retry_after, _MIN_RETRY_AFTER)
-            closed = min(retry_after, _MAX_WAIT_SECONDS)
-            usage.closed_until = self._clock.monotonic() + closed
+            reject_seconds = min(retry_after, _MAX_WAIT_SECONDS)
+            usage.rejected_until = self._clock.monotonic() + reject_seconds
             return retry_after
 
-    def _ask(self, team: table.TeamRow, usage: _Use) -> float:
-        """Ask the owner; give the seconds that it says to wait."""
+    def _request_from_owner(
+        self, team: table.TeamRow, usage: _TeamUsage
+    ) -> float:
+        """Request a slice from the owner; return the delay in its reply."""
         name = _ids.TeamName(team.name)
         owner = self._owner_of(name)
         now = self._clock.monotonic()
-        unused = math.floor(usage.remaining) if now <= usage.lapses else 0
-        wanted = math.ceil(usage.rate * _SLICE_DEMAND_SECONDS)
+        unused = math.floor(usage.remaining) if now <= usage.expires_at else 0
+        requested = math.ceil(usage.rate * _DEMAND_SECONDS)
         message = messages.SliceAsk(
             team=name,
-            want=max(1, wanted),
+            want=max(1, requested),
             unused=max(0, unused),
             running=usage.running,
         )
         usage.remaining = 0.0
         answer = self._exchange(owner, message)
         if answer is None:
-            self._share_alone(team, usage)
-            return _SILENT_SECONDS
+            self._use_even_share(team, usage)
+            return _UNRESPONSIVE_SECONDS
         usage.lender = owner
-        self._note(team, usage, answer)
+        self._record_slice(team, usage, answer)
         return answer.retry_after
 
-    def _note(
-        self, team: table.TeamRow, usage: _Use, answer: messages.Slice
+    def _record_slice(
+        self, team: table.TeamRow, usage: _TeamUsage, answer: messages.Slice
     ) -> None:
         now = self._clock.monotonic()
         usage.remaining = answer.lent
-        usage.lapses = now + answer.lapse
+        usage.expires_at = now + answer.lapse
         if team.ceiling_running:
-            self._note_room(usage, answer)
+            self._record_lease(usage, answer)
 
-    def _note_room(self, usage: _Use, answer: messages.Slice) -> None:
-        """Note lent room, which counts for half the time it was lent for.
+    def _record_lease(self, usage: _TeamUsage, answer: messages.Slice) -> None:
+        """Record a lease, which is used for half of its duration.
 
-        Used until the owner forgets it, the same room would be lent to two
-        daemons whenever a message is late.
+        If it were used until the owner removes it, a late message could cause
+        the same part to be lent to two daemons.
         """
         now = self._clock.monotonic()
-        usage.room = answer.running_room
-        usage.room_until = now + _quota_owner.ROOM_SECONDS / 2
+        usage.leased = answer.running_room
+        usage.leased_until = now + _quota_owner.LEASE_SECONDS / 2
 
     def _exchange(
         self, owner: _ids.DaemonId | None, message: messages.SliceAsk
@@ -271,77 +281,79 @@
         if owner == self._daemon:
             return self._owner.lend(self._daemon, message)
         now = self._clock.monotonic()
-        if now < self._silent_until.get(owner, 0.0):
+        if now < self._unresponsive_until.get(owner, 0.0):
             return None
         try:
             answer = self._links.call(owner, message, timeout=_ASK_TIMEOUT)
         except _errors.PeerUnreachable:
-            # A frozen owner would cost each request the whole timeout.
-            self._silent_until[owner] = now + _SILENT_SECONDS
+            # Otherwise a frozen owner would delay each request by the timeout.
+            self._unresponsive_until[owner] = now + _UNRESPONSIVE_SECONDS
             return None
         return answer if isinstance(answer, messages.Slice) else None
 
-    def _share_alone(self, team: table.TeamRow, usage: _Use) -> None:
-        """Keep to the even share while no owner answers."""
+    def _use_even_share(self, team: table.TeamRow, usage: _TeamUsage) -> None:
+        """Limit the team to its even share while no owner responds."""
         now = self._clock.monotonic()
         daemons = max(1, len(list(self._daemons())))
         if team.ceiling_rate:
             rate = team.ceiling_rate / daemons
-            since = min(now - usage.alone_at, _quota_owner.SLICE_SECONDS)
+            since = min(now - usage.even_share_at, _quota_owner.SLICE_SECONDS)
             if since * rate >= 1:
                 usage.remaining = math.floor(since * rate)
-                usage.lapses = now + _quota_owner.SLICE_SECONDS
-                usage.alone_at = now
+                usage.expires_at = now + _quota_owner.SLICE_SECONDS
+                usage.even_share_at = now
         if team.ceiling_running:
-            usage.room = math.ceil(team.ceiling_running / daemons)
-            usage.room_until = now + _quota_owner.SLICE_SECONDS
+            usage.leased = math.ceil(team.ceiling_running / daemons)
+            usage.leased_until = now + _quota_owner.SLICE_SECONDS
 
-    def _use(self, team: _ids.TeamName) -> _Use:
-        usage = self._use_by_team.get(team)
+    def _team_usage(self, team: _ids.TeamName) -> _TeamUsage:
+        usage = self._usage_by_team.get(team)
         if usage is None:
-            usage = _Use(
+            usage = _TeamUsage(
                 lock=lock.BoundedSemaphore(),
-                seen_at=self._clock.monotonic(),
+                requested_at=self._clock.monotonic(),
             )
-            self._use_by_team[team] = usage
+            self._usage_by_team[team] = usage
         return usage
 
     def usage(self) -> list[messages.TeamUse]:
-        """Give what teams use of this daemon; idle ones are left out."""
+        """Return the usage of this daemon by team."""
         now = self._clock.monotonic()
         return [
             messages.TeamUse(
                 team=team,
                 running=usage.running,
-                rate=usage.rate if now - usage.seen_at < 5 else 0.0,
+                rate=usage.rate if now - usage.requested_at < 5 else 0.0,
                 refused=usage.refused,
             )
-            for team, usage in self._use_by_team.items()
+            for team, usage in self._usage_by_team.items()
         ]
 
     def renew(self) -> None:
-        """Keep the owners' word on room in step with what runs.
+        """Renew leases so that the owners' counts match what runs.
 
-        Called every half second. Told are the owners of teams whose room
-        is larger than what runs, about to lapse, or lent by a daemon that
-        owns the team no more: a new owner learns of long answers, which ask
-        for nothing by themselves, only by this.
+        Called every half second. Renewed are leases that are larger than what
+        runs, that are about to expire, or that were lent by a daemon that no
+        longer owns the team: long answers request nothing by themselves, so a
+        new owner learns of them only in this way.
         """
         now = self._clock.monotonic()
-        for team, usage in list(self._use_by_team.items()):
-            if usage.room and self._is_out_of_step(team, usage, now):
+        for team, usage in list(self._usage_by_team.items()):
+            if usage.leased and self._needs_renewal(team, usage, now):
                 self._renew(team, usage)
-            elif not usage.running and now - usage.seen_at > _FORGET_SECONDS:
-                del self._use_by_team[team]
+            elif (
+                not usage.running and now - usage.requested_at > _IDLE_SECONDS
+            ):
+                del self._usage_by_team[team]
 
-    def _is_out_of_step(
-        self, team: _ids.TeamName, usage: _Use, now: float
+    def _needs_renewal(
+        self, team: _ids.TeamName, usage: _TeamUsage, now: float
     ) -> bool:
-        if usage.running < usage.room or now > usage.room_until:
+        if usage.running < usage.leased or now > usage.leased_until:
             return True
         return usage.lender != self._owner_of(team)
 
-    def _renew(self, team: _ids.TeamName, usage: _Use) -> None:
+    def _renew(self, team: _ids.TeamName, usage: _TeamUsage) -> None:
         message = messages.SliceAsk(
             team=team, want=0, unused=0, running=usage.running
         )
@@ -350,12 +362,13 @@
             answer = self._exchange(owner, message)
             if answer is not None and answer.running_room >= 0:
                 usage.lender = owner
-                self._note_room(usage, answer)
+                self._record_lease(usage, answer)
 
     def _owner_of(self, team: _ids.TeamName) -> _ids.DaemonId | None:
-        """Give a team's owner, remembered while the daemons stay the same.
+        """Return a team's owner, cached while the daemons stay the same.
 
-        Ranking 880 daemons takes 135 us, half the cost of an ask.
+        Ranking 880 daemons takes 135 us, half the cost of a request for a
+        slice.
         """
         daemons = self._daemons()
         if daemons is not self._ranked_daemons:
--- a/src/topazlug/limits/_retry_share.py
+++ b/src/topazlug/limits/_retry_share.py
@@ -1,10 +1,9 @@
 """This daemon's share of the retries that a fleet may make.
 
-The bound is over the whole fleet: in any window, retries of a service stay
-under a part of its requests plus a fixed number. Each daemon counts the
-requests that it took itself; the fixed number is split evenly. The shares
-add up to the bound without a message, as long as the number of daemons is
-not taken too low.
+The limit applies to the whole fleet: in any window, retries of a service stay
+below a fraction of its requests plus a fixed number. Each daemon counts its
+own requests; the fixed number is split evenly. The shares add up to the limit
+without messages, as long as the number of daemons is not underestimated.
 """
 
 import collections
@@ -13,13 +12,13 @@
 from topazlug import _clock
 from topazlug import _ids
 
-# Requests near a window's edge fall into one window here and into another
-# where the bound is checked; a tenth is left for that.
-_SAFETY = 0.9
+# Events near the edge of a window may count in another window where the limit
+# is checked; a tenth is left as a margin for that.
+_SAFETY_FACTOR = 0.9
 
 
 class _Window:
-    """Times of the last events within a window."""
+    """Times of the events within a sliding window."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
@@ -43,16 +42,20 @@
     ratio : float
         Retries allowed for each request.
     extra : float
-        Retries allowed besides, in a window, over the whole fleet.
+        Additional retries allowed in a window, over the whole fleet.
     window : float
-        Seconds.
+        Length of the window in seconds.
+    daemons : int
+        Daemons that the additional retries are split among.
     clock : Clock
         Time.
 
     Attributes
     ----------
     daemons : int
-        Daemons that the fixed number is split among.
+        Daemons that the additional retries are split among.
+    refused : int
+        Retries that were rejected.
     """
 
     def __init__(
@@ -66,7 +69,7 @@
     ) -> None:
         self._ratio = ratio
         self._extra = extra
-        self._seconds = window
+        self._window_seconds = window
         self._clock = clock
         self.daemons = daemons
         self.refused = 0
@@ -75,34 +78,34 @@
 
     def set_bounds(self, *, ratio: float, extra: float, window: float) -> None:
         """Change the bounds; a window of another length starts empty."""
-        if window != self._seconds:
+        if window != self._window_seconds:
             self._requests_by_group.clear()
             self._retries_by_group.clear()
         self._ratio = ratio
         self._extra = extra
-        self._seconds = window
+        self._window_seconds = window
 
     def earn(self, group: _ids.GroupName) -> None:
-        """Note a request of a caller."""
+        """Count a request of a caller."""
         window = self._window(self._requests_by_group, group)
         now = self._clock.monotonic()
         window.add(now)
         window.count(now)
 
     def can_retry(self, group: _ids.GroupName) -> bool:
-        """Say whether a retry could be made now."""
+        """Return whether a retry may be made now."""
         retries = self._window(self._retries_by_group, group)
         count = retries.count(self._clock.monotonic())
         return count + 1 <= self.allowed(group)
 
     def remaining(self, group: _ids.GroupName) -> int:
-        """Give the retries that could be made now."""
+        """Return the number of retries that may be made now."""
         retries = self._window(self._retries_by_group, group)
         count = retries.count(self._clock.monotonic())
         return max(0, int(self.allowed(group) - count))
 
     def spend(self, group: _ids.GroupName) -> bool:
-        """Take one retry out of the share; tell whether there was one."""
+        """Count a retry; return whether it is allowed."""
         if not self.can_retry(group):
             self.refused += 1
             return False
@@ -111,10 +114,10 @@
         return True
 
     def allowed(self, group: _ids.GroupName) -> float:
-        """Give the retries allowed in the window that ends now."""
+        """Return the retries allowed in the window that ends now."""
         requests = self._window(self._requests_by_group, group)
         earned = self._ratio * requests.count(self._clock.monotonic())
-        return _SAFETY * (earned + self._extra / max(1, self.daemons))
+        return _SAFETY_FACTOR * (earned + self._extra / max(1, self.daemons))
 
     def _window(
         self,
@@ -123,6 +126,6 @@
     ) -> _Window:
         window = windows_by_group.get(group)
         if window is None:
-            window = _Window(self._seconds)
+            window = _Window(self._window_seconds)
             windows_by_group[group] = window
         return window
--- a/tests/topazlug/limits/test_fair_queue.py
+++ b/tests/topazlug/limits/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""A bounded queue that is weighted fair between teams."""
+"""A bounded queue with weighted fairness between teams."""
 
 import collections
 
@@ -34,56 +34,56 @@
         queue = _fair_queue.FairQueue(capacity=1000)
         fill(queue, "heavy", heavy, 300)
         fill(queue, "light", 1.0, 300)
-        got = served(queue, 120)
+        served_by_team = served(queue, 120)
         share = heavy / (heavy + 1.0) * 120
-        assert abs(got["heavy"] - share) <= 2
+        assert abs(served_by_team["heavy"] - share) <= 2
 
-    def test_surge_does_not_push_others_back(self):
+    def test_burst_does_not_delay_others(self):
         queue = _fair_queue.FairQueue(capacity=1000)
-        fill(queue, "surge", 1.0, 500)
+        fill(queue, "burst", 1.0, 500)
         fill(queue, "calm", 1.0, 2)
         assert served(queue, 5)["calm"] == 2
 
-    def test_light_team_with_one_at_a_time(self):
-        """Symptom: a team of a tenth of the weight gets half of a pool.
+    def test_light_team_with_one_request_at_a_time(self):
+        """A team must not get more than the share of its weight.
 
-        Sequence: it keeps one request in the queue and sends the next when
-        that is served. Cause: its line is forgotten with its last entry,
-        and so is that it had its share.
+        A team with a tenth of the weight keeps one request in the queue and
+        sends the next one when that is served. It got half of a pool when its
+        finish time was discarded with its last entry.
         """
         queue = _fair_queue.FairQueue(capacity=1000)
         fill(queue, "heavy", 10.0, 500)
         fill(queue, "light", 1.0, 1)
-        got = collections.Counter()
+        served_by_team = collections.Counter()
         for _ in range(110):
             team, _ = queue.pop()
-            got[team] += 1
+            served_by_team[team] += 1
             if team == "light":
                 fill(queue, "light", 1.0, 1)
-        assert got["light"] <= 12
+        assert served_by_team["light"] <= 12
 
-    def test_team_in_order(self):
+    def test_items_of_a_team_keep_their_order(self):
         queue = _fair_queue.FairQueue(capacity=10)
         fill(queue, "a", 1.0, 5)
         assert [queue.pop()[1] for _ in range(5)] == list(range(5))
 
 
 class TestBound:
-    def test_longest_team_gives_way(self):
+    def test_newest_item_of_longest_team_is_evicted(self):
         queue = _fair_queue.FairQueue(capacity=4)
-        fill(queue, "surge", 1.0, 4)
+        fill(queue, "burst", 1.0, 4)
         assert queue.push(("calm", 0), team="calm", weight=1.0) == (
-            "surge",
+            "burst",
             3,
         )
         assert len(queue) == 4
 
-    def test_no_room_at_all(self):
+    def test_queue_without_capacity(self):
         queue = _fair_queue.FairQueue(capacity=0)
         assert queue.push("x", team="a", weight=1.0) == "x"
         assert queue.pop() is None
 
-    def test_what_is_kept_of_idle_teams_is_bounded(self):
+    def test_state_of_idle_teams_is_bounded(self):
         queue = _fair_queue.FairQueue(capacity=8)
         fill(queue, "a", 1.0, 4)
         for number in range(100):
@@ -97,21 +97,21 @@
     @given(STEPS)
     def test_each_item_leaves_once(self, steps):
         queue = _fair_queue.FairQueue(capacity=5)
-        inside, number = [], 0
+        queued, number = [], 0
         for step, team in steps:
             out = None
             if step == "push":
                 number += 1
-                inside.append((team, number))
-                out = queue.push(inside[-1], team=team, weight=1.0)
+                queued.append((team, number))
+                out = queue.push(queued[-1], team=team, weight=1.0)
             elif step == "pop":
                 out = queue.pop()
-                assert (out is None) is not inside or out is not None
-            elif inside:
-                out = inside[0]
+                assert (out is None) is not queued or out is not None
+            elif queued:
+                out = queued[0]
                 assert queue.remove(out)
             if out is not None:
-                inside.remove(out)
-            assert len(queue) == len(inside)
-        assert sorted(queue.drain()) == sorted(inside)
+                queued.remove(out)
+            assert len(queue) == len(queued)
+        assert sorted(queue.drain()) == sorted(queued)
         assert len(queue) == 0
