--- a/src/topazlug/capacity/_cold_rate.py
+++ b/src/topazlug/capacity/_cold_rate.py
@@ -1,7 +1,8 @@
 """Rate limit for requests that an owner admits to a cold replica.
 
-A replica that has just started crashes well above the rate that it reports to
-tolerate. What counts is the rate from all daemons together in any second.
+A replica that has just started crashes at a rate well above the one that it
+reports as tolerable. What counts is the rate from all daemons together in any
+second.
 """
 
 from typing import final
--- a/src/topazlug/capacity/_context_reads.py
+++ b/src/topazlug/capacity/_context_reads.py
@@ -1,4 +1,4 @@
-"""Avoids that several requests read the same context at the same time.
+"""Prevents several requests from reading a context at the same time.
 
 Load pattern: a replica is lost, or a chat's home is over its bound, and all
 requests of that chat go to a replica that does not hold its context. An
@@ -34,10 +34,10 @@
 
 
 class ReadState(enum.Enum):
-    """State of a context on a replica, for the next request.
+    """State of a context on a replica.
 
-    KNOWN: the replica holds it. FIRST: no request is reading it, so this one
-    does. WAIT: another request is reading it.
+    KNOWN: the replica holds it. FIRST: no request is reading it, so the next
+    one does. WAIT: a request is reading it, so others wait.
     """
 
     KNOWN = "known"
--- a/src/topazlug/capacity/_rank_limits.py
+++ b/src/topazlug/capacity/_rank_limits.py
@@ -63,12 +63,12 @@
 
     @property
     def limit(self) -> int:
-        """Return the maximum of requests on the replica."""
+        """Return the maximum number of requests on the replica."""
         return int(self._limit)
 
     @property
     def queue(self) -> int:
-        """Return the maximum of requests that wait on the replica itself."""
+        """Return the number of requests that may wait on the replica."""
         return max(_MIN_QUEUE, int(self._slots * _QUEUE_FRACTION))
 
     def note_held(self, rank: int) -> None:
@@ -90,9 +90,10 @@
 
         A replica that has a queue and answers slowly is at its capacity,
         whether slots, memory or the reading of prompts limits it. The limit
-        falls towards what it runs plus a short queue, and rises in small steps
-        while no request waits. A queue alone is no sign of overload, as it
-        also holds prompts that are read within moments.
+        falls towards the number of requests that it runs plus a short queue,
+        and rises in small steps while no request waits. A queue alone is no
+        sign of overload, as it also holds prompts that are read within
+        moments.
 
         Parameters
         ----------
--- a/src/topazlug/capacity/_reservations.py
+++ b/src/topazlug/capacity/_reservations.py
@@ -75,7 +75,7 @@
     def note(
         self, prompt: int, rank: int, *, seconds: float, now: float
     ) -> None:
-        """Reserve a slot for a request that was rejected with a delay."""
+        """Reserve a slot for a rejected request, due after some seconds."""
         self._reservation_by_prompt.pop(prompt, None)
         self._reservation_by_prompt[prompt] = _Reservation(rank, now + seconds)
         if len(self._reservation_by_prompt) > _MAX_RESERVATIONS:
@@ -97,7 +97,7 @@
         self._reservation_by_prompt.pop(prompt, None)
 
     def reserved(self, rank: int, *, now: float, is_due: bool = False) -> int:
-        """Return the number of slots reserved against a request.
+        """Return the number of reserved slots that a request may not use.
 
         For a new request, these are the reservations of its own and more
         urgent ranks that are due now or soon; for a retry that is due itself,
--- a/src/topazlug/capacity/_shared_backoff.py
+++ b/src/topazlug/capacity/_shared_backoff.py
@@ -1,4 +1,4 @@
-"""Backoffs of a replica that several daemons were asked for.
+"""Backoffs that a replica has asked several daemons for.
 
 Load pattern: a replica rejects requests for seconds and asks each daemon that
 it answers for a backoff. A daemon sees only a small part of the requests, so
--- a/src/topazlug/capacity/_start_allowance.py
+++ b/src/topazlug/capacity/_start_allowance.py
@@ -26,9 +26,9 @@
     """
 
     def __init__(self, *, fraction: float, started_at: float) -> None:
-        self._part = fraction
+        self._fraction = fraction
         self._until = started_at + _STARTING_SECONDS
 
     def limit(self, slots: int, *, now: float) -> int:
         """Return the load that is admitted regardless of the mean."""
-        return int(slots * self._part) if now < self._until else 0
+        return int(slots * self._fraction) if now < self._until else 0
--- a/src/topazlug/limits/_quotas.py
+++ b/src/topazlug/limits/_quotas.py
@@ -23,7 +23,7 @@
 from topazlug.limits import _quota_owner
 from topazlug.routing import _ranking
 
-_ASK_TIMEOUT = 0.2
+_OWNER_TIMEOUT_SECONDS = 0.2
 _UNRESPONSIVE_SECONDS = 1.0
 _SMOOTHING_SECONDS = 1.0
 _MIN_RETRY_AFTER = 0.1
@@ -66,7 +66,7 @@
 
 
 class _TeamUsage(msgspec.Struct):
-    """One team's usage of this daemon, and the slice it was lent."""
+    """One team's usage of this daemon, and the slice and lease it holds."""
 
     lock: lock.BoundedSemaphore
     running: int = 0
@@ -75,8 +75,8 @@
     lender: _ids.DaemonId | None = None
     rejected_until: float = 0.0
     waiting: int = 0
-    remaining: float = 0.0
-    expires_at: float = 0.0
+    slice_remaining: float = 0.0
+    slice_expires_at: float = 0.0
     rate: float = 0.0
     requested_at: float = 0.0
     refused: int = 0
@@ -164,13 +164,13 @@
         if not self._has_capacity(team, usage):
             self._acquire_slice(team, usage, deadline)
         if team.ceiling_rate:
-            usage.remaining -= 1
+            usage.slice_remaining -= 1
         return _Ticket(usage)
 
     def _has_capacity(self, team: table.TeamRow, usage: _TeamUsage) -> bool:
         now = self._clock.monotonic()
         if team.ceiling_rate and (
-            usage.remaining < 1 or now > usage.expires_at
+            usage.slice_remaining < 1 or now > usage.slice_expires_at
         ):
             return False
         if not team.ceiling_running:
@@ -237,7 +237,11 @@
         name = _ids.TeamName(team.name)
         owner = self._owner_of(name)
         now = self._clock.monotonic()
-        unused = math.floor(usage.remaining) if now <= usage.expires_at else 0
+        unused = (
+            math.floor(usage.slice_remaining)
+            if now <= usage.slice_expires_at
+            else 0
+        )
         requested = math.ceil(usage.rate * _DEMAND_SECONDS)
         message = messages.SliceAsk(
             team=name,
@@ -245,7 +249,7 @@
             unused=max(0, unused),
             running=usage.running,
         )
-        usage.remaining = 0.0
+        usage.slice_remaining = 0.0
         answer = self._exchange(owner, message)
         if answer is None:
             self._use_even_share(team, usage)
@@ -258,8 +262,8 @@
         self, team: table.TeamRow, usage: _TeamUsage, answer: messages.Slice
     ) -> None:
         now = self._clock.monotonic()
-        usage.remaining = answer.lent
-        usage.expires_at = now + answer.lapse
+        usage.slice_remaining = answer.lent
+        usage.slice_expires_at = now + answer.lapse
         if team.ceiling_running:
             self._record_lease(usage, answer)
 
@@ -284,7 +288,9 @@
         if now < self._unresponsive_until.get(owner, 0.0):
             return None
         try:
-            answer = self._links.call(owner, message, timeout=_ASK_TIMEOUT)
+            answer = self._links.call(
+                owner, message, timeout=_OWNER_TIMEOUT_SECONDS
+            )
         except _errors.PeerUnreachable:
             # Otherwise a frozen owner would delay each request by the timeout.
             self._unresponsive_until[owner] = now + _UNRESPONSIVE_SECONDS
@@ -299,8 +305,8 @@
             rate = team.ceiling_rate / daemons
             since = min(now - usage.even_share_at, _quota_owner.SLICE_SECONDS)
             if since * rate >= 1:
-                usage.remaining = math.floor(since * rate)
-                usage.expires_at = now + _quota_owner.SLICE_SECONDS
+                usage.slice_remaining = math.floor(since * rate)
+                usage.slice_expires_at = now + _quota_owner.SLICE_SECONDS
                 usage.even_share_at = now
         if team.ceiling_running:
             usage.leased = math.ceil(team.ceiling_running / daemons)
@@ -317,7 +323,7 @@
         return usage
 
     def usage(self) -> list[messages.TeamUse]:
-        """Return the usage of this daemon by team."""
+        """Return the usage of this daemon by team, without idle teams."""
         now = self._clock.monotonic()
         return [
             messages.TeamUse(
--- a/src/topazlug/placement/_owner_admission.py
+++ b/src/topazlug/placement/_owner_admission.py
@@ -1,4 +1,4 @@
-"""Places requests by the owners' exact counts, with own views as fallback.
+"""Places requests by the owners' counts, or by own views if no owner replies.
 
 Each replica's load is counted by one daemon, its owner. A daemon that sees
 only a small part of the requests would assume that a full replica is empty;
@@ -106,10 +106,10 @@
     def _place_by_latency(
         self, asks: _owner_asks.OwnerAsks, request: _place.PlaceRequest
     ) -> _place.Place:
-        """Place a request that no replica holds context for.
+        """Place a request of a group whose replicas keep no context.
 
-        Owners are asked only if all replicas have just started: only they
-        know how many requests a cold replica got in the last second.
+        Owners are asked only if all replicas have just started: only they know
+        how many requests a cold replica got in the last second.
         """
         if self._view_admission.warm(self._view_admission.candidates(request)):
             return self._view_admission.admit(request)
@@ -212,10 +212,10 @@
     ) -> None:
         """Report the load in a response head to the replica's owner.
 
-        Reported are only: that a context was read, that requests wait on the
-        replica, and once that none waits any more. This includes requests
-        that were placed without the owner, as it could not keep those within
-        its limits.
+        Reports only that a context was read, that requests wait on the
+        replica, and once that none waits any more. This includes requests that
+        were placed without the owner, as it could not keep those within its
+        limits.
 
         Parameters
         ----------
--- a/src/topazlug/placement/_owner_search.py
+++ b/src/topazlug/placement/_owner_search.py
@@ -274,9 +274,10 @@
     ) -> _place.Place | None:
         """Hold a slot; return None if the replica has left meanwhile.
 
-        The list of replicas may have changed while owners were asked. The
-        slot of a replica that is leaving or gone is released, as its owner
-        would otherwise count it for as long as this daemon runs.
+        The list of replicas may have changed while owners were asked. Without
+        this check the request would go to a replica that is leaving or gone,
+        and if that raised an error here, the owner would count the slot for as
+        long as this daemon runs.
         """
         if not self._targets.is_usable(replica):
             asks.holdings.send_release(answer.owner, answer.ask)
--- a/src/topazlug/placement/_owners.py
+++ b/src/topazlug/placement/_owners.py
@@ -35,7 +35,7 @@
 
 
 class _UniformRules:
-    """The same for all groups."""
+    """Rules that are the same for all groups and teams."""
 
     def bound_of(self, group: _ids.GroupName) -> float:
         """Return the multiple of the mean load that bounds a replica."""
--- a/src/topazlug/placement/_replica_view.py
+++ b/src/topazlug/placement/_replica_view.py
@@ -19,8 +19,9 @@
 from topazlug.targets import _targets
 
 _log = _logs.logger("replicas")
-# A report is as old as the answer that carried it. Its fraction of the load
-# decays to 0 over this many seconds, about the length of a stream.
+# A report is as old as the answer that carried it. The weight of the other
+# daemons' requests in it falls to 0 over this time, about the length of a
+# stream.
 REPORT_LIFETIME_SECONDS = 2.0
 # In a large fleet each daemon receives a report of a replica every 7 s or so.
 # With the shorter lifetime, full replicas seemed empty most of the time and
@@ -30,14 +31,15 @@
 # Older outcomes do not count towards a replica's health.
 _OUTCOME_SECONDS = 6.0
 _MAX_OUTCOMES = 40
-# A replica is an outlier if at least this many and this fraction of its
-# requests failed, at this multiple of the rest of its group. Healthy services
-# of the users fail less often (14% of idempotent reads).
+# A replica is an outlier if at least this many of its requests and at least
+# this fraction of them failed, and the fraction is at least this multiple of
+# that of the rest of its group. Healthy services of users stay below that
+# (14% of their idempotent reads fail).
 _OUTLIER_FAILURES = 3
 _OUTLIER_FRACTION = 0.3
 _OUTLIER_RATIO = 2.0
-# How long an owner's rejection of a rank for lack of capacity holds: a busy
-# engine of 64 slots frees some ten of them in that time.
+# How long a rank counts as rejected after an owner had no capacity for it: a
+# busy engine of 64 slots frees some ten of them in that time.
 _FULL_SECONDS = 0.25
 _EJECTION_SECONDS = 1.0
 _MAX_EJECTION_SECONDS = 4.0
--- a/tests/topazlug/placement/test_owner_admission.py
+++ b/tests/topazlug/placement/test_owner_admission.py
@@ -49,7 +49,7 @@
     return chat, fleet.owner_of(home_of(chat))
 
 
-class TestSurge:
+class TestBurst:
     def test_no_replica_is_overloaded_by_one_chat(self, fleet):
         """One replica must not hold most requests while others idle.
 
@@ -274,8 +274,10 @@
         """
         chat, owner = chat_owned_by_another(fleet, "d0")
         daemon = fleet.daemon_by_name["d0"]
-        left = [one for one in fleet.targets if one.replica != home_of(chat)]
-        fleet.before_answer = lambda: daemon.targets.take_list(left)
+        remaining = [
+            one for one in fleet.targets if one.replica != home_of(chat)
+        ]
+        fleet.before_answer = lambda: daemon.targets.take_list(remaining)
         place = daemon.admit(chat)
         assert place.target.replica != home_of(chat)
         released = [m for m in fleet.sent if isinstance(m, messages.Release)]
@@ -402,8 +404,8 @@
 
     def test_waiting_request_gets_a_released_slot(self, fleet):
         places = self.fill(fleet, rank=1)
-        # Reservations of requests that were rejected while filling the
-        # fleet, by chance one or two on this replica, expire before.
+        # Lets the reservations of requests that were rejected above expire:
+        # by chance there may be one or two on this replica.
         fleet.clock.advance(2.0)
         daemon = fleet.daemon_by_name["d0"]
         slept = []
@@ -444,12 +446,12 @@
         assert place.reads_context
         slept = []
 
-        def tell(seconds):
+        def report_head(seconds):
             slept.append(seconds)
             first.admission.note_head(place, 1, 0, 0.1)
             fleet.clock.advance(seconds)
 
-        fleet.clock.sleep = tell
+        fleet.clock.sleep = report_head
         other = second.admit(**fields)
         assert len(slept) == 1
         assert other.target.replica == place.target.replica
--- a/tests/topazlug/placement/test_replicas_in_backoff.py
+++ b/tests/topazlug/placement/test_replicas_in_backoff.py
@@ -69,14 +69,15 @@
     @pytest.mark.parametrize("daemons", [9, 24, 70])
     @pytest.mark.parametrize("count", [1, 4])
     def test_few_requests_are_shed_in_any_fleet_size(self, daemons, count):
-        """Not each daemon of a large fleet may have a request rejected.
+        """Few requests may be rejected before all daemons back off.
 
-        Each of 70 daemons used to learn of the same backoff that way.
+        Each of 70 daemons used to have requests rejected to learn of the same
+        backoff.
         """
         replay = Replay(daemons=daemons, shedding=REPLICAS[:count])
         backoffs = 3
         replay.run(backoffs * BACKOFF_SECONDS)
-        # Two daemons must be rejected to rule out that it concerns only one.
+        # A backoff is shared once two daemons have had a request rejected.
         assert replay.shed <= 2 * backoffs * count
         assert not replay.rejected
 
--- a/tests/topazlug/placement/test_start_of_all.py
+++ b/tests/topazlug/placement/test_start_of_all.py
@@ -20,16 +20,16 @@
     )
 
 
-def displaced(fleet, count):
+def count_displaced(fleet, count):
     """Return how many of a number of chats are not placed at their home."""
-    misplaced = 0
+    displaced = 0
     daemons = itertools.cycle(fleet.daemons)
     for number, chat in enumerate(itertools.islice(chats(), count)):
         if number % REPORT_EVERY == 0:
             fleet.report()
         place = next(daemons).admit(chat)
-        misplaced += place.target.replica != _ranking.first(REPLICAS, chat)
-    return misplaced
+        displaced += place.target.replica != _ranking.first(REPLICAS, chat)
+    return displaced
 
 
 def admit_one_chat(fleet, times):
@@ -51,7 +51,7 @@
         fleet = owner_fixtures.Fleet(
             *DAEMONS, replicas=REPLICAS, slots=SLOTS, is_starting=True
         )
-        assert displaced(fleet, 4 * len(REPLICAS)) == 0
+        assert count_displaced(fleet, 4 * len(REPLICAS)) == 0
 
     def test_bound_holds_after_the_start(self):
         fleet = owner_fixtures.Fleet(*DAEMONS, replicas=REPLICAS, slots=SLOTS)
