--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -28,7 +28,7 @@
 from topazlug.forwarding import _wire
 from topazlug.limits import _retry_share
 from topazlug.peers import _peers
-from topazlug.placement import _context
+from topazlug.placement import _context_locator
 from topazlug.placement import _mechanisms
 from topazlug.placement import _owner_admission
 from topazlug.placement import _owners
@@ -103,7 +103,7 @@
         self.views = _replica_view.ReplicaViews(
             clock=clock, disabled=options.disabled
         )
-        self.contexts = _context.ContextLocator(
+        self.contexts = _context_locator.ContextLocator(
             targets=self.targets, clock=clock
         )
         self.budget = _retry_share.RetryShare(
@@ -285,7 +285,7 @@
             targets=self.targets,
             clock=self._clock,
         )
-        self._owners.take_daemons(self._fleet.directory.daemons_by_id)
+        self._owners.update_daemons(self._fleet.directory.daemons_by_id)
         self._greenlets += self._owners.start()
         self._crashes.join(links)
         if _mechanisms.Mechanism.OWNERS not in self._options.disabled:
@@ -294,7 +294,7 @@
 
     def _take_size(self, daemons: int) -> None:
         if self._owners is not None:
-            self._owners.take_daemons(self._fleet.directory.daemons_by_id)
+            self._owners.update_daemons(self._fleet.directory.daemons_by_id)
         # Rows of daemons that are gone stay, so this is never too low once
         # all have joined; before, the fleet may still be growing.
         self.budget.daemons = max(_FLEET_LEAST, daemons)
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -8,7 +8,7 @@
 from topazlug import _errors
 from topazlug.forwarding import _call
 from topazlug.forwarding import _wire
-from topazlug.placement import _context
+from topazlug.placement import _context_locator
 from topazlug.placement import _mechanisms
 from topazlug.placement import _replica_view
 from topazlug.routing import _place
@@ -79,7 +79,7 @@
         connections: _target_client.TargetConnections,
         targets: _targets.TargetDirectory,
         views: _replica_view.ReplicaViews,
-        contexts: _context.ContextLocator,
+        contexts: _context_locator.ContextLocator,
         wire: _wire.ReplicaWire,
         note_unreached: NoteUnreached,
         note_head: Callable[[_place.Place, int, int, float], None],
--- a/src/topazlug/forwarding/_forwarder_parts.py
+++ b/src/topazlug/forwarding/_forwarder_parts.py
@@ -14,7 +14,7 @@
 from topazlug.forwarding import _measures
 from topazlug.forwarding import _wire
 from topazlug.limits import _retry_share
-from topazlug.placement import _context
+from topazlug.placement import _context_locator
 from topazlug.placement import _mechanisms
 from topazlug.placement import _owner_admission
 from topazlug.placement import _replica_view
@@ -59,7 +59,7 @@
     budget: _retry_share.RetryShare
     clock: _clock.Clock
     connections: _target_client.TargetConnections
-    contexts: _context.ContextLocator
+    contexts: _context_locator.ContextLocator
     guard: _crash_guard.CrashGuard
     measures: _measures.Measures
     targets: _targets.TargetDirectory
--- a/src/topazlug/placement/_owners.py
+++ b/src/topazlug/placement/_owners.py
@@ -126,7 +126,7 @@
         self._ownership.on_transfer(self._duties.on_transfer)
         targets.on_change(self._update)
 
-    def take_daemons(self, daemons: Mapping[_ids.DaemonId, Any]) -> None:
+    def update_daemons(self, daemons: Mapping[_ids.DaemonId, Any]) -> None:
         """Update the daemons that can be owners."""
         self._daemons = daemons
         self._update()
--- a/tests/topazlug/placement/owner_fixtures.py
+++ b/tests/topazlug/placement/owner_fixtures.py
@@ -54,7 +54,7 @@
         self.daemon_by_name = {name: Daemon(self, name) for name in names}
         daemons = dict.fromkeys(map(_ids.DaemonId, names))
         for daemon in self.daemons:
-            daemon.owners.take_daemons(daemons)
+            daemon.owners.update_daemons(daemons)
         if not is_starting:
             self.clock.advance(_STARTED_SECONDS)
 
--- a/tests/topazlug/placement/test_cold_placement.py
+++ b/tests/topazlug/placement/test_cold_placement.py
@@ -145,10 +145,10 @@
         known = [name for name in replay.fleet.daemon_by_name if name != owner]
         for daemon in replay.daemons[::2]:
             if daemon is not replay.fleet.daemon_by_name[owner]:
-                daemon.owners.take_daemons(dict.fromkeys(known))
+                daemon.owners.update_daemons(dict.fromkeys(known))
         second = replay.daemons[0].owners.owner_of(COLD)
         if second in replay.fleet.daemon_by_name and second != owner:
-            replay.fleet.daemon_by_name[second].owners.take_daemons(
+            replay.fleet.daemon_by_name[second].owners.update_daemons(
                 dict.fromkeys(known)
             )
         replay.run(1.5)
--- a/tests/topazlug/placement/test_context.py
+++ b/tests/topazlug/placement/test_context_locator.py
@@ -3,7 +3,7 @@
 from tests.topazlug import claim_fakes
 from tests.topazlug.forwarding import forwarding_fixtures as fixtures
 from topazlug import _ids
-from topazlug.placement import _context
+from topazlug.placement import _context_locator
 from topazlug.routing import _ranking
 from topazlug.targets import _targets
 
@@ -17,7 +17,7 @@
         self.targets = _targets.TargetDirectory(
             clock=self.clock, flap_window=10.0
         )
-        self.locator = _context.ContextLocator(
+        self.locator = _context_locator.ContextLocator(
             targets=self.targets, clock=self.clock
         )
 
--- a/tests/topazlug/placement/test_owner_admission.py
+++ b/tests/topazlug/placement/test_owner_admission.py
@@ -250,7 +250,7 @@
         """
         chat, owner = chat_owned_by_another(fleet, "d0")
         others = {name: None for name in DAEMONS if name != owner}
-        fleet.daemon_by_name[owner].owners.take_daemons(others)
+        fleet.daemon_by_name[owner].owners.update_daemons(others)
         place = fleet.daemon_by_name["d0"].admit(chat)
         assert place.target.replica == home_of(chat)
 
