--- a/src/topazlug/placement/_owner_admission.py
+++ b/src/topazlug/placement/_owner_admission.py
@@ -108,8 +108,8 @@
     ) -> _place.Place:
         """Place a request of a group whose replicas keep no context.
 
-        Owners are asked only if all replicas have just started: only they know
-        how many requests a cold replica got in the last second.
+        Owners are asked only if all replicas have just started, as only they
+        count the requests that a cold replica got in the last second.
         """
         if self._view_admission.warm(self._view_admission.candidates(request)):
             return self._view_admission.admit(request)
--- a/src/topazlug/placement/_view_admission.py
+++ b/src/topazlug/placement/_view_admission.py
@@ -134,7 +134,7 @@
         """Exclude replicas that have just started.
 
         They tolerate only a few requests a second from all daemons together,
-        and only their owners know how many they got.
+        and only their owners count how many they got.
         """
         found = self.warm(candidates)
         if not found:
