--- a/bench/capacity/capacity_messages.py
+++ b/bench/capacity/capacity_messages.py
@@ -19,7 +19,7 @@
 from topazlug.peers import _peers
 from topazlug.targets import _listed_targets
 from topazlug.targets import _target_client
-from topazlug.targets import _target_watch
+from topazlug.targets import _target_poller
 from topazlug.targets import _targets
 
 _HOST = "127.0.0.1"
@@ -130,7 +130,7 @@
 
 
 def _fact(number: int) -> messages.Fact:
-    return _listed_targets.listed_fact(target_at(8000, number))
+    return _listed_targets.fact_from_target(target_at(8000, number))
 
 
 def _held(number: int) -> messages.HeldPlace:
@@ -271,17 +271,17 @@
 
 def _watch(
     listed: list[_targets.Target],
-) -> tuple[_target_watch.TargetWatch, _target_client.TargetConnections]:
+) -> tuple[_target_poller.TargetPoller, _target_client.TargetConnections]:
     directory = _targets.TargetDirectory(clock=_CLOCK, flap_window=60.0)
     directory.take_list(listed)
     connections = _target_client.TargetConnections(
         connect_timeout=2.0, clock=_CLOCK
     )
-    watch = _target_watch.TargetWatch(
+    watch = _target_poller.TargetPoller(
         owned=lambda: [target.replica for target in listed],
         targets=directory,
         connections=connections,
-        signs=_Signs(),
+        publisher=_Signs(),
         report=lambda replica, running: None,
         interval=1.0,
         clock=_CLOCK,
@@ -294,10 +294,10 @@
     with far_end("engine") as ports:
         target = target_at(int(ports[0]))
         watch, _ = _watch([target])
-        watch.look(target.replica)
+        watch.poll(target.replica)
         started = time.process_time()
         for _ in range(_LOOKS):
-            watch.look(target.replica)
+            watch.poll(target.replica)
         micros = (time.process_time() - started) / _LOOKS * 1e6
     return [_Slope("look at a target's load", micros, "µs")]
 
@@ -310,10 +310,10 @@
         ]
         watch, connections = _watch(listed)
         for target in listed:
-            watch.look(target.replica)
+            watch.poll(target.replica)
         before = sizes.resident_bytes()
         looks = [
-            gevent.spawn(watch.look, target.replica)
+            gevent.spawn(watch.poll, target.replica)
             for target in listed
             for _ in range(_CONNECTIONS)
         ]
--- a/bench/capacity/capacity_routing.py
+++ b/bench/capacity/capacity_routing.py
@@ -111,13 +111,13 @@
         clock=_clock.SystemClock(), flap_window=60.0
     )
     taken = sizes.once_millis(lambda: directory_.take_list(listed))
-    told = [_listed_targets.listed_fact(target) for target in listed[:50]]
+    told = [_listed_targets.fact_from_target(target) for target in listed[:50]]
     bare = [_fact_of(target) for target in listed[50:100]]
     with_address = sizes.processor_micros(
-        lambda: sizes.for_each(directory_.take_fact, told), count=50
+        lambda: sizes.for_each(directory_.apply_fact, told), count=50
     )
     without = sizes.processor_micros(
-        lambda: sizes.for_each(directory_.take_fact, bare), count=50
+        lambda: sizes.for_each(directory_.apply_fact, bare), count=50
     )
     owners = _ownership.Ownership()
     daemons = sizes.daemon_ids()
@@ -129,7 +129,7 @@
 
     directory_.on_change(update)
     followed = sizes.processor_micros(
-        lambda: sizes.for_each(directory_.take_fact, bare), count=50
+        lambda: sizes.for_each(directory_.apply_fact, bare), count=50
     )
     group = _ids.GroupName("pool-00")
     looked = sizes.processor_micros(
--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -164,7 +164,7 @@
 
     def directory() -> _targets.TargetDirectory:
         made = _targets.TargetDirectory(clock=_CLOCK, flap_window=60.0)
-        made.take_list(_listed_targets.targets_of(instances))
+        made.take_list(_listed_targets.targets_from_instances(instances))
         return made
 
     targets = sizes.held_bytes(directory)
@@ -186,7 +186,9 @@
 
 def facts() -> list[_Slope]:
     """Hold facts and members."""
-    told = [_listed_targets.listed_fact(target) for target in sizes.targets()]
+    told = [
+        _listed_targets.fact_from_target(target) for target in sizes.targets()
+    ]
     encoded = msgspec.msgpack.encode(told)
 
     def book() -> _facts.FactBook:
@@ -351,14 +353,17 @@
     )
     data = _instance_list()
     told = msgspec.msgpack.encode(
-        [_listed_targets.listed_fact(target) for target in sizes.targets()]
+        [
+            _listed_targets.fact_from_target(target)
+            for target in sizes.targets()
+        ]
     )
     before = sizes.resident_bytes()
     holder = _holder(encoded)
     after_table = sizes.resident_bytes()
     instances = _instances.decode(data)
     directory = _targets.TargetDirectory(clock=_CLOCK, flap_window=60.0)
-    directory.take_list(_listed_targets.targets_of(instances))
+    directory.take_list(_listed_targets.targets_from_instances(instances))
     owners = _ownership.Ownership()
     owners.update(
         daemons=sizes.daemon_ids(), replicas=directory.target_by_replica
--- a/bench/experiments/crashing_requests.py
+++ b/bench/experiments/crashing_requests.py
@@ -142,7 +142,7 @@
 
     def __init__(self, replay: "Replay", name: str) -> None:
         self._replay = replay
-        self.runs = _target_runs.RunBook(clock=replay.clock)
+        self.runs = _target_runs.RunTracker(clock=replay.clock)
         self.guard = _crash_guard.CrashGuard(
             daemon=_ids.DaemonId(name),
             runs=self.runs,
--- a/src/topazlug/crashes/_crash_guard.py
+++ b/src/topazlug/crashes/_crash_guard.py
@@ -50,7 +50,7 @@
     ----------
     daemon : DaemonId
         This daemon.
-    runs : RunBook
+    runs : RunTracker
         What runs where.
     targets : TargetDirectory
         Known targets.
@@ -70,7 +70,7 @@
         self,
         *,
         daemon: _ids.DaemonId,
-        runs: _target_runs.RunBook,
+        runs: _target_runs.RunTracker,
         targets: _targets.TargetDirectory,
         refuses: bool = True,
         clock: _clock.Clock,
@@ -207,7 +207,7 @@
     def _take_crash(
         self, target: _targets.Target, runs: list[_target_runs.Run]
     ) -> None:
-        start = _target.start_of(target)
+        start = _target.process_of(target)
         crash = self._notebook.note_crash(
             start,
             target.group,
--- a/src/topazlug/crashes/_crash_watch.py
+++ b/src/topazlug/crashes/_crash_watch.py
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    runs : RunBook
+    runs : RunTracker
         What runs where.
     listed : callable
         Gives the platform's list of targets by replica.
@@ -79,7 +79,7 @@
     def __init__(
         self,
         *,
-        runs: _target_runs.RunBook,
+        runs: _target_runs.RunTracker,
         listed: Callable[[], Mapping[_ids.ReplicaId, _targets.Target]],
         is_leaving: Callable[[_targets.Target], bool],
         crashed: Crashed,
@@ -90,17 +90,17 @@
         self._is_leaving = is_leaving
         self._crashed = crashed
         self._clock = clock
-        self._check_by_start: dict[_target.Start, event.Event] = {}
-        self._checked_at: dict[_target.Start, float] = {}
+        self._check_by_start: dict[_target.ReplicaProcess, event.Event] = {}
+        self._checked_at: dict[_target.ReplicaProcess, float] = {}
         self._refused_at: collections.deque[float] = collections.deque()
         # Starts whose crash was told, the oldest first.
-        self._told: collections.OrderedDict[_target.Start, None]
+        self._told: collections.OrderedDict[_target.ReplicaProcess, None]
         self._told = collections.OrderedDict()
         runs.on_end(self._take_end)
 
     def wait_checked(self, target: _targets.Target) -> None:
         """Wait until it is known whether a target takes connections."""
-        start = _target.start_of(target)
+        start = _target.process_of(target)
         check = self._check_by_start.get(start)
         if check is not None and not self._pause_of(start):
             check.wait(_CONNECT_SECONDS)
@@ -110,7 +110,7 @@
     ) -> None:
         """Wait for the checks of other targets that lost such a request."""
         for start in list(self._check_by_start):
-            if start == _target.start_of(target) or self._pause_of(start):
+            if start == _target.process_of(target) or self._pause_of(start):
                 continue
             broken = self._runs.broken(start, seconds=_BEFORE_SECONDS)
             if any(run.fingerprint == fingerprint for run in broken):
@@ -119,7 +119,7 @@
     def _take_end(self, run: _target_runs.Run) -> None:
         if run.end is not _target_runs.RunEnd.LOST:
             return
-        start = _target.start_of(run.target)
+        start = _target.process_of(run.target)
         if start in self._told or start in self._check_by_start:
             return
         # One that leaves as planned ends too, and cuts off what still runs.
@@ -128,7 +128,7 @@
         self._check_by_start[start] = event.Event()
         gevent.spawn_later(self._pause_of(start), self._check, run.target)
 
-    def _pause_of(self, start: _target.Start) -> float:
+    def _pause_of(self, start: _target.ReplicaProcess) -> float:
         """Give the seconds until a start may be asked again."""
         now = self._clock.monotonic()
         again_at = self._checked_at.get(start, -math.inf) + _PAUSE_SECONDS
@@ -141,7 +141,7 @@
         return listed.incarnation == target.incarnation
 
     def _check(self, target: _targets.Target) -> None:
-        start = _target.start_of(target)
+        start = _target.process_of(target)
         try:
             answer = _connect(target)
             if answer is _Answer.REFUSED and self._is_alone(target):
@@ -152,7 +152,7 @@
             self._note_checked(start)
             self._check_by_start.pop(start).set()
 
-    def _note_checked(self, start: _target.Start) -> None:
+    def _note_checked(self, start: _target.ReplicaProcess) -> None:
         now = self._clock.monotonic()
         self._checked_at = {
             one: at
@@ -187,9 +187,9 @@
         listed : iterable of Target
             The list as it is.
         """
-        starts = {_target.start_of(target) for target in listed}
+        starts = {_target.process_of(target) for target in listed}
         for target in before.values():
-            start = _target.start_of(target)
+            start = _target.process_of(target)
             if start in starts or start in self._told:
                 continue
             if self._is_leaving(target):
@@ -198,8 +198,8 @@
             if broken:
                 gevent.spawn(self._check_lapsed, target, broken)
 
-    def _broken(self, start: _target.Start) -> list[_target_runs.Run]:
-        return self._runs.broken(start, seconds=_target_runs.KEPT_SECONDS)
+    def _broken(self, start: _target.ReplicaProcess) -> list[_target_runs.Run]:
+        return self._runs.broken(start, seconds=_target_runs.RETENTION_SECONDS)
 
     def _check_lapsed(
         self, target: _targets.Target, broken: list[_target_runs.Run]
@@ -219,7 +219,7 @@
     def _tell(
         self, target: _targets.Target, runs: list[_target_runs.Run]
     ) -> None:
-        start = _target.start_of(target)
+        start = _target.process_of(target)
         if start in self._told or not runs:
             return
         self._told[start] = None
--- a/src/topazlug/crashes/_notebook.py
+++ b/src/topazlug/crashes/_notebook.py
@@ -121,7 +121,7 @@
 
     def note_crash(
         self,
-        start: _target.Start,
+        start: _target.ReplicaProcess,
         group: _ids.GroupName,
         runs: Iterable[_target_runs.Run],
         *,
--- a/src/topazlug/crashes/_notes.py
+++ b/src/topazlug/crashes/_notes.py
@@ -29,7 +29,7 @@
 AttemptTag = NewType("AttemptTag", str)
 
 
-def start_name(start: _target.Start) -> StartName:
+def start_name(start: _target.ReplicaProcess) -> StartName:
     """Give a start of a replica its name in rows."""
     return StartName(f"{start.replica}@{start.incarnation}")
 
--- a/src/topazlug/forwarding/_crash_parts.py
+++ b/src/topazlug/forwarding/_crash_parts.py
@@ -35,7 +35,7 @@
     ----------
     daemon : DaemonId
         This daemon.
-    runs : RunBook
+    runs : RunTracker
         What runs where.
     targets : TargetDirectory
         Known targets.
@@ -60,7 +60,7 @@
         self,
         *,
         daemon: _ids.DaemonId,
-        runs: _target_runs.RunBook,
+        runs: _target_runs.RunTracker,
         targets: _targets.TargetDirectory,
         new_store: Callable[[], _table_source.TableStore],
         daemons: Callable[[], Mapping[_ids.DaemonId, Any]],
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -146,7 +146,7 @@
             clock=clock,
             wire=replica_wire,
             idle_per_target=_IDLE_PER_REPLICA,
-            take_word=self.targets.take_word,
+            handle_report=self.targets.handle_report,
         )
         self._crashes = _crash_parts.CrashParts(
             daemon=options.daemon,
@@ -210,7 +210,7 @@
                 held=self.tables.version,
             )
             return
-        self.targets.cold.take_groups(table.cold_start_by_group)
+        self.targets.cold.set_cold_starts(table.cold_start_by_group)
         self._open_gate()
         self._callers.head_seconds = table.bounds.head_timeout
         self._callers.idle_seconds = table.bounds.idle_timeout
@@ -228,7 +228,7 @@
             drained=sorted(zones - before),
             returned=sorted(before - zones),
         )
-        self.targets.take_drains(_targets.Drains(zones=zones))
+        self.targets.set_drains(_targets.Drains(zones=zones))
 
     def _take_replicas(self, targets: list[_targets.Target]) -> None:
         before = self.targets.target_by_replica
@@ -254,7 +254,7 @@
                 replica=target.replica,
                 start=target.incarnation,
             )
-            self._connections.end_start(before[target.replica])
+            self._connections.drop_connections(before[target.replica])
 
     def _open_gate(self) -> None:
         if self.is_ready():
@@ -290,7 +290,7 @@
         self._crashes.join(links)
         if _mechanisms.Mechanism.OWNERS not in self._options.without:
             self._admission.asks = self._owners.asks
-            self.targets.on_word(self._owners.asks.tell_backoff)
+            self.targets.on_report(self._owners.asks.tell_backoff)
 
     def _take_size(self, daemons: int) -> None:
         if self._owners is not None:
--- a/src/topazlug/placement/_context.py
+++ b/src/topazlug/placement/_context.py
@@ -127,7 +127,7 @@
         # A replica that is down answers no copy either, nor does one in a
         # zone without a way to it: the request would wait for it before it
         # is read.
-        if not self._targets.reach.is_open(target.zone):
+        if not self._targets.reachability.is_reachable(target.zone):
             return False
         return self._targets.is_answering(replica)
 
--- a/src/topazlug/placement/_owned_admission.py
+++ b/src/topazlug/placement/_owned_admission.py
@@ -197,9 +197,9 @@
             Whether the connection was not refused either.
         """
         target = place.target
-        if is_silent and self._targets.reach.note_silence(target):
+        if is_silent and self._targets.reachability.note_timeout(target):
             _log.warning("zone {zone} is not reached", zone=target.zone)
-        self._targets.cold.suspect([target])
+        self._targets.cold.presume_cold([target])
         if self.asks is not None:
             self.asks.tell_unreached(place.target.replica)
 
--- a/src/topazlug/placement/_view_admission.py
+++ b/src/topazlug/placement/_view_admission.py
@@ -115,7 +115,7 @@
         found = [
             one
             for one in usable
-            if self._targets.reach.is_open(zone_of[one].zone)
+            if self._targets.reachability.is_reachable(zone_of[one].zone)
         ]
         return found or usable
 
--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -24,7 +24,7 @@
 from topazlug.routing import _ownership
 from topazlug.routing import _place
 from topazlug.routing import _ranking
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 from topazlug.targets import _targets
 
 _log = logbook.Logger("admission")
@@ -233,7 +233,7 @@
             return self._try(request, search, replica, redirects=0)
         search.asked.add(replica)
         if reply.backoff > 0:
-            self._targets.take_told_backoff(replica, reply.backoff)
+            self._targets.take_peer_backoff(replica, reply.backoff)
             search.retry_after = max(search.retry_after, reply.backoff)
             return None
         if reply.verdict is messages.Verdict.granted:
@@ -325,7 +325,7 @@
     ) -> _place.Place | None:
         target = self._targets.target_by_replica.get(replica)
         # It may have gone, or asked for quiet, while its owner was asked.
-        if target is None or self._targets.quiet.wants_nothing(target):
+        if target is None or self._targets.reported.is_unavailable(target):
             if owner is not None:
                 self.holdings.send_release(owner, ask)
             return None
@@ -334,7 +334,7 @@
         )
 
     def tell_backoff(
-        self, target: _targets.Target, word: _target_word.TargetWord
+        self, target: _targets.Target, word: _target_report.TargetReport
     ) -> None:
         """Tell a target's owner of a backoff that it asked for."""
         self._asks.tell_backoff(target, word)
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -172,7 +172,7 @@
             _ids.ReplicaId(note.replica)
         )
         if target is not None:
-            self._targets.cold.suspect([target])
+            self._targets.cold.presume_cold([target])
 
     def note_backoff(
         self, sender: _ids.DaemonId, note: messages.Backoff
--- a/src/topazlug/routing/_owner_asks.py
+++ b/src/topazlug/routing/_owner_asks.py
@@ -19,7 +19,7 @@
 from topazlug.routing import _owner
 from topazlug.routing import _ownership
 from topazlug.routing import _place
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 from topazlug.targets import _targets
 
 _log = _logs.logger("admission")
@@ -250,7 +250,7 @@
             self.holdings.send(owner, note)
 
     def tell_backoff(
-        self, target: _targets.Target, word: _target_word.TargetWord
+        self, target: _targets.Target, word: _target_report.TargetReport
     ) -> None:
         """Tell a target's owner that it has asked this daemon for a backoff.
 
@@ -258,7 +258,7 @@
         ----------
         target : Target
             Who asks.
-        word : TargetWord
+        word : TargetReport
             What it says of itself.
         """
         owner = self._ownership.owner_of(target.replica)
--- a/src/topazlug/routing/_owner_judge.py
+++ b/src/topazlug/routing/_owner_judge.py
@@ -118,17 +118,17 @@
         """
         target = self._targets.target_by_replica[ledger.replica]
         if ask.cold and not self._targets.cold.is_cold(target):
-            self._targets.cold.suspect([target])
-        tolerated = self._tolerated(ledger)
-        if tolerated is None:
+            self._targets.cold.presume_cold([target])
+        max_request_rate = self._tolerated(ledger)
+        if max_request_rate is None:
             return False
-        if ledger.cold.has_room(tolerated, now=self._clock.monotonic()):
+        if ledger.cold.has_room(max_request_rate, now=self._clock.monotonic()):
             return False
-        wait = ledger.cold.wait(tolerated)
+        wait = ledger.cold.wait(max_request_rate)
         _log.info(
             "no room at {replica}: it has just started",
             replica=ledger.replica,
-            tolerated=tolerated,
+            tolerated=max_request_rate,
             retry_after=round(wait, 3),
         )
         self._answers.give(
@@ -142,7 +142,7 @@
 
     def _tolerated(self, ledger: _ledger.ReplicaLedger) -> float | None:
         target = self._targets.target_by_replica[ledger.replica]
-        return self._targets.cold.tolerated(target)
+        return self._targets.cold.max_request_rate(target)
 
     def _judge(
         self,
--- a/src/topazlug/routing/_routing_parts.py
+++ b/src/topazlug/routing/_routing_parts.py
@@ -24,8 +24,8 @@
 from topazlug.routing import _policies
 from topazlug.targets import _listed_targets
 from topazlug.targets import _target_client
-from topazlug.targets import _target_watch
-from topazlug.targets import _target_word
+from topazlug.targets import _target_poller
+from topazlug.targets import _target_report
 from topazlug.targets import _targets
 
 _log = _logs.logger("routing")
@@ -113,13 +113,13 @@
         self.connections = _target_client.TargetConnections(
             connect_timeout=settings.limits.connect_timeout,
             clock=self._clock,
-            take_word=self.targets.take_word,
+            handle_report=self.targets.handle_report,
         )
-        self.watch = _target_watch.TargetWatch(
+        self.watch = _target_poller.TargetPoller(
             owned=self._watched,
             targets=self.targets,
             connections=self.connections,
-            signs=self._fleet.membership,
+            publisher=self._fleet.membership,
             report=self._take_engine_report,
             interval=settings.routing.poll_interval,
             clock=self._clock,
@@ -169,15 +169,15 @@
         """Follow what the list, the members and the table say."""
         self._fleet.instances.on_change(self._list_changed)
         self._fleet.membership.on_change(self._members_changed)
-        self._fleet.membership.on_target_fact(self.targets.take_fact)
+        self._fleet.membership.on_target_fact(self.targets.apply_fact)
         self._fleet.membership.on_pause(self._paused)
-        self.targets.on_word(self._tell_leaving)
-        self.targets.on_word(self.owners_admission.tell_backoff)
+        self.targets.on_report(self._tell_leaving)
+        self.targets.on_report(self.owners_admission.tell_backoff)
         self._fleet.configuration.on_change(self._configuration_changed)
         self.targets.on_change(self._update_ownership)
 
     def _tell_leaving(
-        self, target: _targets.Target, word: _target_word.TargetWord
+        self, target: _targets.Target, word: _target_report.TargetReport
     ) -> None:
         if not word.leaving:
             return
@@ -208,15 +208,15 @@
             self.quotas.renew()
 
     def _list_changed(self) -> None:
-        listed = _listed_targets.targets_of(
+        listed = _listed_targets.targets_from_instances(
             self._fleet.instances.instances_by_id
         )
         # A daemon that starts finds all of the list new; the fleet does not.
         if self._fleet.instances.refreshed_at is not None:
             known = self.targets.target_by_replica
-            for target in _listed_targets.news(known, listed):
+            for target in _listed_targets.changed_targets(known, listed):
                 self._fleet.membership.publish_listed(
-                    _listed_targets.listed_fact(target)
+                    _listed_targets.fact_from_target(target)
                 )
         before = self.targets.target_by_replica
         self.targets.take_list(listed)
@@ -267,5 +267,5 @@
     def _configuration_changed(self) -> None:
         drains = self.rules.drains()
         if drains != self.targets.drains:
-            self.targets.take_drains(drains)
+            self.targets.set_drains(drains)
         self.owner.refresh_slots()
--- a/src/topazlug/targets/_target_heads.py
+++ b/src/topazlug/targets/_answer_heads.py
@@ -74,16 +74,18 @@
             head, separator, rest = pending.partition(_HEAD_END)
             if not separator:
                 if len(pending) > _MAX_HEAD:
-                    raise failed("the head of the answer is too long")
+                    raise target_failed("the head of the answer is too long")
                 connection.settimeout(self._left(end))
                 data = connection.recv(_target_answer.BLOCK)
                 if not data:
-                    raise failed("the connection ended before the answer")
+                    raise target_failed(
+                        "the connection ended before the answer"
+                    )
                 pending += data
                 continue
             size += len(head)
             if size > _MAX_HEAD:
-                raise failed("the heads of the answer are too long")
+                raise target_failed("the heads of the answer are too long")
             parser.feed(head + separator)
             pending = rest
             if parser.final_status < _target_answer.FINAL:
@@ -95,7 +97,7 @@
                     parser.feed(rest)
                 return parser
             if echoed != {previous}:
-                raise failed("the answer belongs to another request")
+                raise target_failed("the answer belongs to another request")
             pending = self._skip(connection, parser, rest, end)
             parser = _target_answer.AnswerParser(method=method)
 
@@ -120,24 +122,26 @@
         skipped = 0
         while not parser.message_complete:
             if skipped > _MAX_SKIPPED:
-                raise failed("the answer belongs to another request")
+                raise target_failed("the answer belongs to another request")
             if not rest:
                 connection.settimeout(self._left(end))
                 rest = connection.recv(_target_answer.BLOCK)
                 if not rest:
-                    raise failed("the answer belongs to another request")
+                    raise target_failed(
+                        "the answer belongs to another request"
+                    )
             parser.feed(rest[:1])
             rest = rest[1:]
             skipped += 1
         if parser.should_close():
-            raise failed("the answer belongs to another request")
+            raise target_failed("the answer belongs to another request")
         return rest
 
     def _left(self, end: float) -> float:
         return max(0.0, end - self._clock.monotonic())
 
 
-def failed(why: str) -> _errors.TargetFailed:
+def target_failed(why: str) -> _errors.TargetFailed:
     """Give the error for a request that got no proper answer."""
     return _errors.TargetFailed(
         f"the target failed: {why}", outcome=_errors.Outcome.UNKNOWN
--- a/src/topazlug/targets/_cold_replicas.py
+++ b/src/topazlug/targets/_cold_replicas.py
@@ -63,7 +63,7 @@
         self._listed_until: dict[_ids.ReplicaId, float] = {}
         self._suspected_until: dict[_ids.ReplicaId, float] = {}
 
-    def take_groups(
+    def set_cold_starts(
         self, start_by_group: Mapping[_ids.GroupName, ColdStart]
     ) -> None:
         """Take over what the table says of groups."""
@@ -83,7 +83,7 @@
             for replica in until.keys() - self._told_by_replica.keys():
                 del until[replica]
 
-    def suspect(self, targets: Iterable[_target.Target]) -> None:
+    def presume_cold(self, targets: Iterable[_target.Target]) -> None:
         """Take replicas to be cold that may just have started again."""
         now = self._clock.monotonic()
         for target in targets:
@@ -92,7 +92,7 @@
                 until = now + start.seconds + _NOTICE_SECONDS
                 self._suspected_until[target.replica] = until
 
-    def tolerated(self, target: _target.Target) -> float | None:
+    def max_request_rate(self, target: _target.Target) -> float | None:
         """Give the requests a second that a replica stands now.
 
         Returns
@@ -111,4 +111,4 @@
 
     def is_cold(self, target: _target.Target) -> bool:
         """Say whether a replica stands fewer requests than others now."""
-        return self.tolerated(target) is not None
+        return self.max_request_rate(target) is not None
--- a/src/topazlug/targets/_listed_targets.py
+++ b/src/topazlug/targets/_listed_targets.py
@@ -14,7 +14,7 @@
 }
 
 
-def targets_of(
+def targets_from_instances(
     instances_by_id: Mapping[str, _instances.Instance],
 ) -> list[_target.Target]:
     """Pick the targets out of the platform's list of instances."""
@@ -35,7 +35,7 @@
     ]
 
 
-def listed_fact(target: _target.Target) -> messages.Fact:
+def fact_from_target(target: _target.Target) -> messages.Fact:
     """Give what the list says of a target, as a fact for peers."""
     state = messages.FactState.live
     if target.leaving:
@@ -55,7 +55,7 @@
     )
 
 
-def told_target(fact: messages.Fact) -> _target.Target:
+def target_from_fact(fact: messages.Fact) -> _target.Target:
     return _target.Target(
         replica=_ids.ReplicaId(fact.subject),
         kind=(
@@ -89,7 +89,7 @@
     ]
 
 
-def news(
+def changed_targets(
     before: Mapping[_ids.ReplicaId, _target.Target],
     after: Iterable[_target.Target],
 ) -> list[_target.Target]:
--- a/src/topazlug/targets/_quiet_targets.py
+++ b/src/topazlug/targets/_reported_states.py
@@ -14,7 +14,7 @@
 from topazlug import _clock
 from topazlug import _logs
 from topazlug.targets import _target
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 
 _log = _logs.logger("replicas")
 # Starts remembered, the latest that said something new: a start that has
@@ -28,7 +28,7 @@
 
 
 @final
-class QuietTargets:
+class ReportedStates:
     """What starts of targets have said with their answers.
 
     Parameters
@@ -39,11 +39,13 @@
 
     def __init__(self, *, clock: _clock.Clock) -> None:
         self._clock = clock
-        self._said_by_start: collections.OrderedDict[_target.Start, _Said]
+        self._said_by_start: collections.OrderedDict[
+            _target.ReplicaProcess, _Said
+        ]
         self._said_by_start = collections.OrderedDict()
 
     def note(
-        self, target: _target.Target, word: _target_word.TargetWord
+        self, target: _target.Target, report: _target_report.TargetReport
     ) -> bool:
         """Take what an answer says of the target that gave it.
 
@@ -52,9 +54,9 @@
         bool
             Whether it is new.
         """
-        is_leaving = word.leaving and self._note_leaving(target)
-        is_backoff = word.backoff > 0 and self._note_backoff(
-            target, word.backoff
+        is_leaving = report.leaving and self._note_leaving(target)
+        is_backoff = report.backoff > 0 and self._note_backoff(
+            target, report.backoff
         )
         return is_leaving or is_backoff
 
@@ -80,7 +82,7 @@
         )
         return True
 
-    def note_told_backoff(
+    def note_peer_backoff(
         self, target: _target.Target, seconds: float
     ) -> None:
         """Take a peer's word that a target wants no request of anybody."""
@@ -93,7 +95,7 @@
             )
 
     def _keep_longer(self, target: _target.Target, seconds: float) -> bool:
-        if seconds <= self.backoff_left(target):
+        if seconds <= self.remaining_backoff(target):
             return False
         until = self._clock.monotonic() + seconds
         self._remembered(target).backoff_until = until
@@ -101,7 +103,7 @@
 
     def _remembered(self, target: _target.Target) -> _Said:
         held = self._said_by_start
-        start = _target.start_of(target)
+        start = _target.process_of(target)
         said = held.setdefault(start, _Said())
         held.move_to_end(start)
         while len(held) > _MOST_STARTS:
@@ -109,17 +111,17 @@
         return said
 
     def _said(self, target: _target.Target) -> _Said:
-        return self._said_by_start.get(_target.start_of(target), _NOTHING)
+        return self._said_by_start.get(_target.process_of(target), _NOTHING)
 
     def is_leaving(self, target: _target.Target) -> bool:
         """Say whether a target has said that it is leaving."""
         return self._said(target).leaving
 
-    def wants_nothing(self, target: _target.Target) -> bool:
+    def is_unavailable(self, target: _target.Target) -> bool:
         """Say whether a target wants no new work of this daemon now."""
-        return self.is_leaving(target) or self.backoff_left(target) > 0
+        return self.is_leaving(target) or self.remaining_backoff(target) > 0
 
-    def backoff_left(self, target: _target.Target) -> float:
+    def remaining_backoff(self, target: _target.Target) -> float:
         """Give the seconds for which a target still wants no request."""
         until = self._said(target).backoff_until
         return max(0.0, until - self._clock.monotonic())
--- a/src/topazlug/targets/_target.py
+++ b/src/topazlug/targets/_target.py
@@ -52,13 +52,13 @@
     cold_for: float = 0.0
 
 
-class Start(NamedTuple):
+class ReplicaProcess(NamedTuple):
     """One start of a replica: its process from begin to end."""
 
     replica: _ids.ReplicaId
     incarnation: int
 
 
-def start_of(target: Target) -> Start:
+def process_of(target: Target) -> ReplicaProcess:
     """Give the start of a replica that a target is."""
-    return Start(target.replica, target.incarnation)
+    return ReplicaProcess(target.replica, target.incarnation)
--- a/src/topazlug/targets/_target_answer.py
+++ b/src/topazlug/targets/_target_answer.py
@@ -155,7 +155,7 @@
         except (TimeoutError, BlockingIOError) as error:
             self.close(_target_runs.RunEnd.SILENT)
             if left <= silence:
-                raise too_late() from error
+                raise deadline_error() from error
             raise _errors.TargetSilent(
                 "the target fell silent in the middle of its answer",
                 outcome=_errors.Outcome.UNKNOWN,
@@ -220,7 +220,7 @@
         self.aborted = True
         if self._closed:
             return
-        shut(self._connection)
+        shut_down(self._connection)
 
     def close(
         self, end: _target_runs.RunEnd = _target_runs.RunEnd.LEFT
@@ -238,7 +238,7 @@
         self._close_connection()
 
 
-def shut(connection: socket.socket) -> None:
+def shut_down(connection: socket.socket) -> None:
     """Break a connection that another greenlet may be waiting on."""
     try:
         connection.shutdown(_plain_socket.SHUT_RDWR)
@@ -247,7 +247,7 @@
         return
 
 
-def too_late() -> _errors.DeadlineExceeded:
+def deadline_error() -> _errors.DeadlineExceeded:
     return _errors.DeadlineExceeded(
         "the request's deadline passed before the target's answer was whole",
         outcome=_errors.Outcome.UNKNOWN,
--- a/src/topazlug/targets/_target_client.py
+++ b/src/topazlug/targets/_target_client.py
@@ -23,12 +23,12 @@
 from topazlug import _errors
 from topazlug import _ids
 from topazlug import _logs
+from topazlug.targets import _answer_heads
 from topazlug.targets import _target
 from topazlug.targets import _target_answer
-from topazlug.targets import _target_heads
+from topazlug.targets import _target_report
 from topazlug.targets import _target_runs
 from topazlug.targets import _target_wire
-from topazlug.targets import _target_word
 from topazlug.targets import _targets
 
 _log = _logs.logger("targets")
@@ -41,7 +41,7 @@
 _KEEPALIVE_PROBES = 2
 _UNACKNOWLEDGED_MILLISECONDS = 3000
 
-TakeWord = Callable[[_targets.Target, _target_word.TargetWord], object]
+TakeWord = Callable[[_targets.Target, _target_report.TargetReport], object]
 
 
 @final
@@ -111,12 +111,12 @@
         Names on the wire; None for the project's own.
     idle_per_target : int
         Connections kept for a next request, for each target.
-    take_word : callable or None
+    handle_report : callable or None
         Gets each target that answers, and what it says of itself.
 
     Attributes
     ----------
-    runs : RunBook
+    runs : RunTracker
         What callers' requests run on each start of a target.
     """
 
@@ -127,19 +127,21 @@
         clock: _clock.Clock,
         wire: _target_wire.TargetWire | None = None,
         idle_per_target: int = _target_answer.IDLE_PER_TARGET,
-        take_word: TakeWord | None = None,
+        handle_report: TakeWord | None = None,
     ) -> None:
-        self._take_word = take_word
+        self._take_word = handle_report
         self._idle_per_target = idle_per_target
         self._connect_timeout = connect_timeout
         self._clock = clock
         self._wire = wire or _target_wire.ProductWire()
-        self._heads = _target_heads.HeadReader(
+        self._heads = _answer_heads.HeadReader(
             id_header=self._wire.id_header, clock=clock
         )
-        self.runs = _target_runs.RunBook(clock=clock)
+        self.runs = _target_runs.RunTracker(clock=clock)
         self._heard_at: dict[_ids.ReplicaId, float] = {}
-        self._in_use_by_start: dict[_target.Start, set[socket.socket]] = {}
+        self._in_use_by_start: dict[
+            _target.ReplicaProcess, set[socket.socket]
+        ] = {}
         self._idle_by_address: dict[
             tuple[str, int], _target_answer.IdleConnections
         ] = {}
@@ -193,9 +195,9 @@
             connection.close()
             raise
         if not request.is_probe:
-            self.note_heard(target)
+            self.note_received(target)
         if self._take_word is not None:
-            self._take_word(target, self._wire.word(answer))
+            self._take_word(target, self._wire.report(answer))
         answer.idle_seconds = self._wire.idle_seconds(answer)
         refusal = self._wire.refusal(answer)
         if refusal is not None:
@@ -205,7 +207,7 @@
                 replica=target.replica,
                 why=refusal.message,
                 status=answer.status,
-                retry_after=answer.header(_target_word.RETRY_AFTER),
+                retry_after=answer.header(_target_report.RETRY_AFTER),
             )
             raise refusal
         return answer
@@ -216,7 +218,7 @@
         target: _targets.Target,
         request: TargetRequest,
     ) -> _Use:
-        start = _target.start_of(target)
+        start = _target.process_of(target)
         self._in_use_by_start.setdefault(start, set()).add(connection)
         run = None
         if request.fingerprint is not None:
@@ -230,7 +232,7 @@
     def _end_use(
         self, use: _Use, end: _target_runs.RunEnd, status: int = 0
     ) -> None:
-        start = _target.start_of(use.target)
+        start = _target.process_of(use.target)
         in_use = self._in_use_by_start.get(start, set())
         in_use.discard(use.connection)
         if not in_use:
@@ -238,7 +240,7 @@
         if use.run is not None:
             self.runs.finish(use.run, end, status=status)
 
-    def end_start(self, target: _targets.Target) -> None:
+    def drop_connections(self, target: _targets.Target) -> None:
         """Break all connections to a start of a target that has ended.
 
         Requests that wait on them fail at once. Those connections may have
@@ -248,11 +250,11 @@
         pool = self._idle_by_address.pop((target.host, target.port), None)
         if pool is not None:
             pool.close()
-        in_use = self._in_use_by_start.get(_target.start_of(target), set())
+        in_use = self._in_use_by_start.get(_target.process_of(target), set())
         for connection in list(in_use):
-            _target_answer.shut(connection)
+            _target_answer.shut_down(connection)
 
-    def note_heard(self, target: _targets.Target) -> None:
+    def note_received(self, target: _targets.Target) -> None:
         """Note that a target has just sent something."""
         self._heard_at[target.replica] = self._clock.monotonic()
 
@@ -264,7 +266,9 @@
             return None
         return kept.last_request
 
-    def heard_within(self, target: _targets.Target, seconds: float) -> bool:
+    def has_answered_within(
+        self, target: _targets.Target, seconds: float
+    ) -> bool:
         """Say whether a target has answered a caller's request lately."""
         at = self._heard_at.get(target.replica, -math.inf)
         return self._clock.monotonic() - at < seconds
@@ -322,13 +326,13 @@
             )
         except (TimeoutError, BlockingIOError) as error:
             if deadline <= silent_at:
-                raise _target_answer.too_late() from error
+                raise _target_answer.deadline_error() from error
             raise _errors.TargetSilent(
                 "the target did not answer in time",
                 outcome=_errors.Outcome.UNKNOWN,
             ) from error
         except (OSError, _response.HTTPParseError) as error:
-            raise _target_heads.failed(str(error)) from error
+            raise _answer_heads.target_failed(str(error)) from error
         return _target_answer.TargetAnswer(
             connection=connection,
             parser=parser,
@@ -336,7 +340,7 @@
             request_id=request.request_id,
             clock=self._clock,
             sender=sender,
-            heard=functools.partial(self.note_heard, target),
+            heard=functools.partial(self.note_received, target),
             ended=functools.partial(self._end_use, use),
         )
 
--- a/src/topazlug/targets/_target_gauges.py
+++ b/src/topazlug/targets/_target_gauges.py
@@ -10,8 +10,10 @@
     """Have replicas counted whenever metrics are read."""
     gauge = _metrics.Gauge
     metrics.watch(gauge.KNOWN_REPLICAS, lambda: len(targets.target_by_replica))
-    metrics.watch(gauge.COLD_REPLICAS, lambda: len(targets.cold_ones()))
+    metrics.watch(gauge.COLD_REPLICAS, lambda: len(targets.cold_replicas()))
     metrics.watch(gauge.DRAINED_REPLICAS, lambda: len(targets.drained()))
-    metrics.watch(gauge.LEAVING_REPLICAS, lambda: len(targets.said_leaving()))
+    metrics.watch(
+        gauge.LEAVING_REPLICAS, lambda: len(targets.reported_leaving())
+    )
     metrics.watch(gauge.BACKOFF_REPLICAS, lambda: len(targets.in_backoff()))
-    metrics.watch(gauge.UNREACHED_REPLICAS, lambda: len(targets.unreached()))
+    metrics.watch(gauge.UNREACHED_REPLICAS, lambda: len(targets.unreachable()))
--- a/src/topazlug/targets/_target_watch.py
+++ b/src/topazlug/targets/_target_poller.py
@@ -41,7 +41,7 @@
     silences: int = 0
 
 
-class TargetSigns(Protocol):
+class TargetStatePublisher(Protocol):
     """Whom to tell what was learned of a target."""
 
     def publish_target(
@@ -55,7 +55,7 @@
 
 
 @final
-class TargetWatch:
+class TargetPoller:
     """Polls the replicas that this daemon owns.
 
     Parameters
@@ -66,7 +66,7 @@
         Their addresses.
     connections : TargetConnections
         Connections to them.
-    signs : TargetSigns
+    publisher : TargetStatePublisher
         Gets to know what they give away.
     report : callable
         Gets each replica's running work.
@@ -82,7 +82,7 @@
         owned: Callable[[], Iterable[_ids.ReplicaId]],
         targets: _targets.TargetDirectory,
         connections: _target_client.TargetConnections,
-        signs: TargetSigns,
+        publisher: TargetStatePublisher,
         report: Callable[[_ids.ReplicaId, int], None],
         interval: float,
         clock: _clock.Clock,
@@ -90,7 +90,7 @@
         self._owned = owned
         self._targets = targets
         self._connections = connections
-        self._signs = signs
+        self._signs = publisher
         self._report = report
         self._interval = interval
         self._clock = clock
@@ -102,10 +102,10 @@
         while True:
             for replica in list(self._owned()):
                 if replica not in self._polling:
-                    gevent.spawn(self.look, replica)
+                    gevent.spawn(self.poll, replica)
             self._clock.sleep(self._interval)
 
-    def look(self, replica: _ids.ReplicaId) -> None:
+    def poll(self, replica: _ids.ReplicaId) -> None:
         """Look at one replica, and tell what was learned."""
         target = self._targets.target_by_replica.get(replica)
         if target is None:
@@ -132,7 +132,7 @@
         gone = record.refusals >= _REFUSALS_UNTIL_DEAD
         silent = record.silences >= _SILENCES_UNTIL_DEAD
         # An engine may serve and yet say nothing of its load.
-        heard = self._connections.heard_within(target, _HEARD_SECONDS)
+        heard = self._connections.has_answered_within(target, _HEARD_SECONDS)
         if gone or (silent and not heard):
             self._tell(target, messages.FactState.dead)
 
--- a/src/topazlug/targets/_target_word.py
+++ b/src/topazlug/targets/_target_report.py
@@ -15,7 +15,7 @@
 
 
 @final
-class TargetWord(msgspec.Struct, frozen=True):
+class TargetReport(msgspec.Struct, frozen=True):
     """What one answer says of the target that gave it.
 
     Attributes
@@ -30,10 +30,10 @@
     backoff: float = 0.0
 
 
-NOTHING = TargetWord()
+EMPTY_REPORT = TargetReport()
 
 
-def backoff_of(status: int, retry_after: Iterable[str]) -> float:
+def parse_backoff(status: int, retry_after: Iterable[str]) -> float:
     """Give the backoff that an answer asks for.
 
     Parameters
--- a/src/topazlug/targets/_target_runs.py
+++ b/src/topazlug/targets/_target_runs.py
@@ -19,7 +19,7 @@
 
 # Runs that ended without a whole answer are kept for so long: a replica whose
 # entry lapses has been dead for up to three of its heartbeats, of 1.2 to 3 s.
-KEPT_SECONDS = 10.0
+RETENTION_SECONDS = 10.0
 # And so many of them for each start: as many as an engine runs at once.
 _KEPT_RUNS = 64
 
@@ -90,7 +90,7 @@
 
 
 @final
-class RunBook:
+class RunTracker:
     """Runs in progress, and those that ended lately without a whole answer.
 
     Parameters
@@ -101,8 +101,10 @@
 
     def __init__(self, *, clock: _clock.Clock) -> None:
         self._clock = clock
-        self._running_by_start: dict[_target.Start, set[Run]] = {}
-        self._broken_by_start: dict[_target.Start, collections.deque[Run]] = {}
+        self._running_by_start: dict[_target.ReplicaProcess, set[Run]] = {}
+        self._broken_by_start: dict[
+            _target.ReplicaProcess, collections.deque[Run]
+        ] = {}
         self._ended_callbacks: list[Callable[[Run], None]] = []
 
     def on_end(self, callback: Callable[[Run], None]) -> None:
@@ -126,9 +128,9 @@
             attempt=attempt,
             began_at=self._clock.monotonic(),
         )
-        self._running_by_start.setdefault(_target.start_of(target), set()).add(
-            run
-        )
+        self._running_by_start.setdefault(
+            _target.process_of(target), set()
+        ).add(run)
         return run
 
     def finish(self, run: Run, end: RunEnd, *, status: int = 0) -> None:
@@ -138,7 +140,7 @@
         run.end = end
         run.ended_at = self._clock.monotonic()
         run.status = status
-        start = _target.start_of(run.target)
+        start = _target.process_of(run.target)
         running = self._running_by_start.get(start, set())
         running.discard(run)
         if not running:
@@ -148,7 +150,7 @@
         for callback in self._ended_callbacks:
             callback(run)
 
-    def _keep_broken(self, start: _target.Start, run: Run) -> None:
+    def _keep_broken(self, start: _target.ReplicaProcess, run: Run) -> None:
         self._forget_old()
         broken = self._broken_by_start.get(start)
         if broken is None:
@@ -157,24 +159,26 @@
         broken.append(run)
 
     def _forget_old(self) -> None:
-        oldest = self._clock.monotonic() - KEPT_SECONDS
+        oldest = self._clock.monotonic() - RETENTION_SECONDS
         for start, broken in list(self._broken_by_start.items()):
             while broken and broken[0].ended_at < oldest:
                 broken.popleft()
             if not broken:
                 del self._broken_by_start[start]
 
-    def running(self, start: _target.Start) -> list[Run]:
+    def running(self, start: _target.ReplicaProcess) -> list[Run]:
         """Give the runs in progress on a start."""
         return list(self._running_by_start.get(start, ()))
 
-    def broken(self, start: _target.Start, *, seconds: float) -> list[Run]:
+    def broken(
+        self, start: _target.ReplicaProcess, *, seconds: float
+    ) -> list[Run]:
         """Give the runs that ended on a start without a whole answer.
 
         Parameters
         ----------
         seconds : float
-            How long ago at most, up to `KEPT_SECONDS`.
+            How long ago at most, up to `RETENTION_SECONDS`.
         """
         oldest = self._clock.monotonic() - seconds
         broken = self._broken_by_start.get(start, ())
--- a/src/topazlug/targets/_target_wire.py
+++ b/src/topazlug/targets/_target_wire.py
@@ -5,7 +5,7 @@
 
 from topazlug import _errors
 from topazlug.targets import _target_answer
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 
 REQUEST_ID = "X-Request-Id"
 NOT_RUN = "X-Not-Run"
@@ -33,9 +33,9 @@
     ) -> _errors.TargetRefused | None:
         """Give the error for an answer that says "did not run"."""
 
-    def word(
+    def report(
         self, answer: _target_answer.TargetAnswer
-    ) -> _target_word.TargetWord:
+    ) -> _target_report.TargetReport:
         """Give what an answer says of the target that was asked."""
 
     def idle_seconds(
@@ -63,14 +63,14 @@
             retry_after=1.0,
         )
 
-    def word(
+    def report(
         self, answer: _target_answer.TargetAnswer
-    ) -> _target_word.TargetWord:
+    ) -> _target_report.TargetReport:
         """Give what an answer says of the target that was asked."""
-        return _target_word.TargetWord(
+        return _target_report.TargetReport(
             leaving=_LEAVING in answer.header_values(TARGET_STATE),
-            backoff=_target_word.backoff_of(
-                answer.status, answer.header_values(_target_word.RETRY_AFTER)
+            backoff=_target_report.parse_backoff(
+                answer.status, answer.header_values(_target_report.RETRY_AFTER)
             ),
         )
 
--- a/src/topazlug/targets/_targets.py
+++ b/src/topazlug/targets/_targets.py
@@ -19,10 +19,10 @@
 from topazlug._generated import messages
 from topazlug.targets import _cold_replicas
 from topazlug.targets import _listed_targets
-from topazlug.targets import _quiet_targets
+from topazlug.targets import _reported_states
 from topazlug.targets import _target
-from topazlug.targets import _target_word
-from topazlug.targets import _zone_reach
+from topazlug.targets import _target_report
+from topazlug.targets import _zone_reachability
 
 # The types under the name that most modules know them by.
 Target = _target.Target
@@ -61,7 +61,7 @@
     zones: frozenset[str] = frozenset()
 
 
-WordCallback = Callable[[Target, _target_word.TargetWord], None]
+WordCallback = Callable[[Target, _target_report.TargetReport], None]
 
 _UNUSABLE = (messages.FactState.leaving, messages.FactState.dead)
 
@@ -85,17 +85,17 @@
         What operators took out of service.
     cold : ColdReplicas
         Replicas that have just started.
-    reach : ZoneReach
+    reachability : ZoneReachability
         Zones that take connections of this daemon.
-    quiet : QuietTargets
+    reported : ReportedStates
         Targets that said in answers that they want no new work.
     """
 
     def __init__(self, *, clock: _clock.Clock, flap_window: float) -> None:
         self._clock = clock
         self.cold = _cold_replicas.ColdReplicas(clock=clock)
-        self.reach = _zone_reach.ZoneReach(clock=clock)
-        self.quiet = _quiet_targets.QuietTargets(clock=clock)
+        self.reachability = _zone_reachability.ZoneReachability(clock=clock)
+        self.reported = _reported_states.ReportedStates(clock=clock)
         self._flap_window = flap_window
         self._health_by_replica: dict[_ids.ReplicaId, _Health] = {}
         self.drains = Drains()
@@ -112,7 +112,7 @@
         """Ask to be called when the set of targets changed."""
         self._callbacks.append(callback)
 
-    def on_word(self, callback: WordCallback) -> None:
+    def on_report(self, callback: WordCallback) -> None:
         """Ask to be called with what targets newly say in answers."""
         self._word_callbacks.append(callback)
 
@@ -185,14 +185,14 @@
             elif now - health.gone_at > self._flap_window:
                 del self._health_by_replica[replica]
 
-    def take_drains(self, drains: Drains) -> None:
+    def set_drains(self, drains: Drains) -> None:
         """Take over what operators drained.
 
         Replicas of a zone that was drained may have been started again
         meanwhile; until they say that they are not cold they are taken to be.
         """
         returned = self.drains.zones - drains.zones
-        self.cold.suspect(
+        self.cold.presume_cold(
             target
             for target in self.target_by_replica.values()
             if target.zone in returned
@@ -208,37 +208,45 @@
             if self._is_drained(target)
         ]
 
-    def cold_ones(self) -> list[Target]:
+    def cold_replicas(self) -> list[Target]:
         """Give the listed targets that have just started, or may have."""
         targets = self.target_by_replica.values()
         return [target for target in targets if self.cold.is_cold(target)]
 
-    def unreached(self) -> list[Target]:
+    def unreachable(self) -> list[Target]:
         """Give the listed targets in zones that take no connections."""
         targets = self.target_by_replica.values()
-        return [one for one in targets if not self.reach.is_open(one.zone)]
+        return [
+            one
+            for one in targets
+            if not self.reachability.is_reachable(one.zone)
+        ]
 
-    def said_leaving(self) -> list[Target]:
+    def reported_leaving(self) -> list[Target]:
         """Give the listed targets that said that they are leaving."""
         targets = self.target_by_replica.values()
-        return [one for one in targets if self.quiet.is_leaving(one)]
+        return [one for one in targets if self.reported.is_leaving(one)]
 
     def in_backoff(self) -> list[Target]:
         """Give the listed targets that want no request of this daemon now."""
         targets = self.target_by_replica.values()
-        return [one for one in targets if self.quiet.backoff_left(one) > 0]
+        return [
+            one for one in targets if self.reported.remaining_backoff(one) > 0
+        ]
 
-    def take_word(self, target: Target, word: _target_word.TargetWord) -> None:
+    def handle_report(
+        self, target: Target, report: _target_report.TargetReport
+    ) -> None:
         """Take what a target says of itself with an answer."""
-        if not self.quiet.note(target, word):
+        if not self.reported.note(target, report):
             return
         self._choice_by_group.pop(target.group, None)
-        if word.leaving:
+        if report.leaving:
             self._notify()
         for callback in self._word_callbacks:
-            callback(target, word)
+            callback(target, report)
 
-    def take_told_backoff(
+    def take_peer_backoff(
         self, replica: _ids.ReplicaId, seconds: float
     ) -> None:
         """Take a peer's word that a target wants no request of anybody.
@@ -249,23 +257,23 @@
         target = self.target_by_replica.get(replica)
         if target is None:
             return
-        self.quiet.note_told_backoff(target, seconds)
+        self.reported.note_peer_backoff(target, seconds)
         self._choice_by_group.pop(target.group, None)
 
     def is_leaving(self, target: Target) -> bool:
         """Say whether a target leaves, by the list or its own word."""
-        return target.leaving or self.quiet.is_leaving(target)
+        return target.leaving or self.reported.is_leaving(target)
 
     def _is_drained(self, target: Target) -> bool:
         if target.replica in self.drains.replicas:
             return True
         return target.zone in self.drains.zones
 
-    def take_fact(self, fact: messages.Fact) -> None:
+    def apply_fact(self, fact: messages.Fact) -> None:
         """Take over what a peer, or this daemon, saw of a target."""
         if fact.group and fact.port:
             self._told_by_replica[_ids.ReplicaId(fact.subject)] = _Told(
-                target=_listed_targets.told_target(fact),
+                target=_listed_targets.target_from_fact(fact),
                 until=self._clock.monotonic() + _TOLD_SECONDS,
             )
             self._merge()
@@ -334,7 +342,9 @@
     def _look_through(self, group: _ids.GroupName, now: float) -> _Choice:
         choice = _Choice(in_service=[], usable=[], until=math.inf)
         for replica in self.known(group):
-            backoff = self.quiet.backoff_left(self.target_by_replica[replica])
+            backoff = self.reported.remaining_backoff(
+                self.target_by_replica[replica]
+            )
             if self._is_in_service(replica, now):
                 choice.in_service.append(replica)
                 if backoff <= 0:
@@ -350,7 +360,10 @@
         """Say whether a replica may get work of this daemon."""
         if not self.is_in_service(replica):
             return False
-        return self.quiet.backoff_left(self.target_by_replica[replica]) <= 0
+        return (
+            self.reported.remaining_backoff(self.target_by_replica[replica])
+            <= 0
+        )
 
     def is_in_service(self, replica: _ids.ReplicaId) -> bool:
         """Say whether a replica may get work of any daemon."""
@@ -369,7 +382,7 @@
             0 if one may now; None if none is in service.
         """
         waits = [
-            self.quiet.backoff_left(self.target_by_replica[replica])
+            self.reported.remaining_backoff(self.target_by_replica[replica])
             for replica in self.in_service(group)
             if replica not in excluded
         ]
--- a/src/topazlug/targets/_zone_reach.py
+++ b/src/topazlug/targets/_zone_reachability.py
@@ -29,7 +29,7 @@
 
 
 @final
-class ZoneReach:
+class ZoneReachability:
     """Zones that take connections of this daemon.
 
     Parameters
@@ -46,7 +46,7 @@
         """Note that a replica has answered."""
         self._zone_by_name.pop(target.zone, None)
 
-    def note_silence(self, target: _target.Target) -> bool:
+    def note_timeout(self, target: _target.Target) -> bool:
         """Note that a replica did not take a connection, nor refuse it.
 
         Returns
@@ -67,7 +67,7 @@
         zone.closed_until = now + zone.seconds
         return True
 
-    def is_open(self, name: str) -> bool:
+    def is_reachable(self, name: str) -> bool:
         """Say whether a zone may be tried."""
         zone = self._zone_by_name.get(name)
         return zone is None or self._clock.monotonic() >= zone.closed_until
--- a/tests/topazlug/crashes/test_crash_guard.py
+++ b/tests/topazlug/crashes/test_crash_guard.py
@@ -33,7 +33,7 @@
 
     def __init__(self, *, refuses=True):
         self.clock = claim_fakes.FakeClock()
-        self.book = _target_runs.RunBook(clock=self.clock)
+        self.book = _target_runs.RunTracker(clock=self.clock)
         self.guard = _crash_guard.CrashGuard(
             daemon=_ids.DaemonId("d1"),
             runs=self.book,
--- a/tests/topazlug/crashes/test_crash_watch.py
+++ b/tests/topazlug/crashes/test_crash_watch.py
@@ -21,7 +21,7 @@
 
     def __init__(self):
         clock = _clock.SystemClock()
-        self.book = _target_runs.RunBook(clock=clock)
+        self.book = _target_runs.RunTracker(clock=clock)
         self.listed = {}
         self.crashes = []
         self.closing = set()
@@ -74,7 +74,7 @@
 
     def wait_checked(self, target):
         """Wait until the watch has looked at a target."""
-        start = _target.start_of(target)
+        start = _target.process_of(target)
         routing_fixtures.wait_until(
             lambda: start not in self.watch._check_by_start
         )
--- a/tests/topazlug/crashes/test_notebook.py
+++ b/tests/topazlug/crashes/test_notebook.py
@@ -41,7 +41,7 @@
             began_at=0.0,
         )
     ]
-    start = _target.Start(_ids.ReplicaId(f"i-{number}"), 1)
+    start = _target.ReplicaProcess(_ids.ReplicaId(f"i-{number}"), 1)
     return book.note_crash(start, fixtures.GROUP, runs, replicas=5)
 
 
--- a/tests/topazlug/placement/owner_fixtures.py
+++ b/tests/topazlug/placement/owner_fixtures.py
@@ -116,7 +116,7 @@
             clock=fleet.clock,
         )
         self.admission.asks = self.owners.asks
-        self.targets.on_word(self.owners.asks.tell_backoff)
+        self.targets.on_report(self.owners.asks.tell_backoff)
 
     def admit(self, chat, **changes):
         """Find a place for one request of a chat."""
--- a/tests/topazlug/placement/test_cold_placement.py
+++ b/tests/topazlug/placement/test_cold_placement.py
@@ -51,7 +51,7 @@
         self.daemons = list(self.fleet.daemons)
         start = _cold_replicas.ColdStart(SECONDS, PER_SECOND)
         for daemon in self.daemons:
-            daemon.targets.cold.take_groups({fixtures.GROUP: start})
+            daemon.targets.cold.set_cold_starts({fixtures.GROUP: start})
         self.chats = list(itertools.islice(chats_of(COLD), 400))
         self.sent = []
         self.refused = 0
--- a/tests/topazlug/placement/test_context.py
+++ b/tests/topazlug/placement/test_context.py
@@ -161,7 +161,7 @@
         home = _ranking.first(NAMES, chat)
         other = next(name for name in NAMES if name != home)
         world.note_read(chat, home)
-        world.targets.take_drains(_targets.Drains(replicas=frozenset({home})))
+        world.targets.set_drains(_targets.Drains(replicas=frozenset({home})))
         assert world.source(chat, other) == home
 
     def test_context_is_not_copied_from_a_replica_that_is_down(self):
@@ -171,6 +171,6 @@
         home = _ranking.first(NAMES, chat)
         other = next(name for name in NAMES if name != home)
         world.note_read(chat, home)
-        world.targets.take_drains(_targets.Drains(replicas=frozenset({home})))
+        world.targets.set_drains(_targets.Drains(replicas=frozenset({home})))
         world.targets.avoid(_ids.ReplicaId(home))
         assert world.source(chat, other) is None
--- a/tests/topazlug/placement/test_replicas_in_backoff.py
+++ b/tests/topazlug/placement/test_replicas_in_backoff.py
@@ -10,11 +10,11 @@
 from topazlug import _errors
 from topazlug import _ids
 from topazlug.routing import _ranking
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 
 REPLICAS = tuple(f"i-{n}" for n in range(20))
 BACKOFF_SECONDS = 3.0
-WORD = _target_word.TargetWord(backoff=BACKOFF_SECONDS)
+WORD = _target_report.TargetReport(backoff=BACKOFF_SECONDS)
 PER_SECOND = 200
 CHATS = 2000
 SEED = 3
@@ -61,7 +61,7 @@
             self.sent += 1
             if self.random.random() < self.part:
                 self.turned_away += 1
-                daemon.targets.take_word(place.target, WORD)
+                daemon.targets.handle_report(place.target, WORD)
         daemon.admission.release(place)
 
 
@@ -120,6 +120,6 @@
             if fleet.owner_of(_ranking.first(REPLICAS, chat)) == "d1"
         )
         home = fixtures.target(_ranking.first(REPLICAS, chat), slots=64)
-        fleet.daemon_by_name["d1"].targets.take_word(home, WORD)
+        fleet.daemon_by_name["d1"].targets.handle_report(home, WORD)
         place = fleet.daemon_by_name["d0"].admit(chat, rank=1)
         assert (place.target.replica, place.owner) == (home.replica, "d1")
--- a/tests/topazlug/routing/test_admission.py
+++ b/tests/topazlug/routing/test_admission.py
@@ -13,11 +13,11 @@
 from topazlug._generated import settings
 from topazlug.routing import _ownership
 from topazlug.routing import _ranking
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 
 NAMES = ("d1", "d2", "d3")
-BACKOFF = _target_word.TargetWord(backoff=3.0)
-LEAVES = _target_word.TargetWord(leaving=True)
+BACKOFF = _target_report.TargetReport(backoff=3.0)
+LEAVES = _target_report.TargetReport(leaving=True)
 
 
 def some_targets(count=6, **options):
@@ -210,7 +210,7 @@
         for place in (blocking, moved):
             entry.admission.release(place)
         for other in fleet.entry_by_name.values():
-            other.targets.take_fact(
+            other.targets.apply_fact(
                 messages.Fact(
                     subject=moved.target.replica,
                     kind=messages.FactKind.target,
@@ -226,7 +226,7 @@
     def test_next_of_the_rank_takes_it(self, fleet):
         entry = fleet.entry_by_name["d1"]
         home = admit(entry, 1).target
-        entry.targets.take_word(home, BACKOFF)
+        entry.targets.handle_report(home, BACKOFF)
         assert admit(entry, 1).target.replica != home.replica
 
     def test_its_owner_lets_others_in(self, fleet):
@@ -234,14 +234,14 @@
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
         home = admit(entry, number).target
-        fleet.entry_by_name["d2"].targets.take_word(home, BACKOFF)
+        fleet.entry_by_name["d2"].targets.handle_report(home, BACKOFF)
         place = admit(entry, number)
         assert (place.target, place.owner) == (home, "d2")
 
     def test_mean_of_a_group_is_of_all_in_service(self, fleet):
         owner = fleet.entry_by_name["d2"]
         before = owner.owner.accounts.total(fixtures.POOL).replicas
-        owner.targets.take_word(fixtures.target("r1"), BACKOFF)
+        owner.targets.handle_report(fixtures.target("r1"), BACKOFF)
         assert owner.owner.accounts.total(fixtures.POOL).replicas == before
 
     def test_what_several_daemons_were_asked_for_holds_for_all(self, fleet):
@@ -249,8 +249,8 @@
         d1, d2, d3 = fleet.entry_by_name.values()
         home = admit(d1, 1).target
         for entry in (d1, d2):
-            entry.targets.on_word(entry.admission.tell_backoff)
-            entry.targets.take_word(home, BACKOFF)
+            entry.targets.on_report(entry.admission.tell_backoff)
+            entry.targets.handle_report(home, BACKOFF)
         assert admit(d3, 1).target.replica != home.replica
         assert not d3.targets.is_usable(home.replica)
         fleet.clock.advance(3.0)
@@ -267,14 +267,14 @@
             )
             entry.owner.forget_ended_starts()
         for entry in (d1, d2):
-            entry.targets.on_word(entry.admission.tell_backoff)
-            entry.targets.take_word(home, BACKOFF)
+            entry.targets.on_report(entry.admission.tell_backoff)
+            entry.targets.handle_report(home, BACKOFF)
         assert admit(d3, 1).target == again
 
     def test_all_in_backoff(self, fleet):
         entry = fleet.entry_by_name["d1"]
         for target in list(entry.targets.target_by_replica.values()):
-            entry.targets.take_word(target, BACKOFF)
+            entry.targets.handle_report(target, BACKOFF)
         with pytest.raises(_errors.Overloaded) as caught:
             admit(entry, 1)
         assert caught.value.retry_after == pytest.approx(3.0)
@@ -292,7 +292,7 @@
         blocking = admit(entry, 1)
         waiting = gevent.spawn(refusal_of, entry, 1)
         fixtures.wait_until(entry.owner.waiting)
-        entry.targets.take_word(blocking.target, word)
+        entry.targets.handle_report(blocking.target, word)
         entry.admission.release(blocking)
         assert isinstance(waiting.get(timeout=10), _errors.RequestError)
         assert fleet.owned_load() == 0
@@ -376,7 +376,7 @@
         fleet = fleet_of_low_bound
         entry, owner = (fleet.entry_by_name[name] for name in ("d1", "d2"))
         number, home = chat_with_owners(entry, home="d2", second="d3")
-        owner.targets.take_fact(fixtures.dead(home))
+        owner.targets.apply_fact(fixtures.dead(home))
         idle = messages.LoadSummary(
             group=fixtures.POOL, total=0, replicas=6, interval=0.05
         )
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -44,7 +44,7 @@
 from topazlug.routing import _place
 from topazlug.routing import _ranking
 from topazlug.targets import _target_client
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 from topazlug.targets import _targets
 from topazlug.telemetry import _metrics
 
@@ -93,8 +93,8 @@
     def __init__(self) -> None:
         self.told: list[str] = []
 
-    def take_word(
-        self, target: _targets.Target, word: _target_word.TargetWord
+    def handle_report(
+        self, target: _targets.Target, word: _target_report.TargetReport
     ) -> None:
         if word.leaving:
             self.told.append(target.replica)
@@ -263,11 +263,11 @@
             ME, targets=[], daemons=[ME], clock=self.clock, links=NoLinks()
         )
         self.limits = _settings_types.LimitSettings(**limits)
-        self.entry.targets.on_word(self.signs.take_word)
+        self.entry.targets.on_report(self.signs.handle_report)
         self.connections = _target_client.TargetConnections(
             connect_timeout=1.0,
             clock=self.clock,
-            take_word=self.entry.targets.take_word,
+            handle_report=self.entry.targets.handle_report,
         )
         self.guard = _crash_guard.CrashGuard(
             daemon=ME,
--- a/tests/topazlug/targets/test_cold_replicas.py
+++ b/tests/topazlug/targets/test_cold_replicas.py
@@ -22,7 +22,7 @@
 @pytest.fixture
 def directory(clock):
     made = _targets.TargetDirectory(clock=clock, flap_window=10.0)
-    made.cold.take_groups({fixtures.GROUP: START})
+    made.cold.set_cold_starts({fixtures.GROUP: START})
     return made
 
 
@@ -31,54 +31,54 @@
     return msgspec.structs.replace(made, cold_for=cold_for)
 
 
-def tolerated(directory):
+def max_request_rate(directory):
     found = directory.target_by_replica[_ids.ReplicaId("i-1")]
-    return directory.cold.tolerated(found)
+    return directory.cold.max_request_rate(found)
 
 
 class TestListed:
     def test_warm_without_a_word(self, directory):
         directory.take_list([target()])
-        assert tolerated(directory) is None
+        assert max_request_rate(directory) is None
 
     def test_cold_for_as_long_as_it_says(self, directory, clock):
         directory.take_list([target(2.5)])
-        assert tolerated(directory) == PER_SECOND
+        assert max_request_rate(directory) == PER_SECOND
         clock.advance(2.4)
         directory.take_list([target(2.5)])
-        assert tolerated(directory) == PER_SECOND
+        assert max_request_rate(directory) == PER_SECOND
         clock.advance(0.2)
-        assert tolerated(directory) is None
+        assert max_request_rate(directory) is None
 
     def test_warm_once_it_says_so(self, directory):
         directory.take_list([target(2.5)])
         directory.take_list([target(0.0)])
-        assert tolerated(directory) is None
+        assert max_request_rate(directory) is None
 
     def test_cold_again_without_a_start(self, directory):
         directory.take_list([target()])
         directory.take_list([target(2.9)])
-        assert tolerated(directory) == PER_SECOND
+        assert max_request_rate(directory) == PER_SECOND
 
     def test_another_start_that_says_the_same(self, directory, clock):
         directory.take_list([target(2.5)])
         clock.advance(10.0)
-        assert tolerated(directory) is None
+        assert max_request_rate(directory) is None
         directory.take_list([target(2.5, incarnation=2)])
-        assert tolerated(directory) == PER_SECOND
+        assert max_request_rate(directory) == PER_SECOND
 
     @pytest.mark.parametrize("per_second", [0.0, -1.0])
     def test_group_without_a_bound(self, directory, per_second):
         start = _cold_replicas.ColdStart(SECONDS, per_second)
-        directory.cold.take_groups({fixtures.GROUP: start})
+        directory.cold.set_cold_starts({fixtures.GROUP: start})
         directory.take_list([target(2.5)])
-        assert tolerated(directory) is None
+        assert max_request_rate(directory) is None
 
     def test_other_groups_are_never_cold(self, directory):
-        directory.cold.take_groups({})
+        directory.cold.set_cold_starts({})
         directory.take_list([target(2.5)])
-        directory.cold.suspect([target()])
-        assert tolerated(directory) is None
+        directory.cold.presume_cold([target()])
+        assert max_request_rate(directory) is None
 
 
 class TestSuspected:
@@ -91,30 +91,30 @@
 
     def test_one_that_took_no_connection(self, directory, clock):
         directory.take_list([target()])
-        directory.cold.suspect([target()])
-        assert tolerated(directory) == PER_SECOND
+        directory.cold.presume_cold([target()])
+        assert max_request_rate(directory) == PER_SECOND
         clock.advance(SECONDS)
-        assert tolerated(directory) == PER_SECOND
+        assert max_request_rate(directory) == PER_SECOND
         clock.advance(2.0)
-        assert tolerated(directory) is None
+        assert max_request_rate(directory) is None
 
     def test_its_entry_of_before_says_nothing(self, directory):
         directory.take_list([target()])
-        directory.cold.suspect([target()])
+        directory.cold.presume_cold([target()])
         directory.take_list([target()])
-        assert tolerated(directory) == PER_SECOND
+        assert max_request_rate(directory) == PER_SECOND
 
     def test_zone_that_is_taken_back(self, directory):
         directory.take_list([target()])
-        directory.take_drains(_targets.Drains(zones=frozenset({"z"})))
-        assert tolerated(directory) is None
-        directory.take_drains(_targets.Drains())
-        assert tolerated(directory) == PER_SECOND
+        directory.set_drains(_targets.Drains(zones=frozenset({"z"})))
+        assert max_request_rate(directory) is None
+        directory.set_drains(_targets.Drains())
+        assert max_request_rate(directory) == PER_SECOND
 
     def test_nothing_is_kept_of_those_that_are_gone(self, directory):
         directory.take_list([target(2.5)])
-        directory.cold.suspect([target()])
+        directory.cold.presume_cold([target()])
         directory.take_list([])
-        directory.cold.suspect([target()])
+        directory.cold.presume_cold([target()])
         assert not directory.cold._listed_until
         assert not directory.cold._suspected_until
--- a/tests/topazlug/targets/test_target_client.py
+++ b/tests/topazlug/targets/test_target_client.py
@@ -398,7 +398,7 @@
         )
         fixtures.wait_until(lambda: bool(connections._in_use_by_start))
         gevent.sleep(0.05)
-        connections.end_start(target)
+        connections.drop_connections(target)
         with pytest.raises(_errors.TargetFailed) as caught:
             waiting.get(timeout=5)
         assert caught.value.outcome is UNKNOWN
@@ -415,6 +415,6 @@
         for _ in range(2):
             answer = connections.exchange(target, request(), head_timeout=5)
             assert body_of(answer) == b"x"
-            connections.end_start(target)
+            connections.drop_connections(target)
         assert len(accepted) == 2
         assert not connections._in_use_by_start
--- a/tests/topazlug/targets/test_target_watch.py
+++ b/tests/topazlug/targets/test_target_poller.py
@@ -8,7 +8,7 @@
 from topazlug import _ids
 from topazlug._generated import messages
 from topazlug.targets import _target_client
-from topazlug.targets import _target_watch
+from topazlug.targets import _target_poller
 from topazlug.targets import _targets
 
 STATE = messages.FactState
@@ -32,11 +32,11 @@
         self.connections = _target_client.TargetConnections(
             connect_timeout=1.0, clock=_clock.SystemClock()
         )
-        self.watch = _target_watch.TargetWatch(
+        self.watch = _target_poller.TargetPoller(
             owned=lambda: [R1],
             targets=self.directory,
             connections=self.connections,
-            signs=self,
+            publisher=self,
             report=lambda replica, running: self.loads.append(running),
             interval=0.01,
             clock=_clock.SystemClock(),
@@ -49,7 +49,7 @@
 
     def publish_target(self, replica, *, incarnation, state):
         self.told.append(state)
-        self.directory.take_fact(
+        self.directory.apply_fact(
             messages.Fact(
                 kind=messages.FactKind.target,
                 subject=replica,
@@ -59,9 +59,9 @@
             )
         )
 
-    def look(self, times=1):
+    def poll(self, times=1):
         for _ in range(times):
-            self.watch.look(R1)
+            self.watch.poll(R1)
 
 
 @pytest.fixture
@@ -74,38 +74,38 @@
 
 class TestLook:
     def test_load_is_reported(self, watched):
-        watched.look(2)
+        watched.poll(2)
         assert watched.loads == [3, 3]
         assert watched.told == []
 
     def test_leaving_is_told_once(self, watched):
         watched.document = {"running": 3, "state": "leaving"}
-        watched.look(3)
+        watched.poll(3)
         assert watched.told == [STATE.leaving]
 
     def test_refused_connections_mean_dead(self, watched):
         watched.server.stop(timeout=0)
-        watched.look()
+        watched.poll()
         assert watched.told == []
-        watched.look(2)
+        watched.poll(2)
         assert watched.told == [STATE.dead]
 
     @pytest.mark.parametrize("document", [None, {}, {"running": "many"}, []])
     def test_silence_and_nonsense_mean_dead_later(self, watched, document):
         watched.document = document
-        watched.look(3)
+        watched.poll(3)
         assert watched.told == []
-        watched.look(2)
+        watched.poll(2)
         assert watched.told == [STATE.dead]
 
     def test_dead_target_that_answers_is_live(self, watched):
         watched.document = None
-        watched.look(4)
+        watched.poll(4)
         watched.document = {"running": 0}
-        watched.look()
+        watched.poll()
         assert watched.told == [STATE.dead, STATE.live]
 
     def test_target_that_is_gone(self, watched):
         watched.directory.take_list([])
-        watched.look()
+        watched.poll()
         assert watched.loads == []
--- a/tests/topazlug/targets/test_target_word.py
+++ b/tests/topazlug/targets/test_target_report.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 
 
 class TestBackoff:
@@ -17,7 +17,7 @@
         ],
     )
     def test_seconds(self, value, seconds):
-        assert _target_word.backoff_of(503, [value]) == seconds
+        assert _target_report.parse_backoff(503, [value]) == seconds
 
     @pytest.mark.parametrize(
         "value",
@@ -37,14 +37,14 @@
         ],
     )
     def test_no_number_of_seconds_asks_for_nothing(self, value):
-        assert _target_word.backoff_of(503, [value]) == 0.0
+        assert _target_report.parse_backoff(503, [value]) == 0.0
 
     @pytest.mark.parametrize("status", [200, 421, 429, 500, 502, 504])
     def test_only_503_asks_for_one(self, status):
-        assert _target_word.backoff_of(status, ["3"]) == 0.0
+        assert _target_report.parse_backoff(status, ["3"]) == 0.0
 
     def test_longest_of_several_counts(self):
-        assert _target_word.backoff_of(503, ["1", "x", "4", "2"]) == 4.0
+        assert _target_report.parse_backoff(503, ["1", "x", "4", "2"]) == 4.0
 
     def test_none_asked_for(self):
-        assert _target_word.backoff_of(503, []) == 0.0
+        assert _target_report.parse_backoff(503, []) == 0.0
--- a/tests/topazlug/targets/test_target_runs.py
+++ b/tests/topazlug/targets/test_target_runs.py
@@ -10,7 +10,7 @@
 
 ENDS = _target_runs.RunEnd
 TARGET = fixtures.target("i-1")
-START = _target.start_of(TARGET)
+START = _target.process_of(TARGET)
 
 
 @pytest.fixture
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def book(clock):
-    return _target_runs.RunBook(clock=clock)
+    return _target_runs.RunTracker(clock=clock)
 
 
 def begin(book, name="f1", target=TARGET):
@@ -64,16 +64,16 @@
         again = fixtures.target("i-1", incarnation=2)
         run = begin(book, target=again)
         assert book.running(START) == []
-        assert book.running(_target.start_of(again)) == [run]
+        assert book.running(_target.process_of(again)) == [run]
 
     def test_what_is_kept_is_bounded(self, book, clock):
         for _ in range(200):
             book.finish(begin(book), ENDS.LOST)
         assert len(book.broken(START, seconds=1.0)) == 64
-        clock.advance(_target_runs.KEPT_SECONDS + 1)
+        clock.advance(_target_runs.RETENTION_SECONDS + 1)
         other = fixtures.target("i-2")
         book.finish(begin(book, target=other), ENDS.LOST)
-        assert book.broken(START, seconds=_target_runs.KEPT_SECONDS) == []
+        assert book.broken(START, seconds=_target_runs.RETENTION_SECONDS) == []
 
     @pytest.mark.parametrize(
         "end, status, is_success",
--- a/tests/topazlug/targets/test_targets.py
+++ b/tests/topazlug/targets/test_targets.py
@@ -5,12 +5,12 @@
 from tests.topazlug import claim_fakes
 from tests.topazlug import routing_fixtures as fixtures
 from topazlug._generated import messages
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 from topazlug.targets import _targets
 
 STATE = messages.FactState
-LEAVES = _target_word.TargetWord(leaving=True)
-BACKOFF = _target_word.TargetWord(backoff=3.0)
+LEAVES = _target_report.TargetReport(leaving=True)
+BACKOFF = _target_report.TargetReport(backoff=3.0)
 
 
 @pytest.fixture
@@ -45,7 +45,7 @@
     def test_no_work_of_this_daemon_until_it_is_over(self, directory, clock):
         """Requests reach a replica that has asked for a backoff."""
         assert usable(directory) == ["r1", "r2"]
-        directory.take_word(fixtures.target("r1"), BACKOFF)
+        directory.handle_report(fixtures.target("r1"), BACKOFF)
         assert usable(directory) == ["r2"]
         assert not directory.is_usable("r1")
         clock.advance(2.99)
@@ -55,26 +55,26 @@
         assert directory.is_usable("r1")
 
     def test_others_may_send_work(self, directory):
-        directory.take_word(fixtures.target("r1"), BACKOFF)
+        directory.handle_report(fixtures.target("r1"), BACKOFF)
         assert directory.in_service(fixtures.POOL) == ["r1", "r2"]
         assert directory.is_in_service("r1")
 
     def test_seconds_until_the_first_is_over(self, directory, clock):
         until = directory.seconds_until_usable
-        directory.take_word(fixtures.target("r1"), BACKOFF)
+        directory.handle_report(fixtures.target("r1"), BACKOFF)
         assert until(fixtures.POOL) == 0.0
         clock.advance(1.0)
-        directory.take_word(fixtures.target("r2"), BACKOFF)
+        directory.handle_report(fixtures.target("r2"), BACKOFF)
         assert until(fixtures.POOL) == pytest.approx(2.0)
         assert until(fixtures.POOL, frozenset({"r1"})) == pytest.approx(3.0)
 
     def test_no_seconds_where_none_is_in_service(self, directory):
         for name in ("r1", "r2"):
-            directory.take_word(fixtures.target(name), LEAVES)
+            directory.handle_report(fixtures.target(name), LEAVES)
         assert directory.seconds_until_usable(fixtures.POOL) is None
 
     def test_a_new_start_gets_work(self, directory):
-        directory.take_word(fixtures.target("r1"), BACKOFF)
+        directory.handle_report(fixtures.target("r1"), BACKOFF)
         directory.take_list([fixtures.target("r1", incarnation=2)])
         assert usable(directory) == ["r1"]
 
@@ -96,7 +96,7 @@
         Cause: the list lags.
         """
         assert usable(directory) == ["r1", "r2"]
-        directory.take_fact(fact(state))
+        directory.apply_fact(fact(state))
         assert usable(directory) == ["r2"]
         directory.take_list(
             [fixtures.target("r1", slots=9), fixtures.target("r2")]
@@ -104,14 +104,14 @@
         assert usable(directory) == ["r2"]
 
     def test_new_incarnation_ends_the_leaving(self, directory):
-        directory.take_fact(fact(STATE.leaving))
+        directory.apply_fact(fact(STATE.leaving))
         directory.take_list([fixtures.target("r1", incarnation=2)])
         assert usable(directory) == ["r1"]
 
     def test_own_answer_goes_before_an_entry_that_is_old(self, directory):
         """Requests reach a leaving replica while the store is away."""
         assert usable(directory) == ["r1", "r2"]
-        directory.take_word(fixtures.target("r1"), LEAVES)
+        directory.handle_report(fixtures.target("r1"), LEAVES)
         assert usable(directory) == ["r2"]
         assert not directory.is_usable("r1")
         directory.take_list(
@@ -123,7 +123,7 @@
         self, directory, clock
     ):
         """An entry that comes back after a lapse makes a replica usable."""
-        directory.take_word(fixtures.target("r1"), LEAVES)
+        directory.handle_report(fixtures.target("r1"), LEAVES)
         directory.take_list([fixtures.target("r2")])
         clock.advance(120.0)
         directory.take_list([fixtures.target("r2", slots=9)])
@@ -131,22 +131,24 @@
         assert usable(directory) == ["r2"]
 
     def test_own_answer_of_an_ended_start_counts_no_more(self, directory):
-        directory.take_word(fixtures.target("r1"), LEAVES)
+        directory.handle_report(fixtures.target("r1"), LEAVES)
         directory.take_list([fixtures.target("r1", incarnation=2)])
         assert usable(directory) == ["r1"]
 
     def test_one_that_says_that_it_leaves_still_holds_contexts(
         self, directory
     ):
-        directory.take_word(fixtures.target("r1"), LEAVES)
+        directory.handle_report(fixtures.target("r1"), LEAVES)
         assert directory.is_answering("r1")
 
     def test_leaving_is_told_once(self, directory):
         told = []
-        directory.on_word(lambda target, word: told.append(target.replica))
+        directory.on_report(lambda target, word: told.append(target.replica))
         for _ in range(2):
-            directory.take_word(fixtures.target("r1"), LEAVES)
-        directory.take_word(fixtures.target("r2"), _target_word.NOTHING)
+            directory.handle_report(fixtures.target("r1"), LEAVES)
+        directory.handle_report(
+            fixtures.target("r2"), _target_report.EMPTY_REPORT
+        )
         assert told == ["r1"]
 
     @pytest.mark.parametrize(
@@ -157,9 +159,9 @@
         ],
     )
     def test_operators_drain(self, directory, drains):
-        directory.take_drains(drains)
+        directory.set_drains(drains)
         assert usable(directory) == ["r2"]
-        directory.take_drains(_targets.Drains())
+        directory.set_drains(_targets.Drains())
         assert usable(directory) == ["r1", "r2"]
 
     def test_unreachable_target_is_avoided_for_a_moment(
@@ -187,8 +189,8 @@
         """
         held = []
         for _ in range(5):
-            directory.take_fact(fact(STATE.dead))
-            directory.take_fact(fact(STATE.live))
+            directory.apply_fact(fact(STATE.dead))
+            directory.apply_fact(fact(STATE.live))
             start = clock.seconds
             while "r1" not in usable(directory):
                 clock.advance(0.5)
@@ -197,7 +199,7 @@
 
     def test_is_forgiven_after_the_window(self, directory, clock):
         for _ in range(2):
-            directory.take_fact(fact(STATE.dead))
-            directory.take_fact(fact(STATE.live))
+            directory.apply_fact(fact(STATE.dead))
+            directory.apply_fact(fact(STATE.live))
             clock.advance(61)
         assert usable(directory) == ["r1", "r2"]
--- a/tests/topazlug_platform/test_forwarding.py
+++ b/tests/topazlug_platform/test_forwarding.py
@@ -401,7 +401,7 @@
         with running(fixtures.route()) as rig:
             daemon = rig.daemon
             cold = _cold_replicas.ColdStart(3.0, 14.0)
-            daemon.targets.cold.take_groups({fixtures.GROUP: cold})
+            daemon.targets.cold.set_cold_starts({fixtures.GROUP: cold})
             daemon.replicas.take(
                 [
                     fixtures.target("i-1"),
@@ -409,7 +409,7 @@
                     fixtures.target("i-3", zone="y"),
                 ]
             )
-            daemon.targets.cold.suspect([fixtures.target("i-1")])
+            daemon.targets.cold.presume_cold([fixtures.target("i-1")])
             daemon.take_drained_zones(frozenset({"y"}))
             text = rig.scrape()
         assert "topazlug_replicas_known 3.0" in text
--- a/tests/topazlug_platform/test_headers.py
+++ b/tests/topazlug_platform/test_headers.py
@@ -4,7 +4,7 @@
 from topazlug_platform import headers
 
 from topazlug.targets import _target_answer
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 
 WIRE = headers.ReplicaHeaders()
 
@@ -20,31 +20,31 @@
         return [value for key, value in self._fields if key == name]
 
 
-def word(status, *fields) -> _target_word.TargetWord:
+def report(status, *fields) -> _target_report.TargetReport:
     answer: _target_answer.TargetAnswer = Answer(status, *fields)
-    return WIRE.word(answer)
+    return WIRE.report(answer)
 
 
 class TestWord:
     @pytest.mark.parametrize("status", [200, 429, 500, 503])
     def test_leaving_in_answers_of_every_kind(self, status):
-        assert word(status, ("Server-Leaving", "1")).leaving
+        assert report(status, ("Server-Leaving", "1")).leaving
 
     def test_leaving_in_one_of_two_fields(self):
         fields = ("Server-Leaving", "0"), ("Server-Leaving", "1")
-        assert word(200, *fields).leaving
+        assert report(200, *fields).leaving
 
     @pytest.mark.parametrize("value", ["", "0", "2", "true", "11"])
     def test_other_values_say_nothing(self, value):
-        assert not word(200, ("Server-Leaving", value)).leaving
+        assert not report(200, ("Server-Leaving", value)).leaving
 
     def test_backoff(self):
-        assert word(503, ("Retry-After", "3")).backoff == 3.0
+        assert report(503, ("Retry-After", "3")).backoff == 3.0
 
     def test_who_has_the_address_of_another_is_not_meant(self):
         """A replica gets nothing because the one at its address leaves."""
         fields = ("Server-Leaving", "1"), ("Retry-After", "3")
-        assert word(421, *fields) == _target_word.NOTHING
+        assert report(421, *fields) == _target_report.EMPTY_REPORT
 
     def test_nothing(self):
-        assert word(200) == _target_word.NOTHING
+        assert report(200) == _target_report.EMPTY_REPORT
--- a/tests/topazlug_platform/test_words_of_replicas.py
+++ b/tests/topazlug_platform/test_words_of_replicas.py
@@ -96,7 +96,7 @@
         with running(route, scripts=[streaming]) as rig:
             first = gevent.spawn(rig.send)
             routing_fixtures.wait_until(
-                lambda: rig.daemon.targets.said_leaving()
+                lambda: rig.daemon.targets.reported_leaving()
             )
             status, fields, _ = rig.send()
             goes_on.set()
