--- a/src/topazlug/targets/__init__.py
+++ b/src/topazlug/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to targets, their answers, which ones there are."""
+"""Targets: directory, state, connections, requests and their answers."""
--- a/src/topazlug/targets/_answer_heads.py
+++ b/src/topazlug/targets/_answer_heads.py
@@ -1,4 +1,4 @@
-"""Reads up to the head of a target's answer to one's own request."""
+"""Reading of the head of a target's answer."""
 
 from typing import final
 
@@ -16,12 +16,12 @@
 
 @final
 class HeadReader:
-    """Finds the answer to a request among what a connection brings.
+    """Reads the head of the answer that belongs to a request.
 
     Parameters
     ----------
     id_header : str
-        In which targets echo a request's id.
+        Header in which targets echo a request's id.
     clock : Clock
         Time.
     """
@@ -39,33 +39,33 @@
         end: float,
         previous: _ids.RequestId | None,
     ) -> _target_answer.AnswerParser:
-        """Read up to the head of the answer to this request.
+        """Read the head of the answer to a request.
 
-        A faulty target may answer a request twice, and the second answer
-        arrives where the next request's answer is due. It bears the id of
-        the connection's previous request; it is read to its end and dropped,
-        so that the next request gets its own answer instead of a failure.
-        Any other id fails the request at once: its answer will not come.
+        A faulty target may answer a request twice. The second answer arrives
+        when the next request's answer is expected, and carries the id of the
+        connection's previous request. It is read to its end and discarded, so
+        that the next request gets its own answer instead of a failure. With
+        any other id the request fails at once, as its answer will not come.
 
         Parameters
         ----------
         connection : socket
-            Where the request was sent.
+            Connection that the request was sent on.
         method : str
-            The request's.
+            The request's method.
         request_id : RequestId
-            What the answer's head must bear, if any.
+            Id that the answer must have, if it has one.
         end : float
-            Monotonic seconds at which the wait is over.
+            Monotonic seconds at which the read times out.
         previous : RequestId or None
-            Whose answer may come again.
+            Previous request, if its answer may be repeated.
 
         Raises
         ------
         TargetFailed
-            What comes is no answer to this request.
+            No valid answer to this request arrived.
         OSError, HTTPParseError
-            The connection broke, or the time is over.
+            The connection broke, timed out or delivered invalid HTTP.
         """
         parser = _target_answer.AnswerParser(method=method)
         pending = b""
@@ -74,30 +74,36 @@
             head, separator, rest = pending.partition(_HEAD_END)
             if not separator:
                 if len(pending) > _MAX_HEAD:
-                    raise target_failed("the head of the answer is too long")
-                connection.settimeout(self._left(end))
+                    raise target_failed_error(
+                        "the head of the answer is too long"
+                    )
+                connection.settimeout(self._remaining(end))
                 data = connection.recv(_target_answer.BLOCK)
                 if not data:
-                    raise target_failed(
+                    raise target_failed_error(
                         "the connection ended before the answer"
                     )
                 pending += data
                 continue
             size += len(head)
             if size > _MAX_HEAD:
-                raise target_failed("the heads of the answer are too long")
+                raise target_failed_error(
+                    "the heads of the answer are too long"
+                )
             parser.feed(head + separator)
             pending = rest
             if parser.final_status < _target_answer.FINAL:
                 continue
             echoed = self._echoed(parser)
             if not echoed - {request_id}:
-                # No bytes would tell the parser that the connection ended.
+                # Feeding no bytes would signal the end of the connection.
                 if rest:
                     parser.feed(rest)
                 return parser
             if echoed != {previous}:
-                raise target_failed("the answer belongs to another request")
+                raise target_failed_error(
+                    "the answer belongs to another request"
+                )
             pending = self._skip(connection, parser, rest, end)
             parser = _target_answer.AnswerParser(method=method)
 
@@ -114,35 +120,37 @@
         rest: bytes,
         end: float,
     ) -> bytes:
-        """Drop a foreign answer's body and give the bytes after it.
+        """Discard the body of a repeated answer; return the bytes after it.
 
-        The parser does not tell where a message ended inside of a block, so
-        it gets the bytes one by one.
+        The parser does not report at which byte of a block a message ended,
+        so it is fed one byte at a time.
         """
         skipped = 0
         while not parser.message_complete:
             if skipped > _MAX_SKIPPED:
-                raise target_failed("the answer belongs to another request")
+                raise target_failed_error(
+                    "the answer belongs to another request"
+                )
             if not rest:
-                connection.settimeout(self._left(end))
+                connection.settimeout(self._remaining(end))
                 rest = connection.recv(_target_answer.BLOCK)
                 if not rest:
-                    raise target_failed(
+                    raise target_failed_error(
                         "the answer belongs to another request"
                     )
             parser.feed(rest[:1])
             rest = rest[1:]
             skipped += 1
         if parser.should_close():
-            raise target_failed("the answer belongs to another request")
+            raise target_failed_error("the answer belongs to another request")
         return rest
 
-    def _left(self, end: float) -> float:
+    def _remaining(self, end: float) -> float:
         return max(0.0, end - self._clock.monotonic())
 
 
-def target_failed(why: str) -> _errors.TargetFailed:
-    """Give the error for a request that got no proper answer."""
+def target_failed_error(why: str) -> _errors.TargetFailed:
+    """Return the error for a request without a valid answer."""
     return _errors.TargetFailed(
         f"the target failed: {why}", outcome=_errors.Outcome.UNKNOWN
     )
--- a/src/topazlug/targets/_listed_targets.py
+++ b/src/topazlug/targets/_listed_targets.py
@@ -1,4 +1,4 @@
-"""Targets as the platform's list and peers' facts have them."""
+"""Conversion and comparison of targets from lists and peers' facts."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -17,7 +17,7 @@
 def targets_from_instances(
     instances_by_id: Mapping[str, _instances.Instance],
 ) -> list[_target.Target]:
-    """Pick the targets out of the platform's list of instances."""
+    """Return the targets among the platform's instances."""
     return [
         _target.Target(
             replica=_ids.ReplicaId(instance.id),
@@ -36,7 +36,7 @@
 
 
 def fact_from_target(target: _target.Target) -> messages.Fact:
-    """Give what the list says of a target, as a fact for peers."""
+    """Return a listed target's state as a fact for peers."""
     state = messages.FactState.live
     if target.leaving:
         state = messages.FactState.leaving
@@ -77,9 +77,10 @@
     before: Mapping[_ids.ReplicaId, _target.Target],
     after: Iterable[_target.Target],
 ) -> list[_target.Target]:
-    """Give the targets that have started again under the id they had.
+    """Return the targets that have restarted under the same id.
 
-    Any other start counts, not only a later one: their clocks may go back.
+    Any different incarnation counts, not only a greater one: the clocks that
+    incarnations come from may go back.
     """
     return [
         target
@@ -93,11 +94,11 @@
     before: Mapping[_ids.ReplicaId, _target.Target],
     after: Iterable[_target.Target],
 ) -> list[_target.Target]:
-    """Give the targets that are new, newly started, or newly leaving."""
-    return [target for target in after if _is_news(target, before)]
+    """Return the targets that are new, restarted, or have begun to leave."""
+    return [target for target in after if _is_changed(target, before)]
 
 
-def _is_news(
+def _is_changed(
     target: _target.Target, before: Mapping[_ids.ReplicaId, _target.Target]
 ) -> bool:
     known = before.get(target.replica)
--- a/src/topazlug/targets/_reported_states.py
+++ b/src/topazlug/targets/_reported_states.py
@@ -1,8 +1,9 @@
-"""Which targets have said themselves that they want no new work.
+"""States that targets have reported in their answers: leaving, in backoff.
 
-A target that leaves says so in each answer. The platform's list may not say
-it yet: the store is away, or the entry is late. One that turns requests away
-may ask the daemon that it answered for a backoff, of which nobody else knows.
+A leaving target reports this in each answer, often before the platform's list
+shows it: the store may be unavailable, or the target's entry late. A target
+that rejects requests may request a backoff from the daemon that it answers;
+other daemons receive nothing of it.
 """
 
 import collections
@@ -17,19 +18,20 @@
 from topazlug.targets import _target_report
 
 _log = _logs.logger("replicas")
-# Starts remembered, the latest that said something new: a start that has
-# ended does not come back, and its id hardly ever does.
-_MOST_STARTS = 20000
+# Maximum number of processes tracked; those whose state changed longest ago
+# are evicted. A process that has ended never returns, and its replica's id
+# rarely does.
+_MAX_PROCESSES = 20000
 
 
-class _Said(msgspec.Struct):
+class _State(msgspec.Struct):
     leaving: bool = False
     backoff_until: float = -math.inf
 
 
 @final
 class ReportedStates:
-    """What starts of targets have said with their answers.
+    """States that replica processes have reported in their answers.
 
     Parameters
     ----------
@@ -39,20 +41,20 @@
 
     def __init__(self, *, clock: _clock.Clock) -> None:
         self._clock = clock
-        self._said_by_start: collections.OrderedDict[
-            _target.ReplicaProcess, _Said
+        self._state_by_process: collections.OrderedDict[
+            _target.ReplicaProcess, _State
         ]
-        self._said_by_start = collections.OrderedDict()
+        self._state_by_process = collections.OrderedDict()
 
     def note(
         self, target: _target.Target, report: _target_report.TargetReport
     ) -> bool:
-        """Take what an answer says of the target that gave it.
+        """Record a target's report.
 
         Returns
         -------
         bool
-            Whether it is new.
+            Whether it changes the target's state.
         """
         is_leaving = report.leaving and self._note_leaving(target)
         is_backoff = report.backoff > 0 and self._note_backoff(
@@ -63,9 +65,9 @@
     def _note_leaving(self, target: _target.Target) -> bool:
         if self.is_leaving(target):
             return False
-        self._remembered(target).leaving = True
+        self._ensure_state(target).leaving = True
         _log.info(
-            "{replica} says that it is leaving",
+            "{replica} reports that it is leaving",
             replica=target.replica,
             start=target.incarnation,
             listed_as_leaving=target.leaving,
@@ -73,10 +75,10 @@
         return True
 
     def _note_backoff(self, target: _target.Target, seconds: float) -> bool:
-        if not self._keep_longer(target, seconds):
+        if not self._extend_backoff(target, seconds):
             return False
         _log.info(
-            "{replica} asks for a backoff of {seconds:.1f} s",
+            "{replica} requests a backoff of {seconds:.1f} s",
             replica=target.replica,
             seconds=seconds,
         )
@@ -85,46 +87,48 @@
     def note_peer_backoff(
         self, target: _target.Target, seconds: float
     ) -> None:
-        """Take a peer's word that a target wants no request of anybody."""
-        if self._keep_longer(target, seconds):
+        """Record a backoff that applies to all daemons, reported by a peer."""
+        if self._extend_backoff(target, seconds):
             _log.info(
-                "{replica} has asked others for a backoff: {seconds:.1f} s "
-                "are left",
+                "peer reports a backoff of {replica}: {seconds:.1f} s "
+                "remaining",
                 replica=target.replica,
                 seconds=seconds,
             )
 
-    def _keep_longer(self, target: _target.Target, seconds: float) -> bool:
+    def _extend_backoff(self, target: _target.Target, seconds: float) -> bool:
         if seconds <= self.remaining_backoff(target):
             return False
         until = self._clock.monotonic() + seconds
-        self._remembered(target).backoff_until = until
+        self._ensure_state(target).backoff_until = until
         return True
 
-    def _remembered(self, target: _target.Target) -> _Said:
-        held = self._said_by_start
-        start = _target.process_of(target)
-        said = held.setdefault(start, _Said())
-        held.move_to_end(start)
-        while len(held) > _MOST_STARTS:
-            held.popitem(last=False)
-        return said
-
-    def _said(self, target: _target.Target) -> _Said:
-        return self._said_by_start.get(_target.process_of(target), _NOTHING)
+    def _ensure_state(self, target: _target.Target) -> _State:
+        state_by_process = self._state_by_process
+        process = _target.process_of(target)
+        state = state_by_process.setdefault(process, _State())
+        state_by_process.move_to_end(process)
+        while len(state_by_process) > _MAX_PROCESSES:
+            state_by_process.popitem(last=False)
+        return state
+
+    def _state(self, target: _target.Target) -> _State:
+        return self._state_by_process.get(
+            _target.process_of(target), _NO_REPORT
+        )
 
     def is_leaving(self, target: _target.Target) -> bool:
-        """Say whether a target has said that it is leaving."""
-        return self._said(target).leaving
+        """Return whether a target has reported that it is leaving."""
+        return self._state(target).leaving
 
     def is_unavailable(self, target: _target.Target) -> bool:
-        """Say whether a target wants no new work of this daemon now."""
+        """Return whether a target is leaving or in backoff."""
         return self.is_leaving(target) or self.remaining_backoff(target) > 0
 
     def remaining_backoff(self, target: _target.Target) -> float:
-        """Give the seconds for which a target still wants no request."""
-        until = self._said(target).backoff_until
+        """Return the seconds until a target's backoff ends, 0 if none."""
+        until = self._state(target).backoff_until
         return max(0.0, until - self._clock.monotonic())
 
 
-_NOTHING = _Said()
+_NO_REPORT = _State()
--- a/src/topazlug/targets/_target.py
+++ b/src/topazlug/targets/_target.py
@@ -1,4 +1,4 @@
-"""One replica, as a list of replicas has it."""
+"""A target: one replica as it is listed."""
 
 import enum
 from typing import NamedTuple
@@ -9,35 +9,35 @@
 
 
 class TargetKind(enum.Enum):
-    """What a target is."""
+    """Kind of a target."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Target(msgspec.Struct, frozen=True):
-    """One replica as the platform lists it.
+    """One replica, as listed by the platform or reported by a peer.
 
     Attributes
     ----------
     replica : ReplicaId
         Its id.
     kind : TargetKind
-        What it is.
+        Engine or service.
     group : GroupName
-        Replicas that can stand in for it.
+        Group of interchangeable replicas that it belongs to.
     host, port
-        Where it listens.
+        Address that it listens on.
     zone : str
         Its availability zone.
     incarnation : int
-        Which of its starts this is.
+        Number that tells this process of the replica from earlier ones.
     slots : int
-        Requests that it runs at once.
+        Maximum number of concurrent requests.
     leaving : bool
-        Whether it is about to end and takes nothing new.
+        Whether it is about to exit and accepts no new requests.
     cold_for : float
-        Seconds that it stays cold, from when it said so.
+        Seconds that it stays cold, counted from its report.
     """
 
     replica: _ids.ReplicaId
@@ -53,12 +53,12 @@
 
 
 class ReplicaProcess(NamedTuple):
-    """One start of a replica: its process from begin to end."""
+    """One process of a replica, identified by its incarnation."""
 
     replica: _ids.ReplicaId
     incarnation: int
 
 
 def process_of(target: Target) -> ReplicaProcess:
-    """Give the start of a replica that a target is."""
+    """Return the replica process that a target entry describes."""
     return ReplicaProcess(target.replica, target.incarnation)
--- a/src/topazlug/targets/_target_answer.py
+++ b/src/topazlug/targets/_target_answer.py
@@ -1,4 +1,4 @@
-"""An answer of a target, and the connection that it comes on."""
+"""Answers of targets, and the connections that they arrive on."""
 
 import collections
 from collections.abc import Callable
@@ -24,12 +24,12 @@
 
 
 class AnswerParser(_response.HTTPResponse):
-    """The library's parser; it hands over the body as it comes.
+    """The library's parser, stopped at the end of the first answer.
 
-    The library goes on with whatever follows a whole answer, and adds the
-    body of a second answer to that of the first: a caller would read what
-    belongs to another. Here the answer ends where its framing says; more
-    bytes only show that the connection must not be used again.
+    The library continues to parse whatever follows a complete answer, and
+    appends the body of a second answer to that of the first, so that a caller
+    would receive data of another caller. Here the answer ends where its
+    framing says. Bytes after it only mark the connection as not reusable.
     """
 
     def __init__(self, *, method: str) -> None:
@@ -65,7 +65,7 @@
 
 @final
 class TargetAnswer:
-    """An answer whose head has arrived.
+    """An answer whose head has been received.
 
     Attributes
     ----------
@@ -74,7 +74,7 @@
     headers : list of tuple
         Header fields in order.
     idle_seconds : float or None
-        How long the target keeps an idle connection, if it says.
+        Seconds for which the target keeps an idle connection, if known.
     """
 
     def __init__(
@@ -86,12 +86,12 @@
         request_id: _ids.RequestId,
         clock: _clock.Clock,
         sender: gevent.Greenlet | None = None,
-        heard: Callable[[], None] | None = None,
-        ended: Callable[[_target_runs.RunEnd, int], None] | None = None,
+        on_receive: Callable[[], None] | None = None,
+        on_end: Callable[[_target_runs.RunEnd, int], None] | None = None,
     ) -> None:
         self._sender = sender
-        self._ended = ended
-        self._heard = heard
+        self._on_end = on_end
+        self._on_receive = on_receive
         self.idle_seconds: float | None = None
         self._connection = connection
         self._clock = clock
@@ -104,36 +104,36 @@
         self.headers = list(parser.items())
 
     def header(self, name: str) -> str:
-        """Give a header's value, empty when absent or repeated."""
+        """Return a header's value, empty if absent or repeated."""
         value = self._parser.get(name)
         return value if isinstance(value, str) else ""
 
     def header_values(self, name: str) -> list[str]:
-        """Give all values of a header."""
+        """Return all values of a header."""
         wanted = name.lower()
         return [value for key, value in self.headers if key.lower() == wanted]
 
     def chunks(
         self, *, silence: float, deadline: float = math.inf
     ) -> Iterator[bytes]:
-        """Give the body as it comes.
+        """Yield the body in chunks as they arrive.
 
         Parameters
         ----------
         silence : float
-            Seconds without a byte after which the target counts as silent.
+            Timeout in seconds for receiving the next bytes.
         deadline : float
-            Monotonic seconds at which the request ends, also when bytes
-            trickle in.
+            Monotonic seconds at which the request ends, even if bytes still
+            arrive.
 
         Raises
         ------
         TargetTruncated
-            The connection ended before the answer was whole.
+            The connection ended before the answer was complete.
         TargetSilent
-            Nothing came for too long.
+            No bytes arrived within the timeout.
         DeadlineExceeded
-            The answer was not whole at the deadline.
+            The answer was not complete at the deadline.
         """
         while True:
             body = self._parser.take_body()
@@ -145,31 +145,31 @@
             self._receive(silence, deadline)
 
     def _receive(self, silence: float, deadline: float) -> None:
-        left = deadline - self._clock.monotonic()
+        remaining = deadline - self._clock.monotonic()
         try:
-            self._connection.settimeout(max(0.0, min(silence, left)))
+            self._connection.settimeout(max(0.0, min(silence, remaining)))
             data = self._connection.recv(BLOCK)
-            if self._heard is not None:
-                self._heard()
+            if self._on_receive is not None:
+                self._on_receive()
             self._parser.feed(data)
         except (TimeoutError, BlockingIOError) as error:
             self.close(_target_runs.RunEnd.SILENT)
-            if left <= silence:
+            if remaining <= silence:
                 raise deadline_error() from error
             raise _errors.TargetSilent(
-                "the target fell silent in the middle of its answer",
+                "the target stopped sending in the middle of its answer",
                 outcome=_errors.Outcome.UNKNOWN,
             ) from error
         except (OSError, _response.HTTPParseError) as error:
-            self.close(self._lost)
-            raise _truncated() from error
+            self.close(self._lost_end)
+            raise _truncated_error() from error
         if not data and not self._parser.message_complete:
-            self.close(self._lost)
-            raise _truncated()
+            self.close(self._lost_end)
+            raise _truncated_error()
 
     @property
-    def _lost(self) -> _target_runs.RunEnd:
-        """Give how a run ends whose connection has: by whom it was ended."""
+    def _lost_end(self) -> _target_runs.RunEnd:
+        """Return how the run ended, depending on who ended its connection."""
         ends = _target_runs.RunEnd
         return ends.LEFT if self.aborted else ends.LOST
 
@@ -189,24 +189,24 @@
 
     @property
     def _is_framed(self) -> bool:
-        """Say whether the answer itself tells where it ends.
+        """Return whether the answer's headers delimit its body.
 
-        One that ends with its connection looks whole also when its target
-        has crashed in the middle of it.
+        Without them, the answer ends with its connection, and looks complete
+        even if the target crashed in the middle of it.
         """
         names = {name.lower() for name, _ in self.headers}
         return bool(names & {"content-length", "transfer-encoding"})
 
     def _note_closed(self, end: _target_runs.RunEnd) -> None:
         self._closed = True
-        if self._ended is not None:
-            self._ended(end, self.status)
+        if self._on_end is not None:
+            self._on_end(end, self.status)
 
     def _all_sent(self) -> bool:
-        """Say whether the request's body has gone out whole.
+        """Return whether the request's body was sent completely.
 
-        A target that answers early reads the rest of the body later. The
-        next request on this connection would be taken for that rest.
+        A target that answers early reads the rest of the body later. It would
+        take the next request on this connection for that rest.
         """
         return self._sender is None or bool(self._sender.value)
 
@@ -216,7 +216,7 @@
         self._connection.close()
 
     def abort(self) -> None:
-        """Break the connection, from any greenlet."""
+        """Shut down the connection; may be called from any greenlet."""
         self.aborted = True
         if self._closed:
             return
@@ -225,12 +225,12 @@
     def close(
         self, end: _target_runs.RunEnd = _target_runs.RunEnd.LEFT
     ) -> None:
-        """Close the connection; an answer read whole has kept it.
+        """Close the connection, unless the answer was read completely.
 
         Parameters
         ----------
         end : RunEnd
-            How the request's run ended, if its answer was not read whole.
+            How the run ended, if its answer was not read completely.
         """
         if self._closed:
             return
@@ -239,11 +239,11 @@
 
 
 def shut_down(connection: socket.socket) -> None:
-    """Break a connection that another greenlet may be waiting on."""
+    """Shut down a connection that another greenlet may be waiting on."""
     try:
         connection.shutdown(_plain_socket.SHUT_RDWR)
     except OSError:
-        # It has ended already.
+        # Already closed.
         return
 
 
@@ -254,7 +254,7 @@
     )
 
 
-def _truncated() -> _errors.TargetTruncated:
+def _truncated_error() -> _errors.TargetTruncated:
     return _errors.TargetTruncated(
         "the target's answer ended before it was whole",
         outcome=_errors.Outcome.UNKNOWN,
@@ -262,7 +262,7 @@
 
 
 class IdleConnection(NamedTuple):
-    """A connection that waits for its next request.
+    """An idle connection that can be reused.
 
     Attributes
     ----------
@@ -271,7 +271,7 @@
     last_request : RequestId
         The request whose answer was read last.
     until : float
-        Monotonic seconds from which it must not be used.
+        Monotonic seconds at which it expires.
     """
 
     connection: socket.socket
@@ -281,21 +281,21 @@
 
 @final
 class IdleConnections:
-    """Connections to one address that wait for their next request.
+    """Idle connections to one address.
 
     Parameters
     ----------
     clock : Clock
         Time.
-    most : int
-        Connections kept at most.
+    max_connections : int
+        Maximum number of idle connections.
     """
 
     def __init__(
-        self, *, clock: _clock.Clock, most: int = IDLE_PER_TARGET
+        self, *, clock: _clock.Clock, max_connections: int = IDLE_PER_TARGET
     ) -> None:
         self._clock = clock
-        self._most = most
+        self._max_connections = max_connections
         self._idle: collections.deque[IdleConnection] = collections.deque()
 
     def __len__(self) -> int:
@@ -308,7 +308,7 @@
         last_request: _ids.RequestId,
         seconds: float | None = None,
     ) -> None:
-        """Take a connection whose answer was read whole.
+        """Keep a connection whose answer was read completely.
 
         Parameters
         ----------
@@ -317,10 +317,11 @@
         last_request : RequestId
             The request whose answer was read.
         seconds : float or None
-            How long the target keeps it, None for this side's own bound.
+            Seconds for which the target keeps it; None for the daemon's
+            default.
         """
         allowed = _IDLE_SECONDS if seconds is None else seconds
-        if len(self._idle) >= self._most or allowed <= 0:
+        if len(self._idle) >= self._max_connections or allowed <= 0:
             connection.close()
             return
         now = self._clock.monotonic()
@@ -329,10 +330,10 @@
         )
 
     def sweep(self) -> None:
-        """Close connections that waited for a minute.
+        """Close expired connections.
 
-        To 6,100 targets one idle connection each takes 42 MB and as many
-        descriptors.
+        One idle connection to each of 6,100 targets takes 42 MB of memory and
+        as many file descriptors.
         """
         now = self._clock.monotonic()
         kept = [idle for idle in self._idle if now < idle.until]
@@ -342,26 +343,26 @@
         self._idle = collections.deque(kept)
 
     def take(self) -> IdleConnection | None:
-        """Give the connection used last, if it is still good."""
+        """Remove and return the most recently used connection still usable."""
         now = self._clock.monotonic()
         while self._idle:
             idle = self._idle.pop()
-            if now < idle.until and _is_quiet(idle.connection):
+            if now < idle.until and _is_clean(idle.connection):
                 return idle
             idle.connection.close()
         return None
 
     def close(self) -> None:
-        """Close all."""
+        """Close all idle connections."""
         while self._idle:
             self._idle.pop().connection.close()
 
 
-def _is_quiet(connection: socket.socket) -> bool:
-    """Say whether an idle connection has neither ended nor spoken.
+def _is_clean(connection: socket.socket) -> bool:
+    """Return whether an idle connection is open with no bytes to read.
 
-    Bytes on an idle connection belong to an answer nobody asked for; the
-    next caller must not get them.
+    Such bytes belong to an answer without a request, and the next caller must
+    not receive them.
     """
     flags = _plain_socket.MSG_PEEK | _plain_socket.MSG_DONTWAIT
     try:
--- a/src/topazlug/targets/_target_client.py
+++ b/src/topazlug/targets/_target_client.py
@@ -1,10 +1,10 @@
-"""Connections to targets, and one request with its answer on each.
+"""Connections to targets, and requests on them.
 
-A connection serves one request at a time and is reused only after the whole
-answer was read: a late answer on a reused connection would otherwise reach
-the next caller. The library's own client is not used to send, because it
-silently sends again when a kept connection turns out to be closed, and a
-request that may run once only must never be sent twice.
+A connection serves one request at a time and is reused only after the answer
+was read completely: a late answer on a reused connection would otherwise reach
+the next caller. The library's own client is not used to send requests, because
+it silently sends them again when a reused connection turns out to be closed,
+and a request that may run only once must never be sent twice.
 """
 
 from collections.abc import Callable
@@ -32,21 +32,23 @@
 from topazlug.targets import _targets
 
 _log = _logs.logger("targets")
-# A body up to this many bytes fits the kernel's buffers of both ends; it is
-# sent in one call. A longer one is sent beside the reading of the answer.
-_SENT_AT_ONCE = 16384
-# An established connection whose far end fell silent without a reset is
-# noticed after this many seconds and probes, well before callers give up.
+# A body of up to this many bytes fits the kernel buffers of both ends and is
+# sent in one call. A longer one is sent while the answer is being read.
+_MAX_INLINE_BODY_BYTES = 16384
+# Keepalive detects a connection whose peer vanished without a reset, well
+# before callers give up.
 _KEEPALIVE_IDLE_SECONDS = 1
 _KEEPALIVE_PROBES = 2
 _UNACKNOWLEDGED_MILLISECONDS = 3000
 
-TakeWord = Callable[[_targets.Target, _target_report.TargetReport], object]
+ReportHandler = Callable[
+    [_targets.Target, _target_report.TargetReport], object
+]
 
 
 @final
 class _Use(NamedTuple):
-    """A connection while a request is on it."""
+    """A connection in use by a request."""
 
     connection: socket.socket
     target: _targets.Target
@@ -54,19 +56,21 @@
 
 
 class TargetRequest(msgspec.Struct, frozen=True):
-    """One request as it goes to a target.
+    """A request to a target.
 
     Attributes
     ----------
     fresh : bool
-        Whether a new connection must carry it. A kept one may be closed by
-        the target at the same moment, which leaves the outcome unknown.
+        Whether it requires a new connection. The target may close an idle one
+        just as the request is sent, which leaves the outcome unknown.
+    is_probe : bool
+        Whether its answer does not count as received by a caller's request.
     fingerprint : Fingerprint or None
-        The same for all repeats of a caller's request; None for what no
-        caller asked for, whose runs are not noted.
+        Identifies a caller's request across all its repeats; None for the
+        daemon's own requests, whose runs are not tracked.
     attempt : str
-        Names the attempt of the caller. A caller may give several attempts
-        one request id; then the id does not tell them apart.
+        Identifies the caller's attempt, as a caller may use one request id
+        for several attempts.
     """
 
     method: str
@@ -82,12 +86,12 @@
 
 @final
 class ConnectFailed(_errors.TopazlugError):
-    """No connection: not a byte of the request was sent.
+    """The connection failed; nothing of the request was sent.
 
     Attributes
     ----------
     is_silent : bool
-        Whether it was not refused either.
+        Whether it timed out rather than being refused.
     """
 
     code = _errors.Code.NO_TARGET
@@ -104,20 +108,20 @@
     Parameters
     ----------
     connect_timeout : float
-        Longest wait for a connection in seconds.
+        Timeout in seconds for establishing a connection.
     clock : Clock
         Time.
     wire : TargetWire or None
-        Names on the wire; None for the project's own.
+        Header conventions; None for the project's own.
     idle_per_target : int
-        Connections kept for a next request, for each target.
+        Maximum number of idle connections to each target.
     handle_report : callable or None
-        Gets each target that answers, and what it says of itself.
+        Called with each target that answers, and its report.
 
     Attributes
     ----------
     runs : RunTracker
-        What callers' requests run on each start of a target.
+        Runs of callers' requests on each replica process.
     """
 
     def __init__(
@@ -127,19 +131,19 @@
         clock: _clock.Clock,
         wire: _target_wire.TargetWire | None = None,
         idle_per_target: int = _target_answer.IDLE_PER_TARGET,
-        handle_report: TakeWord | None = None,
+        handle_report: ReportHandler | None = None,
     ) -> None:
-        self._take_word = handle_report
+        self._handle_report = handle_report
         self._idle_per_target = idle_per_target
         self._connect_timeout = connect_timeout
         self._clock = clock
         self._wire = wire or _target_wire.ProductWire()
-        self._heads = _answer_heads.HeadReader(
+        self._head_reader = _answer_heads.HeadReader(
             id_header=self._wire.id_header, clock=clock
         )
         self.runs = _target_runs.RunTracker(clock=clock)
-        self._heard_at: dict[_ids.ReplicaId, float] = {}
-        self._in_use_by_start: dict[
+        self._last_received_at: dict[_ids.ReplicaId, float] = {}
+        self._in_use_by_process: dict[
             _target.ReplicaProcess, set[socket.socket]
         ] = {}
         self._idle_by_address: dict[
@@ -159,36 +163,38 @@
         Parameters
         ----------
         target : Target
-            Where to.
+            The target.
         request : TargetRequest
-            What.
+            The request.
         head_timeout : float
-            Longest wait for the head in seconds.
+            Timeout in seconds for receiving the head.
         deadline : float
             Monotonic seconds at which the request ends.
 
         Raises
         ------
         ConnectFailed
-            Not a byte was sent.
+            Nothing was sent.
         TargetRefused
-            The target says that it did not run the request.
+            The target answered that it did not run the request.
         TargetFailed, TargetSilent
-            Bytes were sent and no proper answer came: outcome unknown.
+            The request was sent but not validly answered; its outcome is
+            unknown.
         DeadlineExceeded
-            Bytes were sent and the deadline came first: outcome unknown.
+            The deadline passed. The outcome is unknown if the request was
+            sent.
         """
         pool = self._pool(target)
         kept = None if request.fresh else pool.take()
         connection = kept.connection if kept else self._connect(target)
         use = self._begin_use(connection, target, request)
         try:
-            answer = self._talk(
+            answer = self._send_and_read_head(
                 use,
                 request,
                 head_timeout,
                 deadline,
-                previous=self._repeated(kept),
+                previous=self._previous_request(kept),
             )
         except BaseException as error:
             self._end_use(use, _end_of(error))
@@ -196,14 +202,14 @@
             raise
         if not request.is_probe:
             self.note_received(target)
-        if self._take_word is not None:
-            self._take_word(target, self._wire.report(answer))
+        if self._handle_report is not None:
+            self._handle_report(target, self._wire.report(answer))
         answer.idle_seconds = self._wire.idle_seconds(answer)
         refusal = self._wire.refusal(answer)
         if refusal is not None:
             answer.close(_target_runs.RunEnd.NOT_RUN)
             _log.info(
-                "{replica} turned the request away: {why}",
+                "{replica} rejected the request: {why}",
                 replica=target.replica,
                 why=refusal.message,
                 status=answer.status,
@@ -218,8 +224,8 @@
         target: _targets.Target,
         request: TargetRequest,
     ) -> _Use:
-        start = _target.process_of(target)
-        self._in_use_by_start.setdefault(start, set()).add(connection)
+        process = _target.process_of(target)
+        self._in_use_by_process.setdefault(process, set()).add(connection)
         run = None
         if request.fingerprint is not None:
             run = self.runs.begin(
@@ -232,36 +238,36 @@
     def _end_use(
         self, use: _Use, end: _target_runs.RunEnd, status: int = 0
     ) -> None:
-        start = _target.process_of(use.target)
-        in_use = self._in_use_by_start.get(start, set())
+        process = _target.process_of(use.target)
+        in_use = self._in_use_by_process.get(process, set())
         in_use.discard(use.connection)
         if not in_use:
-            self._in_use_by_start.pop(start, None)
+            self._in_use_by_process.pop(process, None)
         if use.run is not None:
             self.runs.finish(use.run, end, status=status)
 
     def drop_connections(self, target: _targets.Target) -> None:
-        """Break all connections to a start of a target that has ended.
+        """Shut down all connections to a replica process that has ended.
 
-        Requests that wait on them fail at once. Those connections may have
-        gone silent without a reset, and an answer that still comes on one
-        is not of the target as it is now.
+        Requests that wait on them fail at once, even if the process ended
+        without a reset of its connections. An answer that would still arrive
+        on one is not from the replica's current process.
         """
         pool = self._idle_by_address.pop((target.host, target.port), None)
         if pool is not None:
             pool.close()
-        in_use = self._in_use_by_start.get(_target.process_of(target), set())
+        in_use = self._in_use_by_process.get(_target.process_of(target), set())
         for connection in list(in_use):
             _target_answer.shut_down(connection)
 
     def note_received(self, target: _targets.Target) -> None:
-        """Note that a target has just sent something."""
-        self._heard_at[target.replica] = self._clock.monotonic()
+        """Record that a target has just sent something."""
+        self._last_received_at[target.replica] = self._clock.monotonic()
 
-    def _repeated(
+    def _previous_request(
         self, kept: _target_answer.IdleConnection | None
     ) -> _ids.RequestId | None:
-        """Give whose answer may come again on a kept connection."""
+        """Return the request whose answer may be repeated, if any."""
         if kept is None or not self._wire.repeats_answers:
             return None
         return kept.last_request
@@ -269,8 +275,8 @@
     def has_answered_within(
         self, target: _targets.Target, seconds: float
     ) -> bool:
-        """Say whether a target has answered a caller's request lately."""
-        at = self._heard_at.get(target.replica, -math.inf)
+        """Return whether a target has recently answered a caller's request."""
+        at = self._last_received_at.get(target.replica, -math.inf)
         return self._clock.monotonic() - at < seconds
 
     def _pool(self, target: _targets.Target) -> _target_answer.IdleConnections:
@@ -278,7 +284,7 @@
         pool = self._idle_by_address.get(address)
         if pool is None:
             pool = _target_answer.IdleConnections(
-                clock=self._clock, most=self._idle_per_target
+                clock=self._clock, max_connections=self._idle_per_target
             )
             self._idle_by_address[address] = pool
         return pool
@@ -296,7 +302,7 @@
         _set_options(connection)
         return connection
 
-    def _talk(
+    def _send_and_read_head(
         self,
         use: _Use,
         request: TargetRequest,
@@ -308,16 +314,16 @@
         connection, target = use.connection, use.target
         now = self._clock.monotonic()
         if now >= deadline:
-            # A daemon that was frozen while it connected would run a
-            # request long after its caller was told of the deadline.
+            # If the daemon was suspended while it connected, the request
+            # would run long after its caller received a deadline error.
             raise _errors.DeadlineExceeded("no connection before the deadline")
         silent_at = now + head_timeout
         end = min(silent_at, deadline)
         sender = None
         try:
-            connection.settimeout(self._left(end))
+            connection.settimeout(self._remaining(end))
             sender = self._send(connection, request)
-            parser = self._heads.read(
+            parser = self._head_reader.read(
                 connection,
                 method=request.method,
                 request_id=request.request_id,
@@ -328,11 +334,11 @@
             if deadline <= silent_at:
                 raise _target_answer.deadline_error() from error
             raise _errors.TargetSilent(
-                "the target did not answer in time",
+                "the target did not answer within the timeout",
                 outcome=_errors.Outcome.UNKNOWN,
             ) from error
         except (OSError, _response.HTTPParseError) as error:
-            raise _answer_heads.target_failed(str(error)) from error
+            raise _answer_heads.target_failed_error(str(error)) from error
         return _target_answer.TargetAnswer(
             connection=connection,
             parser=parser,
@@ -340,31 +346,31 @@
             request_id=request.request_id,
             clock=self._clock,
             sender=sender,
-            heard=functools.partial(self.note_received, target),
-            ended=functools.partial(self._end_use, use),
+            on_receive=functools.partial(self.note_received, target),
+            on_end=functools.partial(self._end_use, use),
         )
 
     def _send(
         self, connection: socket.socket, request: TargetRequest
     ) -> gevent.Greenlet | None:
-        """Send a request; a long body goes out beside the answer's reading.
+        """Send a request; a long body is sent by a greenlet of its own.
 
-        A target may answer before it has read a long body and read no
-        further. Whoever first sends all of it then waits for the target,
-        and the target for a reader of its answer.
+        A target may answer before it has read all of a long body, and stop
+        reading. A sender that first sent the complete body would then block
+        on the target, and the target on a reader for its answer.
         """
         head = _head(request, self._wire.id_header)
-        if len(request.body) <= _SENT_AT_ONCE:
+        if len(request.body) <= _MAX_INLINE_BODY_BYTES:
             connection.sendall(head + request.body)
             return None
         connection.sendall(head)
         return gevent.spawn(_send_body, connection, request.body)
 
-    def _left(self, end: float) -> float:
+    def _remaining(self, end: float) -> float:
         return max(0.0, end - self._clock.monotonic())
 
     def sweep(self) -> None:
-        """Close connections that waited too long for a next request."""
+        """Close expired idle connections."""
         for address, pool in list(self._idle_by_address.items()):
             pool.sweep()
             if not len(pool):
@@ -377,7 +383,7 @@
 
 
 def _end_of(error: BaseException) -> _target_runs.RunEnd:
-    """Give how a run ended that got no answer's head."""
+    """Return how a run ended that failed before an answer's head."""
     ends = _target_runs.RunEnd
     if isinstance(error, _errors.RequestError):
         if error.outcome is _errors.Outcome.NOT_RUN:
@@ -406,7 +412,7 @@
 
 
 def _send_body(connection: socket.socket, body: bytes) -> bool:
-    """Send a body; whether the answer came all the same is seen by reading.
+    """Send a body; failures are left to the reader of the answer.
 
     Returns
     -------
@@ -416,7 +422,7 @@
     try:
         connection.sendall(body)
     except OSError as error:
-        _log.debug("a body was not sent whole: {why}", why=str(error))
+        _log.debug("request body not sent completely: {why}", why=str(error))
         return False
     return True
 
--- a/src/topazlug/targets/_target_gauges.py
+++ b/src/topazlug/targets/_target_gauges.py
@@ -1,4 +1,4 @@
-"""What a daemon shows of the replicas that it knows."""
+"""Gauges of the replicas that a daemon has in its directory."""
 
 from topazlug.targets import _targets
 from topazlug.telemetry import _metrics
@@ -7,7 +7,7 @@
 def watch(
     metrics: _metrics.Metrics, targets: _targets.TargetDirectory
 ) -> None:
-    """Have replicas counted whenever metrics are read."""
+    """Register gauges that count replicas whenever metrics are read."""
     gauge = _metrics.Gauge
     metrics.watch(gauge.KNOWN_REPLICAS, lambda: len(targets.target_by_replica))
     metrics.watch(gauge.COLD_REPLICAS, lambda: len(targets.cold_replicas()))
--- a/src/topazlug/targets/_target_poller.py
+++ b/src/topazlug/targets/_target_poller.py
@@ -1,7 +1,7 @@
-"""An owner's look at its replicas: their load, and whether they live.
+"""Polling of owned replicas for their load and liveness.
 
-Only the owner asks a replica, so that 880 daemons don't each ask 6,100
-replicas; what it learns spreads as a fact.
+Only its owner polls a replica, so that 880 daemons don't each poll 6,100
+replicas. The owner publishes changes of state as facts.
 """
 
 from collections.abc import Callable
@@ -21,28 +21,28 @@
 from topazlug.targets import _targets
 
 _log = _logs.logger("watch")
-_TIMEOUT = 0.5
-_REFUSALS_UNTIL_DEAD = 2
-_SILENCES_UNTIL_DEAD = 4
-_MAX_BYTES = 65536
-_HEARD_SECONDS = 5.0
+_TIMEOUT_SECONDS = 0.5
+_CONNECT_FAILURES_UNTIL_DEAD = 2
+_ERRORS_UNTIL_DEAD = 4
+_MAX_DOCUMENT_BYTES = 65536
+_RECENT_ANSWER_SECONDS = 5.0
 
 
 class LoadDocument(msgspec.Struct):
-    """What a target says of itself; other fields are not read."""
+    """Load and state reported by a target; other fields are ignored."""
 
     running: int
     state: str = "live"
     incarnation: int = 0
 
 
-class _Record(msgspec.Struct):
-    refusals: int = 0
-    silences: int = 0
+class _Failures(msgspec.Struct):
+    connect_failures: int = 0
+    errors: int = 0
 
 
 class TargetStatePublisher(Protocol):
-    """Whom to tell what was learned of a target."""
+    """Publishes changes of a target's state."""
 
     def publish_target(
         self,
@@ -51,7 +51,7 @@
         incarnation: int,
         state: messages.FactState,
     ) -> None:
-        """Tell all daemons."""
+        """Send a target's new state to all daemons."""
 
 
 @final
@@ -61,17 +61,17 @@
     Parameters
     ----------
     owned : callable
-        Gives the replicas owned now.
+        Returns the replicas owned now.
     targets : TargetDirectory
         Their addresses.
     connections : TargetConnections
         Connections to them.
     publisher : TargetStatePublisher
-        Gets to know what they give away.
+        Receives changes of their states.
     report : callable
-        Gets each replica's running work.
+        Called with each replica's number of running requests.
     interval : float
-        Seconds between two looks at one replica.
+        Seconds between two polls of a replica.
     clock : Clock
         Time.
     """
@@ -90,15 +90,15 @@
         self._owned = owned
         self._targets = targets
         self._connections = connections
-        self._signs = publisher
+        self._publisher = publisher
         self._report = report
         self._interval = interval
         self._clock = clock
-        self._record_by_replica: dict[_ids.ReplicaId, _Record] = {}
+        self._failures_by_replica: dict[_ids.ReplicaId, _Failures] = {}
         self._polling: set[_ids.ReplicaId] = set()
 
     def run(self) -> None:
-        """Look at all owned replicas, again and again."""
+        """Poll all owned replicas periodically."""
         while True:
             for replica in list(self._owned()):
                 if replica not in self._polling:
@@ -106,37 +106,41 @@
             self._clock.sleep(self._interval)
 
     def poll(self, replica: _ids.ReplicaId) -> None:
-        """Look at one replica, and tell what was learned."""
+        """Poll one replica, and publish its state if it changed."""
         target = self._targets.target_by_replica.get(replica)
         if target is None:
-            self._record_by_replica.pop(replica, None)
+            self._failures_by_replica.pop(replica, None)
             return
         self._polling.add(replica)
         try:
-            self._look_at(target)
+            self._poll_target(target)
         finally:
             self._polling.discard(replica)
 
-    def _look_at(self, target: _targets.Target) -> None:
-        record = self._record_by_replica.setdefault(target.replica, _Record())
+    def _poll_target(self, target: _targets.Target) -> None:
+        failures = self._failures_by_replica.setdefault(
+            target.replica, _Failures()
+        )
         try:
-            document = self._ask(target)
+            document = self._fetch_load(target)
         except _target_client.ConnectFailed:
-            record.refusals += 1
+            failures.connect_failures += 1
         except (_errors.TopazlugError, msgspec.MsgspecError):
-            record.silences += 1
+            failures.errors += 1
         else:
-            record.refusals = record.silences = 0
-            self._take(target, document)
+            failures.connect_failures = failures.errors = 0
+            self._handle_document(target, document)
             return
-        gone = record.refusals >= _REFUSALS_UNTIL_DEAD
-        silent = record.silences >= _SILENCES_UNTIL_DEAD
-        # An engine may serve and yet say nothing of its load.
-        heard = self._connections.has_answered_within(target, _HEARD_SECONDS)
-        if gone or (silent and not heard):
-            self._tell(target, messages.FactState.dead)
-
-    def _ask(self, target: _targets.Target) -> LoadDocument:
+        unreachable = failures.connect_failures >= _CONNECT_FAILURES_UNTIL_DEAD
+        failing = failures.errors >= _ERRORS_UNTIL_DEAD
+        # An engine may serve requests although its load can't be read.
+        has_answered = self._connections.has_answered_within(
+            target, _RECENT_ANSWER_SECONDS
+        )
+        if unreachable or (failing and not has_answered):
+            self._publish(target, messages.FactState.dead)
+
+    def _fetch_load(self, target: _targets.Target) -> LoadDocument:
         request = _target_client.TargetRequest(
             method="GET",
             path="/load",
@@ -146,20 +150,24 @@
             is_probe=True,
         )
         answer = self._connections.exchange(
-            target, request, head_timeout=_TIMEOUT
+            target, request, head_timeout=_TIMEOUT_SECONDS
+        )
+        body = b"".join(answer.chunks(silence=_TIMEOUT_SECONDS))
+        return msgspec.json.decode(
+            body[:_MAX_DOCUMENT_BYTES], type=LoadDocument
         )
-        body = b"".join(answer.chunks(silence=_TIMEOUT))
-        return msgspec.json.decode(body[:_MAX_BYTES], type=LoadDocument)
 
-    def _take(self, target: _targets.Target, document: LoadDocument) -> None:
+    def _handle_document(
+        self, target: _targets.Target, document: LoadDocument
+    ) -> None:
         if document.state == messages.FactState.leaving.value:
-            self._tell(target, messages.FactState.leaving)
+            self._publish(target, messages.FactState.leaving)
             return
         self._report(target.replica, document.running)
         if self._targets.state_of(target.replica) is messages.FactState.dead:
-            self._tell(target, messages.FactState.live)
+            self._publish(target, messages.FactState.live)
 
-    def _tell(
+    def _publish(
         self, target: _targets.Target, state: messages.FactState
     ) -> None:
         if self._targets.state_of(target.replica) is state:
@@ -167,6 +175,6 @@
         _log.warning(
             "{replica} is {state}", replica=target.replica, state=state.value
         )
-        self._signs.publish_target(
+        self._publisher.publish_target(
             target.replica, incarnation=target.incarnation, state=state
         )
--- a/src/topazlug/targets/_target_report.py
+++ b/src/topazlug/targets/_target_report.py
@@ -1,4 +1,4 @@
-"""What a target says of itself with an answer."""
+"""A target's report on its own state, sent with each answer."""
 
 from collections.abc import Iterable
 from http import HTTPStatus
@@ -8,22 +8,23 @@
 import msgspec
 
 RETRY_AFTER = "Retry-After"
-# A target that asks for longer is taken to ask for this long.
-_LONGEST_BACKOFF_SECONDS = 86400.0
-# RFC 9110, 10.2.3, without its dates, and with a fraction of a second.
+# Longer backoffs are reduced to this one.
+_MAX_BACKOFF_SECONDS = 86400.0
+# `Retry-After` as in RFC 9110, 10.2.3, except that dates are not accepted and
+# fractions of a second are.
 _SECONDS = re.compile(r"[0-9]+(\.[0-9]+)?")
 
 
 @final
 class TargetReport(msgspec.Struct, frozen=True):
-    """What one answer says of the target that gave it.
+    """State of a target, as reported in one of its answers.
 
     Attributes
     ----------
     leaving : bool
-        Whether the target is about to end and takes nothing new.
+        Whether the target is about to exit and accepts no new requests.
     backoff : float
-        Seconds for which it wants no request from this daemon.
+        Seconds for which this daemon must not send it requests.
     """
 
     leaving: bool = False
@@ -34,23 +35,24 @@
 
 
 def parse_backoff(status: int, retry_after: Iterable[str]) -> float:
-    """Give the backoff that an answer asks for.
+    """Return the backoff that an answer requests.
 
     Parameters
     ----------
     status : int
-        The answer's. Only 503 turns a request away for now.
+        Status of the answer. Only 503 is a temporary rejection; other
+        statuses request no backoff.
     retry_after : iterable of str
-        Values of its `Retry-After` fields; the longest counts. One that is
-        no number of seconds asks for nothing.
+        Values of its `Retry-After` fields. The longest one applies; values
+        that are not a number of seconds are ignored.
 
     Returns
     -------
     float
-        Seconds, 0 if none is asked for.
+        Seconds, 0 if no backoff is requested.
     """
     if status != HTTPStatus.SERVICE_UNAVAILABLE:
         return 0.0
-    numbers = [value.strip() for value in retry_after]
-    asked = [float(one) for one in numbers if _SECONDS.fullmatch(one)]
-    return min(_LONGEST_BACKOFF_SECONDS, max(asked, default=0.0))
+    values = [value.strip() for value in retry_after]
+    seconds = [float(value) for value in values if _SECONDS.fullmatch(value)]
+    return min(_MAX_BACKOFF_SECONDS, max(seconds, default=0.0))
--- a/src/topazlug/targets/_target_runs.py
+++ b/src/topazlug/targets/_target_runs.py
@@ -1,8 +1,8 @@
-"""Which requests run on each start of a target, and how their runs end.
+"""Runs of requests on each replica process, and how they ended.
 
-A target that crashes says nothing of what it was at. What ran on it when its
-connections ended is all that is known of the cause, so it is noted here for
-as long as it may be asked for.
+A crashed target can't report which request made it crash. The only evidence
+is which requests ran on it when its connections ended, so these runs are kept
+here until the crash has been noticed and examined.
 """
 
 import collections
@@ -17,11 +17,11 @@
 from topazlug.targets import _target
 from topazlug.targets import _targets
 
-# Runs that ended without a whole answer are kept for so long: a replica whose
-# entry lapses has been dead for up to three of its heartbeats, of 1.2 to 3 s.
+# Retention of runs that ended without a complete answer. A replica's entry
+# expires up to three heartbeats, of 1.2 to 3 s each, after the replica died.
 RETENTION_SECONDS = 10.0
-# And so many of them for each start: as many as an engine runs at once.
-_KEPT_RUNS = 64
+# Maximum for each process: as many as an engine runs concurrently.
+_MAX_BROKEN_RUNS = 64
 
 
 class RunEnd(enum.Enum):
@@ -30,15 +30,16 @@
     Attributes
     ----------
     WHOLE
-        Its answer was read whole, and said itself where it ends.
+        The answer was read completely; its framing marked its end.
     NOT_RUN
-        The target refused it, or got nothing of it.
+        The target rejected the request, or nothing of it was sent.
     LOST
-        The connection ended before the answer was whole.
+        The connection ended before the answer was complete.
     SILENT
-        Nothing came for too long.
+        The target sent nothing until the timeout.
     LEFT
-        This side stopped waiting, or can't say whether the answer is whole.
+        The daemon stopped waiting, or can't tell whether the answer is
+        complete.
     """
 
     WHOLE = "whole"
@@ -50,25 +51,25 @@
 
 @final
 class Run(msgspec.Struct, eq=False, kw_only=True):
-    """One request at one start of a target.
+    """One run of a request on one replica process.
 
     Attributes
     ----------
     target : Target
-        Where it runs.
+        The target that it runs on.
     fingerprint : Fingerprint
-        The same for all repeats of the request.
+        Identifies the request across all its repeats.
     attempt : str
-        Names the attempt of its caller, the same at all targets that the
-        daemon sends it to.
+        Identifies the caller's attempt, on all targets that the daemon sends
+        it to.
     began_at : float
         Monotonic seconds.
     end : RunEnd or None
-        How it ended, None while it runs.
+        How it ended; None while it runs.
     ended_at : float
         Monotonic seconds.
     status : int
-        Status of its answer, 0 if it had none.
+        Status of its answer, 0 if there was none.
     """
 
     target: _targets.Target
@@ -80,18 +81,21 @@
     status: int = 0
 
     def seconds(self, now: float) -> float:
-        """Give how long it took, or has taken by now."""
+        """Return its duration, up to now if it is still in progress."""
         return (now if self.end is None else self.ended_at) - self.began_at
 
     @property
     def is_success(self) -> bool:
-        """Say whether it ended with a whole answer that is a success."""
+        """Return whether it ended with a complete 2xx answer."""
         return self.end is RunEnd.WHOLE and 200 <= self.status < 300
 
 
 @final
 class RunTracker:
-    """Runs in progress, and those that ended lately without a whole answer.
+    """Runs in progress, and broken runs: those without a complete answer.
+
+    Broken runs are kept for `RETENTION_SECONDS`. Runs that the target did
+    not start are not counted among them.
 
     Parameters
     ----------
@@ -101,16 +105,16 @@
 
     def __init__(self, *, clock: _clock.Clock) -> None:
         self._clock = clock
-        self._running_by_start: dict[_target.ReplicaProcess, set[Run]] = {}
-        self._broken_by_start: dict[
+        self._running_by_process: dict[_target.ReplicaProcess, set[Run]] = {}
+        self._broken_by_process: dict[
             _target.ReplicaProcess, collections.deque[Run]
         ] = {}
         self._ended_callbacks: list[Callable[[Run], None]] = []
 
     def on_end(self, callback: Callable[[Run], None]) -> None:
-        """Have a callable called with each run that has ended.
+        """Register a callback for runs that have ended.
 
-        It runs in the request's greenlet and must not block.
+        It is called in the request's greenlet and must not block.
         """
         self._ended_callbacks.append(callback)
 
@@ -121,65 +125,67 @@
         fingerprint: _ids.Fingerprint,
         attempt: str,
     ) -> Run:
-        """Note that a request goes to a target."""
+        """Record that a request is about to be sent to a target."""
         run = Run(
             target=target,
             fingerprint=fingerprint,
             attempt=attempt,
             began_at=self._clock.monotonic(),
         )
-        self._running_by_start.setdefault(
+        self._running_by_process.setdefault(
             _target.process_of(target), set()
         ).add(run)
         return run
 
     def finish(self, run: Run, end: RunEnd, *, status: int = 0) -> None:
-        """Note how a run ended; a second time does nothing."""
+        """Record how a run ended; only the first call has an effect."""
         if run.end is not None:
             return
         run.end = end
         run.ended_at = self._clock.monotonic()
         run.status = status
-        start = _target.process_of(run.target)
-        running = self._running_by_start.get(start, set())
+        process = _target.process_of(run.target)
+        running = self._running_by_process.get(process, set())
         running.discard(run)
         if not running:
-            self._running_by_start.pop(start, None)
+            self._running_by_process.pop(process, None)
         if end not in (RunEnd.WHOLE, RunEnd.NOT_RUN):
-            self._keep_broken(start, run)
+            self._add_broken(process, run)
         for callback in self._ended_callbacks:
             callback(run)
 
-    def _keep_broken(self, start: _target.ReplicaProcess, run: Run) -> None:
-        self._forget_old()
-        broken = self._broken_by_start.get(start)
+    def _add_broken(self, process: _target.ReplicaProcess, run: Run) -> None:
+        self._evict_expired()
+        broken = self._broken_by_process.get(process)
         if broken is None:
-            broken = collections.deque(maxlen=_KEPT_RUNS)
-            self._broken_by_start[start] = broken
+            broken = collections.deque(maxlen=_MAX_BROKEN_RUNS)
+            self._broken_by_process[process] = broken
         broken.append(run)
 
-    def _forget_old(self) -> None:
+    def _evict_expired(self) -> None:
         oldest = self._clock.monotonic() - RETENTION_SECONDS
-        for start, broken in list(self._broken_by_start.items()):
+        for process, broken in list(self._broken_by_process.items()):
             while broken and broken[0].ended_at < oldest:
                 broken.popleft()
             if not broken:
-                del self._broken_by_start[start]
+                del self._broken_by_process[process]
 
-    def running(self, start: _target.ReplicaProcess) -> list[Run]:
-        """Give the runs in progress on a start."""
-        return list(self._running_by_start.get(start, ()))
+    def running(self, process: _target.ReplicaProcess) -> list[Run]:
+        """Return the runs in progress on a replica process."""
+        return list(self._running_by_process.get(process, ()))
 
     def broken(
-        self, start: _target.ReplicaProcess, *, seconds: float
+        self, process: _target.ReplicaProcess, *, seconds: float
     ) -> list[Run]:
-        """Give the runs that ended on a start without a whole answer.
+        """Return the broken runs of a replica process.
 
         Parameters
         ----------
+        process : ReplicaProcess
+            The replica process.
         seconds : float
-            How long ago at most, up to `RETENTION_SECONDS`.
+            Maximum time since they ended; at most `RETENTION_SECONDS`.
         """
         oldest = self._clock.monotonic() - seconds
-        broken = self._broken_by_start.get(start, ())
+        broken = self._broken_by_process.get(process, ())
         return [run for run in broken if run.ended_at >= oldest]
--- a/src/topazlug/targets/_target_wire.py
+++ b/src/topazlug/targets/_target_wire.py
@@ -1,4 +1,4 @@
-"""The names that targets of one kind use on the wire."""
+"""Header conventions between the daemon and one kind of target."""
 
 from typing import Protocol
 from typing import final
@@ -14,15 +14,15 @@
 
 
 class TargetWire(Protocol):
-    """The names that targets of one kind use.
+    """Header conventions of one kind of target.
 
     Attributes
     ----------
     id_header : str
-        Header that names a request; targets echo it.
+        Header with the request's id, which targets echo.
     repeats_answers : bool
-        Whether a target may answer a request a second time, before it
-        answers the connection's next one.
+        Whether a target may answer a request a second time before it
+        answers the next one on the same connection.
     """
 
     id_header: str
@@ -31,22 +31,22 @@
     def refusal(
         self, answer: _target_answer.TargetAnswer
     ) -> _errors.TargetRefused | None:
-        """Give the error for an answer that says "did not run"."""
+        """Return the error if the target rejected the request, else None."""
 
     def report(
         self, answer: _target_answer.TargetAnswer
     ) -> _target_report.TargetReport:
-        """Give what an answer says of the target that was asked."""
+        """Return the target's report on its own state."""
 
     def idle_seconds(
         self, answer: _target_answer.TargetAnswer
     ) -> float | None:
-        """Give how long the target keeps an idle connection, if it says."""
+        """Return for how long the target keeps idle connections, if known."""
 
 
 @final
 class ProductWire:
-    """The names of the project's own interface to targets."""
+    """Header conventions of the project's own interface to targets."""
 
     id_header = REQUEST_ID
     repeats_answers = False
@@ -54,7 +54,7 @@
     def refusal(
         self, answer: _target_answer.TargetAnswer
     ) -> _errors.TargetRefused | None:
-        """Give the error for an answer that says "did not run"."""
+        """Return the error if the target rejected the request, else None."""
         if answer.status != 503 or answer.header(NOT_RUN) != "true":
             return None
         leaving = _LEAVING in answer.header_values(TARGET_STATE)
@@ -66,7 +66,7 @@
     def report(
         self, answer: _target_answer.TargetAnswer
     ) -> _target_report.TargetReport:
-        """Give what an answer says of the target that was asked."""
+        """Return the target's report on its own state."""
         return _target_report.TargetReport(
             leaving=_LEAVING in answer.header_values(TARGET_STATE),
             backoff=_target_report.parse_backoff(
@@ -77,5 +77,5 @@
     def idle_seconds(
         self, answer: _target_answer.TargetAnswer
     ) -> float | None:
-        """Give None: these targets don't say."""
+        """Return None, as these targets don't report it."""
         return None
--- a/src/topazlug/targets/_targets.py
+++ b/src/topazlug/targets/_targets.py
@@ -1,9 +1,10 @@
-"""Which targets there are, and which may get new work.
+"""Directory of targets, and which of them may receive new requests.
 
-Four signs count, whichever is first: the platform's lagging list, the
-target's own answers, the operators' drains, and peers' facts. A target that
-is leaving gets nothing new until it is seen live under a new incarnation,
-whatever the list says of the start that is leaving.
+A target is taken out of service by whichever of four sources shows it first:
+the platform's list, which lags, the target's own answers, the operators'
+drains, or peers' facts. A leaving target receives no new requests until it is
+live under a new incarnation, even if the list still shows the leaving process
+as live.
 """
 
 from collections.abc import Callable
@@ -24,22 +25,22 @@
 from topazlug.targets import _target_report
 from topazlug.targets import _zone_reachability
 
-# The types under the name that most modules know them by.
+# Aliases: most modules refer to these types through this module.
 Target = _target.Target
 TargetKind = _target.TargetKind
 
 _AVOID_SECONDS = 1.0
-_TOLD_SECONDS = 900.0
+_PEER_TARGET_SECONDS = 900.0
 _HOLD_BASE_SECONDS = 1.0
 _HOLD_MAX_SECONDS = 30.0
 
 
-class _Told(msgspec.Struct):
+class _PeerTarget(msgspec.Struct):
     target: Target
     until: float
 
 
-class _Choice(msgspec.Struct):
+class _Candidates(msgspec.Struct):
     in_service: list[_ids.ReplicaId]
     usable: list[_ids.ReplicaId]
     until: float
@@ -49,46 +50,46 @@
     incarnation: int = 0
     state: messages.FactState = messages.FactState.live
     returns: list[float] = msgspec.field(default_factory=list)
-    held_until: float = 0.0
+    held_out_until: float = 0.0
     avoid_until: float = 0.0
-    gone_at: float | None = None
+    unlisted_at: float | None = None
 
 
 class Drains(msgspec.Struct, frozen=True):
-    """What operators took out of service."""
+    """Replicas and zones that operators took out of service."""
 
     replicas: frozenset[str] = frozenset()
     zones: frozenset[str] = frozenset()
 
 
-WordCallback = Callable[[Target, _target_report.TargetReport], None]
+ReportCallback = Callable[[Target, _target_report.TargetReport], None]
 
 _UNUSABLE = (messages.FactState.leaving, messages.FactState.dead)
 
 
 @final
 class TargetDirectory:
-    """All known targets.
+    """All known targets and their states.
 
     Parameters
     ----------
     clock : Clock
         Time.
     flap_window : float
-        Seconds over which a target's returns are counted.
+        Seconds over which a target's returns to service are counted.
 
     Attributes
     ----------
     target_by_replica : dict
-        The platform's list as last read, and what peers saw on it since.
+        The platform's list as last read, with newer entries from peers.
     drains : Drains
-        What operators took out of service.
+        Replicas and zones that operators took out of service.
     cold : ColdReplicas
         Replicas that have just started.
     reachability : ZoneReachability
-        Zones that take connections of this daemon.
+        Zones that accept connections from this daemon.
     reported : ReportedStates
-        Targets that said in answers that they want no new work.
+        States that targets have reported in their answers.
     """
 
     def __init__(self, *, clock: _clock.Clock, flap_window: float) -> None:
@@ -100,96 +101,100 @@
         self._health_by_replica: dict[_ids.ReplicaId, _Health] = {}
         self.drains = Drains()
         self._callbacks: list[Callable[[], None]] = []
-        self._word_callbacks: list[WordCallback] = []
-        self._choice_by_group: dict[_ids.GroupName, _Choice] = {}
+        self._report_callbacks: list[ReportCallback] = []
+        self._candidates_by_group: dict[_ids.GroupName, _Candidates] = {}
         self._listed_by_replica: dict[_ids.ReplicaId, Target] = {}
-        self._told_by_replica: dict[_ids.ReplicaId, _Told] = {}
+        self._peer_target_by_replica: dict[_ids.ReplicaId, _PeerTarget] = {}
         self.target_by_replica: dict[_ids.ReplicaId, Target] = {}
         self._replicas_by_group: dict[_ids.GroupName, list[_ids.ReplicaId]]
         self._replicas_by_group = {}
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Ask to be called when the set of targets changed."""
+        """Register a callback for changes of targets or their states."""
         self._callbacks.append(callback)
 
-    def on_report(self, callback: WordCallback) -> None:
-        """Ask to be called with what targets newly say in answers."""
-        self._word_callbacks.append(callback)
+    def on_report(self, callback: ReportCallback) -> None:
+        """Register a callback for reports that change a target's state."""
+        self._report_callbacks.append(callback)
 
     def take_list(self, targets: Iterable[Target]) -> None:
-        """Take over the platform's list of targets.
+        """Replace the platform's list of targets.
 
         Parameters
         ----------
         targets : iterable of Target
-            The whole list.
+            The complete list.
         """
-        self._listed_by_replica = {t.replica: t for t in targets}
+        self._listed_by_replica = {
+            target.replica: target for target in targets
+        }
         self.cold.take_list(self._listed_by_replica.values())
         self._merge()
 
     def _merge(self) -> None:
-        """Join the list with what peers saw on a newer one."""
+        """Merge the list with entries that peers read from a newer one."""
         now = self._clock.monotonic()
-        fresh = dict(self._listed_by_replica)
-        for replica, told in list(self._told_by_replica.items()):
-            listed = fresh.get(replica)
-            if now > told.until:
-                del self._told_by_replica[replica]
+        merged = dict(self._listed_by_replica)
+        for replica, peer_target in list(self._peer_target_by_replica.items()):
+            listed = merged.get(replica)
+            if now > peer_target.until:
+                del self._peer_target_by_replica[replica]
             elif (
-                listed is None or listed.incarnation < told.target.incarnation
+                listed is None
+                or listed.incarnation < peer_target.target.incarnation
             ):
-                fresh[replica] = told.target
-        if fresh == self.target_by_replica:
+                merged[replica] = peer_target.target
+        if merged == self.target_by_replica:
             return
         for replica in self.target_by_replica:
             self._health(replica)
         for target in _listed_targets.restarted(
-            self.target_by_replica, fresh.values()
+            self.target_by_replica, merged.values()
         ):
-            self._forget_start(target.replica)
-        self.target_by_replica = fresh
-        self._note_gone_and_back(fresh, now)
+            self._reset_health(target.replica)
+        self.target_by_replica = merged
+        self._update_presence(merged, now)
         groups: dict[_ids.GroupName, list[_ids.ReplicaId]] = {}
-        for replica in sorted(fresh):
-            groups.setdefault(fresh[replica].group, []).append(replica)
+        for replica in sorted(merged):
+            groups.setdefault(merged[replica].group, []).append(replica)
         self._replicas_by_group = groups
         self._notify()
 
-    def _forget_start(self, replica: _ids.ReplicaId) -> None:
-        """End what is believed of a start that has ended.
+    def _reset_health(self, replica: _ids.ReplicaId) -> None:
+        """Reset the state of a replica whose process has been replaced.
 
-        Its returns to the list still count: they are the id's, and one that
-        starts again and again must not pull chats back and forth.
+        Its returns to service still count, as they belong to the replica's
+        id: one that restarts repeatedly must not move chats back and forth.
         """
         health = self._health(replica)
         health.state = messages.FactState.live
         health.avoid_until = 0.0
-        health.held_until = 0.0
+        health.held_out_until = 0.0
 
-    def _note_gone_and_back(
-        self, fresh: Mapping[_ids.ReplicaId, Target], now: float
+    def _update_presence(
+        self, merged: Mapping[_ids.ReplicaId, Target], now: float
     ) -> None:
-        """Count a target that fell off the list and came back as flapping.
+        """Record which targets left the list, and count those that came back.
 
-        Its record is kept for a while after it went: forgotten at once, a
-        target that comes and goes on the list would be new each time.
+        The health of a removed target is kept for the flap window. Without
+        it, a target that repeatedly leaves the list and comes back would
+        count as new each time.
         """
         for replica, health in list(self._health_by_replica.items()):
-            if replica in fresh:
-                if health.gone_at is not None:
-                    health.gone_at = None
-                    self._note_return(health)
-            elif health.gone_at is None:
-                health.gone_at = now
-            elif now - health.gone_at > self._flap_window:
+            if replica in merged:
+                if health.unlisted_at is not None:
+                    health.unlisted_at = None
+                    self._record_return(health)
+            elif health.unlisted_at is None:
+                health.unlisted_at = now
+            elif now - health.unlisted_at > self._flap_window:
                 del self._health_by_replica[replica]
 
     def set_drains(self, drains: Drains) -> None:
-        """Take over what operators drained.
+        """Replace the operators' drains.
 
-        Replicas of a zone that was drained may have been started again
-        meanwhile; until they say that they are not cold they are taken to be.
+        Replicas of a zone that is no longer drained are presumed cold, as
+        they may have been restarted meanwhile.
         """
         returned = self.drains.zones - drains.zones
         self.cold.presume_cold(
@@ -201,7 +206,7 @@
         self._notify()
 
     def drained(self) -> list[Target]:
-        """Give the listed targets that operators took out of service."""
+        """Return the listed targets that operators took out of service."""
         return [
             target
             for target in self.target_by_replica.values()
@@ -209,59 +214,63 @@
         ]
 
     def cold_replicas(self) -> list[Target]:
-        """Give the listed targets that have just started, or may have."""
+        """Return the listed targets that are cold, or presumed to be."""
         targets = self.target_by_replica.values()
         return [target for target in targets if self.cold.is_cold(target)]
 
     def unreachable(self) -> list[Target]:
-        """Give the listed targets in zones that take no connections."""
+        """Return the listed targets in unreachable zones."""
         targets = self.target_by_replica.values()
         return [
-            one
-            for one in targets
-            if not self.reachability.is_reachable(one.zone)
+            target
+            for target in targets
+            if not self.reachability.is_reachable(target.zone)
         ]
 
     def reported_leaving(self) -> list[Target]:
-        """Give the listed targets that said that they are leaving."""
+        """Return the listed targets that reported that they are leaving."""
         targets = self.target_by_replica.values()
-        return [one for one in targets if self.reported.is_leaving(one)]
+        return [
+            target for target in targets if self.reported.is_leaving(target)
+        ]
 
     def in_backoff(self) -> list[Target]:
-        """Give the listed targets that want no request of this daemon now."""
+        """Return the listed targets in backoff for this daemon."""
         targets = self.target_by_replica.values()
         return [
-            one for one in targets if self.reported.remaining_backoff(one) > 0
+            target
+            for target in targets
+            if self.reported.remaining_backoff(target) > 0
         ]
 
     def handle_report(
         self, target: Target, report: _target_report.TargetReport
     ) -> None:
-        """Take what a target says of itself with an answer."""
+        """Apply the report in a target's answer."""
         if not self.reported.note(target, report):
             return
-        self._choice_by_group.pop(target.group, None)
+        self._candidates_by_group.pop(target.group, None)
         if report.leaving:
             self._notify()
-        for callback in self._word_callbacks:
+        for callback in self._report_callbacks:
             callback(target, report)
 
     def take_peer_backoff(
         self, replica: _ids.ReplicaId, seconds: float
     ) -> None:
-        """Take a peer's word that a target wants no request of anybody.
+        """Apply a backoff that applies to all daemons, reported by a peer.
 
-        It is told to nobody: told on, it would look like one more daemon
-        that the target has turned away, and would never end.
+        It is not passed on: the receivers would count this daemon as one
+        more that the target rejected, and the backoff would never end.
         """
         target = self.target_by_replica.get(replica)
         if target is None:
             return
         self.reported.note_peer_backoff(target, seconds)
-        self._choice_by_group.pop(target.group, None)
+        self._candidates_by_group.pop(target.group, None)
 
     def is_leaving(self, target: Target) -> bool:
-        """Say whether a target leaves, by the list or its own word."""
+        """Return whether a target is leaving, by the list or its report."""
         return target.leaving or self.reported.is_leaving(target)
 
     def _is_drained(self, target: Target) -> bool:
@@ -270,11 +279,13 @@
         return target.zone in self.drains.zones
 
     def apply_fact(self, fact: messages.Fact) -> None:
-        """Take over what a peer, or this daemon, saw of a target."""
+        """Apply a fact about a target, from a peer or this daemon."""
         if fact.group and fact.port:
-            self._told_by_replica[_ids.ReplicaId(fact.subject)] = _Told(
-                target=_listed_targets.target_from_fact(fact),
-                until=self._clock.monotonic() + _TOLD_SECONDS,
+            self._peer_target_by_replica[_ids.ReplicaId(fact.subject)] = (
+                _PeerTarget(
+                    target=_listed_targets.target_from_fact(fact),
+                    until=self._clock.monotonic() + _PEER_TARGET_SECONDS,
+                )
             )
             self._merge()
         health = self._health(_ids.ReplicaId(fact.subject))
@@ -282,15 +293,15 @@
         health.incarnation = fact.incarnation
         health.state = fact.state
         if returned:
-            self._note_return(health)
+            self._record_return(health)
         self._notify()
 
-    def _note_return(self, health: _Health) -> None:
-        """Hold a target that comes and goes out of new work for longer.
+    def _record_return(self, health: _Health) -> None:
+        """Record that a target is usable again, and hold it out if it flaps.
 
-        A target that flaps pulls its chats back and forth, and each swing
-        costs them their context. Each return within the window doubles the
-        time it must stay up before it gets work again.
+        A flapping target moves its chats back and forth, and each move costs
+        them their cached context. Each further return within the flap window
+        doubles the time for which the target receives no new requests.
         """
         now = self._clock.monotonic()
         since = now - self._flap_window
@@ -298,66 +309,69 @@
         health.returns.append(now)
         if len(health.returns) < 2:
             return
-        hold = _HOLD_BASE_SECONDS * 2 ** (len(health.returns) - 1)
-        health.held_until = now + min(hold, _HOLD_MAX_SECONDS)
+        hold_seconds = _HOLD_BASE_SECONDS * 2 ** (len(health.returns) - 1)
+        health.held_out_until = now + min(hold_seconds, _HOLD_MAX_SECONDS)
 
     def avoid(self, replica: _ids.ReplicaId) -> None:
-        """Pass a target over for a moment, on this daemon only."""
+        """Exclude a target for `_AVOID_SECONDS`, on this daemon only."""
         until = self._clock.monotonic() + _AVOID_SECONDS
         self._health(replica).avoid_until = until
-        self._choice_by_group.clear()
+        self._candidates_by_group.clear()
 
     def known(self, group: _ids.GroupName) -> list[_ids.ReplicaId]:
-        """Give all listed replicas of a group."""
+        """Return all listed replicas of a group."""
         return self._replicas_by_group.get(group, [])
 
     def groups(self) -> list[_ids.GroupName]:
-        """Give the groups that have listed replicas."""
+        """Return the groups that have listed replicas."""
         return list(self._replicas_by_group)
 
     def usable(self, group: _ids.GroupName) -> list[_ids.ReplicaId]:
-        """Give the replicas of a group that may get work of this daemon."""
-        return self._choice(group).usable
+        """Return a group's replicas that this daemon may send requests to."""
+        return self._candidates(group).usable
 
     def in_service(self, group: _ids.GroupName) -> list[_ids.ReplicaId]:
-        """Give the replicas of a group that may get work of any daemon.
+        """Return a group's replicas that are in service.
 
-        Those that want nothing of this daemon for a while are among them.
+        Those in backoff for this daemon are included: other daemons may still
+        send them requests.
         """
-        return self._choice(group).in_service
+        return self._candidates(group).in_service
 
-    def _choice(self, group: _ids.GroupName) -> _Choice:
-        """Look through a group, or give what was found last.
+    def _candidates(self, group: _ids.GroupName) -> _Candidates:
+        """Return a group's candidates, cached until one of them may change.
 
-        It is kept until something changes: a group of 156 replicas would be
-        looked through for each request.
+        Without the cache, each request would check every replica of its
+        group, which may have 156.
         """
         now = self._clock.monotonic()
-        kept = self._choice_by_group.get(group)
-        if kept is None or now >= kept.until:
-            kept = self._look_through(group, now)
-            self._choice_by_group[group] = kept
-        return kept
-
-    def _look_through(self, group: _ids.GroupName, now: float) -> _Choice:
-        choice = _Choice(in_service=[], usable=[], until=math.inf)
+        cached = self._candidates_by_group.get(group)
+        if cached is None or now >= cached.until:
+            cached = self._find_candidates(group, now)
+            self._candidates_by_group[group] = cached
+        return cached
+
+    def _find_candidates(
+        self, group: _ids.GroupName, now: float
+    ) -> _Candidates:
+        candidates = _Candidates(in_service=[], usable=[], until=math.inf)
         for replica in self.known(group):
             backoff = self.reported.remaining_backoff(
                 self.target_by_replica[replica]
             )
             if self._is_in_service(replica, now):
-                choice.in_service.append(replica)
+                candidates.in_service.append(replica)
                 if backoff <= 0:
-                    choice.usable.append(replica)
+                    candidates.usable.append(replica)
             health = self._health_by_replica.get(replica, _Health())
-            ends = (health.held_until, health.avoid_until, now + backoff)
-            choice.until = min(
-                [choice.until, *(end for end in ends if end > now)]
+            ends = (health.held_out_until, health.avoid_until, now + backoff)
+            candidates.until = min(
+                [candidates.until, *(end for end in ends if end > now)]
             )
-        return choice
+        return candidates
 
     def is_usable(self, replica: _ids.ReplicaId) -> bool:
-        """Say whether a replica may get work of this daemon."""
+        """Return whether this daemon may send requests to a replica."""
         if not self.is_in_service(replica):
             return False
         return (
@@ -366,7 +380,7 @@
         )
 
     def is_in_service(self, replica: _ids.ReplicaId) -> bool:
-        """Say whether a replica may get work of any daemon."""
+        """Return whether a replica is in service, also when in backoff."""
         return self._is_in_service(replica, self._clock.monotonic())
 
     def seconds_until_usable(
@@ -374,12 +388,12 @@
         group: _ids.GroupName,
         excluded: frozenset[_ids.ReplicaId] = frozenset(),
     ) -> float | None:
-        """Give when the first of a group's replicas may get work again.
+        """Return the time until a replica of a group is usable.
 
         Returns
         -------
         float or None
-            0 if one may now; None if none is in service.
+            0 if one is usable now; None if none is in service.
         """
         waits = [
             self.reported.remaining_backoff(self.target_by_replica[replica])
@@ -397,10 +411,10 @@
         return self._is_answering(target, now)
 
     def is_answering(self, replica: _ids.ReplicaId) -> bool:
-        """Say whether a replica can be asked, if only for what it holds.
+        """Return whether a replica answers requests, new ones or not.
 
-        One that leaves or is drained still answers, and holds contexts that
-        others would read again.
+        One that is leaving or drained still does. It has contexts in its
+        cache that other replicas can fetch instead of recomputing them.
         """
         target = self.target_by_replica.get(replica)
         if target is None:
@@ -413,14 +427,14 @@
         health = self._health_by_replica.get(target.replica)
         if health is None:
             return True
-        if now < health.held_until or now < health.avoid_until:
+        if now < health.held_out_until or now < health.avoid_until:
             return False
         if health.state not in _UNUSABLE:
             return True
         return target.incarnation > health.incarnation
 
     def state_of(self, replica: _ids.ReplicaId) -> messages.FactState:
-        """Give what is known of a replica's state."""
+        """Return the last known state of a replica."""
         health = self._health_by_replica.get(replica)
         return messages.FactState.live if health is None else health.state
 
@@ -428,6 +442,6 @@
         return self._health_by_replica.setdefault(replica, _Health())
 
     def _notify(self) -> None:
-        self._choice_by_group.clear()
+        self._candidates_by_group.clear()
         for callback in self._callbacks:
             callback()
--- a/src/topazlug/targets/_zone_reachability.py
+++ b/src/topazlug/targets/_zone_reachability.py
@@ -1,10 +1,10 @@
-"""Which availability zones this daemon has a way to.
+"""Availability zones that this daemon can connect to.
 
-Load pattern: two zones can't reach each other, or one is dark, and a third of
-all replicas takes no connection. Each of them costs a request the whole time
-that a connection may take, again and again; found out one by one, for seconds
-every third request comes late. So silence of two replicas of a zone, with no
-answer of any other between, is taken for that of the zone.
+When a zone is down, or the network between two zones is, a third of all
+replicas accept no connection, and each request sent to one of them waits for
+the whole connect timeout. If these replicas were detected one at a time, every
+third request would be late for seconds. So two replicas of a zone that time
+out, with no answer from the zone in between, make the whole zone unreachable.
 """
 
 from typing import final
@@ -13,24 +13,24 @@
 from topazlug import _ids
 from topazlug.targets import _target
 
-# Replicas of one zone whose silence is the zone's.
-_SILENT_REPLICAS = 2
-# A zone is left alone for so long, then tried with the next requests; one more
-# silence leaves it alone for twice as long.
-_FIRST_SECONDS = 1.0
-_LONGEST_SECONDS = 4.0
+# Replicas of a zone that must time out before the zone counts as unreachable.
+_MIN_TIMED_OUT_REPLICAS = 2
+# After its backoff a zone is tried with the next requests. One more timeout
+# doubles the backoff.
+_MIN_BACKOFF_SECONDS = 1.0
+_MAX_BACKOFF_SECONDS = 4.0
 
 
 class _Zone:
     def __init__(self) -> None:
-        self.silent: set[_ids.ReplicaId] = set()
-        self.seconds = 0.0
-        self.closed_until = 0.0
+        self.timed_out: set[_ids.ReplicaId] = set()
+        self.backoff = 0.0
+        self.unreachable_until = 0.0
 
 
 @final
 class ZoneReachability:
-    """Zones that take connections of this daemon.
+    """Tracks which zones accept connections from this daemon.
 
     Parameters
     ----------
@@ -43,31 +43,33 @@
         self._zone_by_name: dict[str, _Zone] = {}
 
     def note_answer(self, target: _target.Target) -> None:
-        """Note that a replica has answered."""
+        """Record that a replica has answered: its zone is reachable."""
         self._zone_by_name.pop(target.zone, None)
 
     def note_timeout(self, target: _target.Target) -> bool:
-        """Note that a replica did not take a connection, nor refuse it.
+        """Record that a connection to a replica timed out.
 
         Returns
         -------
         bool
-            Whether its zone is left alone from now on.
+            Whether this made its zone unreachable.
         """
         zone = self._zone_by_name.setdefault(target.zone, _Zone())
         now = self._clock.monotonic()
-        if now < zone.closed_until:
+        if now < zone.unreachable_until:
             return False
-        zone.silent.add(target.replica)
-        if not zone.seconds and len(zone.silent) < _SILENT_REPLICAS:
+        zone.timed_out.add(target.replica)
+        if not zone.backoff and len(zone.timed_out) < _MIN_TIMED_OUT_REPLICAS:
             return False
-        zone.seconds = min(
-            _LONGEST_SECONDS, max(_FIRST_SECONDS, 2 * zone.seconds)
+        zone.backoff = min(
+            _MAX_BACKOFF_SECONDS, max(_MIN_BACKOFF_SECONDS, 2 * zone.backoff)
         )
-        zone.closed_until = now + zone.seconds
+        zone.unreachable_until = now + zone.backoff
         return True
 
     def is_reachable(self, name: str) -> bool:
-        """Say whether a zone may be tried."""
+        """Return whether requests may be sent to a zone."""
         zone = self._zone_by_name.get(name)
-        return zone is None or self._clock.monotonic() >= zone.closed_until
+        return (
+            zone is None or self._clock.monotonic() >= zone.unreachable_until
+        )
--- a/tests/topazlug/targets/test_cold_replicas.py
+++ b/tests/topazlug/targets/test_cold_replicas.py
@@ -1,4 +1,4 @@
-"""Which replicas are taken to be cold, and until when."""
+"""Tests of which replicas count as cold, and for how long."""
 
 import msgspec
 import pytest
@@ -9,9 +9,9 @@
 from topazlug.targets import _cold_replicas
 from topazlug.targets import _targets
 
-SECONDS = 3.0
-PER_SECOND = 14.0
-START = _cold_replicas.ColdStart(SECONDS, PER_SECOND)
+COLD_SECONDS = 3.0
+MAX_RATE = 14.0
+COLD_START = _cold_replicas.ColdStart(COLD_SECONDS, MAX_RATE)
 
 
 @pytest.fixture
@@ -22,7 +22,7 @@
 @pytest.fixture
 def directory(clock):
     made = _targets.TargetDirectory(clock=clock, flap_window=10.0)
-    made.cold.set_cold_starts({fixtures.GROUP: START})
+    made.cold.set_cold_starts({fixtures.GROUP: COLD_START})
     return made
 
 
@@ -37,84 +37,84 @@
 
 
 class TestListed:
-    def test_warm_without_a_word(self, directory):
+    def test_not_cold_by_default(self, directory):
         directory.take_list([target()])
         assert max_request_rate(directory) is None
 
-    def test_cold_for_as_long_as_it_says(self, directory, clock):
+    def test_cold_for_the_reported_time(self, directory, clock):
         directory.take_list([target(2.5)])
-        assert max_request_rate(directory) == PER_SECOND
+        assert max_request_rate(directory) == MAX_RATE
         clock.advance(2.4)
         directory.take_list([target(2.5)])
-        assert max_request_rate(directory) == PER_SECOND
+        assert max_request_rate(directory) == MAX_RATE
         clock.advance(0.2)
         assert max_request_rate(directory) is None
 
-    def test_warm_once_it_says_so(self, directory):
+    def test_not_cold_once_reported_so(self, directory):
         directory.take_list([target(2.5)])
         directory.take_list([target(0.0)])
         assert max_request_rate(directory) is None
 
-    def test_cold_again_without_a_start(self, directory):
+    def test_cold_again_without_a_restart(self, directory):
         directory.take_list([target()])
         directory.take_list([target(2.9)])
-        assert max_request_rate(directory) == PER_SECOND
+        assert max_request_rate(directory) == MAX_RATE
 
-    def test_another_start_that_says_the_same(self, directory, clock):
+    def test_restart_with_the_same_report(self, directory, clock):
         directory.take_list([target(2.5)])
         clock.advance(10.0)
         assert max_request_rate(directory) is None
         directory.take_list([target(2.5, incarnation=2)])
-        assert max_request_rate(directory) == PER_SECOND
+        assert max_request_rate(directory) == MAX_RATE
 
     @pytest.mark.parametrize("per_second", [0.0, -1.0])
-    def test_group_without_a_bound(self, directory, per_second):
-        start = _cold_replicas.ColdStart(SECONDS, per_second)
+    def test_group_without_a_limit(self, directory, per_second):
+        start = _cold_replicas.ColdStart(COLD_SECONDS, per_second)
         directory.cold.set_cold_starts({fixtures.GROUP: start})
         directory.take_list([target(2.5)])
         assert max_request_rate(directory) is None
 
-    def test_other_groups_are_never_cold(self, directory):
+    def test_unconfigured_group_is_never_cold(self, directory):
         directory.cold.set_cold_starts({})
         directory.take_list([target(2.5)])
         directory.cold.presume_cold([target()])
         assert max_request_rate(directory) is None
 
 
-class TestSuspected:
-    """Symptom: a replica crashes again in the second in which it is back.
+class TestPresumed:
+    """A restarted replica must count as cold before its entry shows it.
 
-    Sequence of events: it crashes and starts again before its entry lapses;
-    its next entry, which says that it is cold, comes a second later. Cause:
-    until then it was taken to be as warm as before.
+    A replica that crashed and restarted before its entry expired received its
+    usual load and crashed again: its next entry, which reported it as cold,
+    arrived only a second later.
     """
 
-    def test_one_that_took_no_connection(self, directory, clock):
+    def test_replica_that_refused_a_connection(self, directory, clock):
         directory.take_list([target()])
         directory.cold.presume_cold([target()])
-        assert max_request_rate(directory) == PER_SECOND
-        clock.advance(SECONDS)
-        assert max_request_rate(directory) == PER_SECOND
+        assert max_request_rate(directory) == MAX_RATE
+        clock.advance(COLD_SECONDS)
+        assert max_request_rate(directory) == MAX_RATE
         clock.advance(2.0)
         assert max_request_rate(directory) is None
 
-    def test_its_entry_of_before_says_nothing(self, directory):
+    def test_unchanged_entry_has_no_effect(self, directory):
         directory.take_list([target()])
         directory.cold.presume_cold([target()])
         directory.take_list([target()])
-        assert max_request_rate(directory) == PER_SECOND
+        assert max_request_rate(directory) == MAX_RATE
 
-    def test_zone_that_is_taken_back(self, directory):
+    def test_zone_that_is_no_longer_drained(self, directory):
         directory.take_list([target()])
         directory.set_drains(_targets.Drains(zones=frozenset({"z"})))
         assert max_request_rate(directory) is None
         directory.set_drains(_targets.Drains())
-        assert max_request_rate(directory) == PER_SECOND
+        assert max_request_rate(directory) == MAX_RATE
 
-    def test_nothing_is_kept_of_those_that_are_gone(self, directory):
+    def test_removed_replicas_are_discarded(self, directory):
         directory.take_list([target(2.5)])
         directory.cold.presume_cold([target()])
         directory.take_list([])
         directory.cold.presume_cold([target()])
-        assert not directory.cold._listed_until
-        assert not directory.cold._suspected_until
+        assert not directory.cold._reported_until
+        assert not directory.cold._presumed_until
--- a/tests/topazlug/targets/test_reported_states.py
+++ b/tests/topazlug/targets/test_reported_states.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves, and for how long it counts."""
+"""Tests of the states that targets report, and for how long they apply."""
 
 import logbook
 import pytest
@@ -8,9 +8,9 @@
 from topazlug.targets import _reported_states
 from topazlug.targets import _target_report
 
-LEAVES = _target_report.TargetReport(leaving=True)
+LEAVING = _target_report.TargetReport(leaving=True)
 TARGET = fixtures.target("i-1")
-NEXT_START = fixtures.target("i-1", incarnation=2)
+RESTARTED = fixtures.target("i-1", incarnation=2)
 OTHER = fixtures.target("i-2")
 
 
@@ -24,65 +24,63 @@
     return _reported_states.ReportedStates(clock=clock)
 
 
-def wants(seconds):
+def backoff(seconds):
     return _target_report.TargetReport(backoff=seconds)
 
 
 class TestLeaving:
-    def test_counts_for_the_start_that_said_it(self, reported):
-        assert reported.note(TARGET, LEAVES)
+    def test_applies_only_to_the_reporting_process(self, reported):
+        assert reported.note(TARGET, LEAVING)
         assert reported.is_leaving(TARGET)
         assert not reported.is_leaving(OTHER)
-        assert not reported.is_leaving(NEXT_START)
+        assert not reported.is_leaving(RESTARTED)
 
-    def test_does_not_end_with_time_or_with_another_answer(
-        self, reported, clock
-    ):
-        reported.note(TARGET, LEAVES)
+    def test_does_not_expire_and_is_not_revoked(self, reported, clock):
+        reported.note(TARGET, LEAVING)
         clock.advance(3600.0)
         reported.note(TARGET, _target_report.EMPTY_REPORT)
         assert reported.is_leaving(TARGET)
 
-    def test_is_news_once(self, reported):
-        reported.note(TARGET, LEAVES)
+    def test_repeated_report_is_no_change(self, reported):
+        reported.note(TARGET, LEAVING)
         with logbook.TestHandler() as logs:
-            assert not reported.note(TARGET, LEAVES)
+            assert not reported.note(TARGET, LEAVING)
         assert not logs.records
 
 
 class TestBackoff:
-    def test_lasts_as_long_as_was_asked_for(self, reported, clock):
-        assert reported.note(TARGET, wants(3.0))
+    def test_lasts_for_the_requested_time(self, reported, clock):
+        assert reported.note(TARGET, backoff(3.0))
         clock.advance(2.9)
         assert reported.remaining_backoff(TARGET) == pytest.approx(0.1)
         clock.advance(0.1)
         assert reported.remaining_backoff(TARGET) == 0.0
 
-    def test_counts_for_the_start_that_asked(self, reported):
-        reported.note(TARGET, wants(3.0))
+    def test_applies_only_to_the_requesting_process(self, reported):
+        reported.note(TARGET, backoff(3.0))
         assert reported.remaining_backoff(OTHER) == 0.0
-        assert reported.remaining_backoff(NEXT_START) == 0.0
+        assert reported.remaining_backoff(RESTARTED) == 0.0
 
     def test_is_never_shortened(self, reported, clock):
-        reported.note(TARGET, wants(3.0))
+        reported.note(TARGET, backoff(3.0))
         clock.advance(1.0)
-        assert not reported.note(TARGET, wants(0.5))
+        assert not reported.note(TARGET, backoff(0.5))
         assert not reported.note(TARGET, _target_report.EMPTY_REPORT)
         assert reported.remaining_backoff(TARGET) == pytest.approx(2.0)
 
-    def test_is_prolonged(self, reported, clock):
-        reported.note(TARGET, wants(3.0))
+    def test_is_extended(self, reported, clock):
+        reported.note(TARGET, backoff(3.0))
         clock.advance(1.0)
-        assert reported.note(TARGET, wants(3.0))
+        assert reported.note(TARGET, backoff(3.0))
         assert reported.remaining_backoff(TARGET) == pytest.approx(3.0)
 
 
-class TestMemory:
-    def test_forgets_the_starts_that_were_quiet_longest(
+class TestEviction:
+    def test_least_recently_changed_processes_are_evicted(
         self, reported, monkeypatch
     ):
-        monkeypatch.setattr(_reported_states, "_MOST_STARTS", 2)
+        monkeypatch.setattr(_reported_states, "_MAX_PROCESSES", 2)
         for name in ("i-1", "i-2", "i-3"):
-            reported.note(fixtures.target(name), LEAVES)
+            reported.note(fixtures.target(name), LEAVING)
         assert not reported.is_leaving(fixtures.target("i-1"))
         assert reported.is_leaving(fixtures.target("i-3"))
--- a/tests/topazlug/targets/test_target_client.py
+++ b/tests/topazlug/targets/test_target_client.py
@@ -1,4 +1,4 @@
-"""One request, its own answer, or a failure that shows."""
+"""Tests that a request gets its own complete answer, or a visible failure."""
 
 import gevent
 import pytest
@@ -54,7 +54,7 @@
 
 
 def answering(*answers):
-    """Give one answer for each request, on one connection."""
+    """Send one answer for each request, on one connection."""
 
     def script(sock):
         for answer in answers:
@@ -67,7 +67,7 @@
 
 
 class TestExchange:
-    def test_connection_is_reused_after_a_whole_answer(
+    def test_connection_is_reused_after_a_complete_answer(
         self, connections, serve
     ):
         accepted = []
@@ -84,11 +84,11 @@
 
     @pytest.mark.parametrize("echoed", [True, False])
     def test_second_answer_in_the_same_bytes(self, connections, serve, echoed):
-        """Symptom: a caller reads another caller's words after its own.
+        """A second answer must not be appended to the first one.
 
-        Sequence: a target sends a late answer right behind this one, and
-        both arrive at once. Cause: the library's parser goes on with the
-        second answer and adds its body to the first one's.
+        When a target sends a late answer directly after this one and both
+        arrive at once, the library's parser appends the second body to the
+        first, so that a caller receives data of another caller.
         """
         ids = ["X-Request-Id: r1", "X-Request-Id: r0"] if echoed else ["", ""]
         mine, other = [
@@ -101,10 +101,12 @@
             assert body_of(answer) == b"mine"
 
     @pytest.mark.parametrize("garbage", [b"\x00\x17 no HTTP", b"HTTP/1.1 2"])
-    def test_garbage_behind_a_whole_answer(self, connections, serve, garbage):
-        """Symptom: an answer that came whole is reported as broken.
+    def test_garbage_after_a_complete_answer(
+        self, connections, serve, garbage
+    ):
+        """A complete answer must not fail because of bytes after it.
 
-        Cause: bytes behind the answer were read with its last ones.
+        This happened when they were received together with its last bytes.
         """
         answers = [wire_fixtures.http_answer(b"one") + garbage]
         target = serve(answering(*answers))
@@ -113,19 +115,19 @@
             assert body_of(answer) == b"one"
 
     def test_bytes_on_an_idle_connection(self, connections, serve):
-        """Symptom: a caller gets an answer to a question it never asked.
+        """A stray answer on an idle connection must not reach a caller.
 
-        Sequence: an answer is read whole, its connection kept; then the
-        target sends another answer nobody asked for; the next request takes
-        the connection. Cause: those bytes wait on it.
+        After a complete answer, the target sends another one without a
+        request. Its bytes would be read by the next request that reuses the
+        connection.
         """
-        speak = gevent.event.Event()
+        send_stray = gevent.event.Event()
 
         def script(sock):
             wire_fixtures.read_request(sock)
             sock.sendall(wire_fixtures.http_answer(b"one"))
-            if not speak.is_set():
-                speak.wait()
+            if not send_stray.is_set():
+                send_stray.wait()
                 sock.sendall(wire_fixtures.http_answer(b"stray"))
             wire_fixtures.read_request(sock)
 
@@ -134,17 +136,17 @@
         assert body_of(answer) == b"one"
         (idle,) = connections._idle_by_address.values()
         (kept,) = idle._idle
-        speak.set()
+        send_stray.set()
         gevent.socket.wait_read(kept.connection.fileno())
         answer = connections.exchange(target, request(), head_timeout=5)
         assert body_of(answer) == b"one"
 
-    def test_head_that_comes_before_its_body(self, connections, serve):
-        """Symptom: requests fail with "incomplete response" as they start.
+    def test_head_that_arrives_before_its_body(self, connections, serve):
+        """A head in a packet of its own must not end the answer.
 
-        Sequence: the head of an answer arrives in a packet of its own, the
-        body later. Cause: the parser was handed the no bytes behind the
-        head, and took them for the end of the connection.
+        Requests failed with "incomplete response", because the parser was
+        fed the empty rest after the head and took it for the end of the
+        connection.
         """
         go_on = gevent.event.Event()
 
@@ -158,12 +160,12 @@
         go_on.set()
         assert body_of(answer) == b"one"
 
-    def test_second_answer_of_a_target_that_repeats(self, serve):
-        """Symptom: the request after a doubled answer fails.
+    def test_repeated_answer_is_discarded(self, serve):
+        """The request after a repeated answer must not fail.
 
-        Sequence: a target answers a request twice, the second time only
-        when the connection's next request is there, then answers that one.
-        Cause: the late answer was taken for a failure of the next request.
+        The target answers a request a second time when the connection's next
+        request arrives, and then answers that one. The repeated answer was
+        treated as a failure of the next request.
         """
 
         class Wire(_target_wire.ProductWire):
@@ -187,12 +189,12 @@
             assert body_of(answer) == body
         made.close()
 
-    def test_answer_before_the_whole_body_was_read(self, connections, serve):
-        """Symptom: the rest of a body is missing at its target.
+    def test_answer_before_the_body_was_read(self, connections, serve):
+        """A connection must not be reused before the body was sent.
 
-        Sequence: the target answers early and reads the body later; the
-        next request goes out on the same connection. Cause: the connection
-        was kept although the body had not gone out whole.
+        The target answers early and reads the body later. The next request
+        was sent on the same connection, and the target took it for the rest
+        of the body.
         """
         sockets = []
 
@@ -216,9 +218,10 @@
         assert len(sockets) == 2
 
     def test_idle_connection_is_closed_after_a_minute(self, serve):
-        """Symptom: a daemon runs out of descriptors though little runs.
+        """Idle connections must expire.
 
-        Cause: a kept connection to each of thousands of targets.
+        With one to each of thousands of targets, a daemon ran out of file
+        descriptors under little load.
         """
         clock = claim_fakes.FakeClock()
         made = _target_client.TargetConnections(
@@ -234,10 +237,7 @@
         assert not made._idle_by_address
 
     def test_idle_connection_that_the_target_closed(self, connections, serve):
-        """Symptom: the first request after a quiet spell fails.
-
-        Cause: the target closed the kept connection meanwhile.
-        """
+        """A connection that the target closed while idle is not reused."""
         target = serve(answering(wire_fixtures.http_answer(b"one")))
         connections.exchange(target, request(), head_timeout=5)
         answer = connections.exchange(target, request(), head_timeout=5)
@@ -247,7 +247,7 @@
         "echo",
         [("X-Request-Id: other",), ("X-Request-Id: r1", "X-Request-Id: r2")],
     )
-    def test_answer_to_another_request_is_dropped(
+    def test_answer_to_another_request_is_a_failure(
         self, connections, serve, echo
     ):
         target = serve(answering(wire_fixtures.http_answer(b"x", *echo)))
@@ -255,7 +255,7 @@
             connections.exchange(target, request(), head_timeout=5)
         assert caught.value.outcome is UNKNOWN
 
-    def test_refusal_is_certain(self, connections, serve):
+    def test_rejected_request_did_not_run(self, connections, serve):
         refusal = wire_fixtures.http_answer(
             b"", "X-Not-Run: true", status="503 Busy"
         )
@@ -264,7 +264,7 @@
             connections.exchange(target, request(), head_timeout=5)
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
 
-    def test_fresh_request_takes_no_kept_connection(self, connections, serve):
+    def test_fresh_request_uses_no_idle_connection(self, connections, serve):
         accepted = []
 
         def script(sock):
@@ -280,22 +280,22 @@
         assert len(accepted) == 2
 
     def test_nothing_is_sent_after_the_deadline(self, connections, serve):
-        """Symptom: a slip is printed long after the deadline.
+        """The deadline must be checked after connecting.
 
-        Sequence: the daemon is frozen while it connects and thawed later.
-        Cause: the deadline was looked at before the connection was there.
+        A daemon that was suspended while it connected sent the request long
+        after its deadline.
         """
-        heard = []
-        target = serve(lambda sock: heard.append(sock.recv(1)))
+        received = []
+        target = serve(lambda sock: received.append(sock.recv(1)))
         with pytest.raises(_errors.DeadlineExceeded) as caught:
             connections.exchange(
                 target, request(), head_timeout=5, deadline=0.0
             )
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
-        fixtures.wait_until(lambda: bool(heard))
-        assert heard == [b""]
+        fixtures.wait_until(lambda: bool(received))
+        assert received == [b""]
 
-    def test_no_listener_means_nothing_sent(self, connections):
+    def test_refused_connection(self, connections):
         with pytest.raises(_target_client.ConnectFailed):
             connections.exchange(
                 fixtures.target("t", port=1), request(), head_timeout=5
@@ -303,7 +303,7 @@
 
 
 def trickle(first, byte):
-    """Send something, then a byte now and then for ever."""
+    """Send something, then the same bytes every few milliseconds."""
 
     def script(sock):
         wire_fixtures.read_request(sock)
@@ -316,12 +316,12 @@
 
 
 class TestDeadline:
-    """Symptom: a caller hears nothing long after its deadline.
+    """A request must end at its deadline, even if bytes still arrive.
 
-    Cause: each byte that trickles in begins the wait for silence anew.
+    Each received byte restarted the receive timeout.
     """
 
-    def test_head_that_trickles(self, connections, serve):
+    def test_slow_head(self, connections, serve):
         target = serve(trickle(b"HTTP/1.1 200 OK\r\nX-A: ", b"a"))
         deadline = _clock.SystemClock().monotonic() + 0.05
         with pytest.raises(_errors.DeadlineExceeded) as caught:
@@ -330,7 +330,7 @@
             )
         assert caught.value.outcome is UNKNOWN
 
-    def test_body_that_trickles(self, connections, serve):
+    def test_slow_body(self, connections, serve):
         target = serve(trickle(CHUNKED, b"1\r\na\r\n"))
         answer = connections.exchange(target, request(), head_timeout=5)
         deadline = _clock.SystemClock().monotonic() + 0.05
@@ -354,7 +354,7 @@
             CHUNKED + b"4\r\nhalf\r\nzz\r\n",
         ],
     )
-    def test_cut_body_is_an_error(self, connections, serve, part):
+    def test_truncated_body_is_an_error(self, connections, serve, part):
         def script(sock):
             wire_fixtures.read_request(sock)
             sock.sendall(part)
@@ -368,7 +368,7 @@
     @pytest.mark.parametrize(
         "part", [b"", b"HTTP/1.1 200", b"\x00\xff no HTTP\r\n\r\n"]
     )
-    def test_no_head_is_a_failure(self, connections, serve, part):
+    def test_missing_head_is_a_failure(self, connections, serve, part):
         def script(sock):
             wire_fixtures.read_request(sock)
             sock.sendall(part)
@@ -379,15 +379,15 @@
         assert caught.value.outcome is UNKNOWN
 
 
-class TestEndStart:
-    """Symptom: requests wait on a replica that has started again.
+class TestDropConnections:
+    """Requests must not wait on connections to a process that has ended.
 
-    Sequence: a replica crashes behind a cut and starts again under its id;
-    its connections fall silent without a reset. Cause: they were only given
-    up at the request's deadline.
+    A replica crashed behind a network partition and restarted under its id.
+    Its connections got no reset, and requests on them waited until their
+    deadlines.
     """
 
-    def test_what_waits_fails_at_once(self, connections, serve):
+    def test_waiting_request_fails_at_once(self, connections, serve):
         def script(sock):
             wire_fixtures.read_request(sock)
             gevent.sleep(60)
@@ -396,15 +396,15 @@
         waiting = gevent.spawn(
             connections.exchange, target, request(), head_timeout=30
         )
-        fixtures.wait_until(lambda: bool(connections._in_use_by_start))
+        fixtures.wait_until(lambda: bool(connections._in_use_by_process))
         gevent.sleep(0.05)
         connections.drop_connections(target)
         with pytest.raises(_errors.TargetFailed) as caught:
             waiting.get(timeout=5)
         assert caught.value.outcome is UNKNOWN
-        assert not connections._in_use_by_start
+        assert not connections._in_use_by_process
 
-    def test_idle_connections_are_not_used_again(self, connections, serve):
+    def test_idle_connections_are_not_reused(self, connections, serve):
         accepted = []
 
         def script(sock):
@@ -417,4 +417,4 @@
             assert body_of(answer) == b"x"
             connections.drop_connections(target)
         assert len(accepted) == 2
-        assert not connections._in_use_by_start
+        assert not connections._in_use_by_process
--- a/tests/topazlug/targets/test_target_poller.py
+++ b/tests/topazlug/targets/test_target_poller.py
@@ -1,4 +1,4 @@
-"""An owner's look at its replicas."""
+"""Tests of polling owned replicas."""
 
 import pytest
 
@@ -15,8 +15,8 @@
 R1 = _ids.ReplicaId("r1")
 
 
-class Watched:
-    """One target and the watch that looks at it."""
+class PolledTarget:
+    """A target, and the poller that polls it."""
 
     def __init__(self):
         self.document = {"running": 3}
@@ -28,11 +28,11 @@
             [fixtures.target(R1, port=self.server.server_port)]
         )
         self.loads = []
-        self.told = []
+        self.published = []
         self.connections = _target_client.TargetConnections(
             connect_timeout=1.0, clock=_clock.SystemClock()
         )
-        self.watch = _target_poller.TargetPoller(
+        self.poller = _target_poller.TargetPoller(
             owned=lambda: [R1],
             targets=self.directory,
             connections=self.connections,
@@ -48,64 +48,64 @@
         return _http.json_answer(200, self.document)
 
     def publish_target(self, replica, *, incarnation, state):
-        self.told.append(state)
+        self.published.append(state)
         self.directory.apply_fact(
             messages.Fact(
                 kind=messages.FactKind.target,
                 subject=replica,
                 incarnation=incarnation,
-                sequence=len(self.told),
+                sequence=len(self.published),
                 state=state,
             )
         )
 
     def poll(self, times=1):
         for _ in range(times):
-            self.watch.poll(R1)
+            self.poller.poll(R1)
 
 
 @pytest.fixture
-def watched():
-    made = Watched()
+def polled():
+    made = PolledTarget()
     yield made
     made.server.stop(timeout=0)
     made.connections.close()
 
 
-class TestLook:
-    def test_load_is_reported(self, watched):
-        watched.poll(2)
-        assert watched.loads == [3, 3]
-        assert watched.told == []
+class TestPoll:
+    def test_load_is_reported(self, polled):
+        polled.poll(2)
+        assert polled.loads == [3, 3]
+        assert polled.published == []
 
-    def test_leaving_is_told_once(self, watched):
-        watched.document = {"running": 3, "state": "leaving"}
-        watched.poll(3)
-        assert watched.told == [STATE.leaving]
+    def test_leaving_is_published_once(self, polled):
+        polled.document = {"running": 3, "state": "leaving"}
+        polled.poll(3)
+        assert polled.published == [STATE.leaving]
 
-    def test_refused_connections_mean_dead(self, watched):
-        watched.server.stop(timeout=0)
-        watched.poll()
-        assert watched.told == []
-        watched.poll(2)
-        assert watched.told == [STATE.dead]
+    def test_refused_connections_mean_dead(self, polled):
+        polled.server.stop(timeout=0)
+        polled.poll()
+        assert polled.published == []
+        polled.poll(2)
+        assert polled.published == [STATE.dead]
 
     @pytest.mark.parametrize("document", [None, {}, {"running": "many"}, []])
-    def test_silence_and_nonsense_mean_dead_later(self, watched, document):
-        watched.document = document
-        watched.poll(3)
-        assert watched.told == []
-        watched.poll(2)
-        assert watched.told == [STATE.dead]
-
-    def test_dead_target_that_answers_is_live(self, watched):
-        watched.document = None
-        watched.poll(4)
-        watched.document = {"running": 0}
-        watched.poll()
-        assert watched.told == [STATE.dead, STATE.live]
-
-    def test_target_that_is_gone(self, watched):
-        watched.directory.take_list([])
-        watched.poll()
-        assert watched.loads == []
+    def test_invalid_answers_mean_dead_later(self, polled, document):
+        polled.document = document
+        polled.poll(3)
+        assert polled.published == []
+        polled.poll(2)
+        assert polled.published == [STATE.dead]
+
+    def test_dead_target_that_answers_is_live(self, polled):
+        polled.document = None
+        polled.poll(4)
+        polled.document = {"running": 0}
+        polled.poll()
+        assert polled.published == [STATE.dead, STATE.live]
+
+    def test_target_that_is_no_longer_listed(self, polled):
+        polled.directory.take_list([])
+        polled.poll()
+        assert polled.loads == []
--- a/tests/topazlug/targets/test_target_report.py
+++ b/tests/topazlug/targets/test_target_report.py
@@ -1,4 +1,4 @@
-"""Which backoff an answer asks for."""
+"""Tests of the backoff that an answer requests."""
 
 import pytest
 
@@ -36,15 +36,15 @@
             "Wed, 21 Oct 2026 07:28:00 GMT",
         ],
     )
-    def test_no_number_of_seconds_asks_for_nothing(self, value):
+    def test_other_values_are_ignored(self, value):
         assert _target_report.parse_backoff(503, [value]) == 0.0
 
     @pytest.mark.parametrize("status", [200, 421, 429, 500, 502, 504])
-    def test_only_503_asks_for_one(self, status):
+    def test_only_503_requests_one(self, status):
         assert _target_report.parse_backoff(status, ["3"]) == 0.0
 
-    def test_longest_of_several_counts(self):
+    def test_longest_of_several_applies(self):
         assert _target_report.parse_backoff(503, ["1", "x", "4", "2"]) == 4.0
 
-    def test_none_asked_for(self):
+    def test_none_requested(self):
         assert _target_report.parse_backoff(503, []) == 0.0
--- a/tests/topazlug/targets/test_target_runs.py
+++ b/tests/topazlug/targets/test_target_runs.py
@@ -1,4 +1,4 @@
-"""What runs on a target, and how its runs end."""
+"""Tests of the tracking of runs and their ends."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 ENDS = _target_runs.RunEnd
 TARGET = fixtures.target("i-1")
-START = _target.process_of(TARGET)
+PROCESS = _target.process_of(TARGET)
 
 
 @pytest.fixture
@@ -19,12 +19,12 @@
 
 
 @pytest.fixture
-def book(clock):
+def tracker(clock):
     return _target_runs.RunTracker(clock=clock)
 
 
-def begin(book, name="f1", target=TARGET):
-    return book.begin(
+def begin(tracker, name="f1", target=TARGET):
+    return tracker.begin(
         target,
         fingerprint=_ids.Fingerprint(name),
         attempt=f"of {name}",
@@ -32,48 +32,51 @@
 
 
 class TestRuns:
-    def test_run_in_progress(self, book):
-        run = begin(book)
-        assert book.running(START) == [run]
-        assert book.broken(START, seconds=1.0) == []
+    def test_run_in_progress(self, tracker):
+        run = begin(tracker)
+        assert tracker.running(PROCESS) == [run]
+        assert tracker.broken(PROCESS, seconds=1.0) == []
 
     @pytest.mark.parametrize("end", [ENDS.WHOLE, ENDS.NOT_RUN])
-    def test_run_that_ended_well_is_forgotten(self, book, end):
-        book.finish(begin(book), end, status=200)
-        assert book.running(START) == []
-        assert book.broken(START, seconds=1.0) == []
+    def test_run_that_did_not_break_is_discarded(self, tracker, end):
+        tracker.finish(begin(tracker), end, status=200)
+        assert tracker.running(PROCESS) == []
+        assert tracker.broken(PROCESS, seconds=1.0) == []
 
     @pytest.mark.parametrize("end", [ENDS.LOST, ENDS.SILENT, ENDS.LEFT])
-    def test_broken_run_is_kept_for_a_while(self, book, clock, end):
-        run = begin(book)
-        book.finish(run, end)
+    def test_broken_run_is_kept_for_a_while(self, tracker, clock, end):
+        run = begin(tracker)
+        tracker.finish(run, end)
         clock.advance(0.5)
-        assert book.broken(START, seconds=1.0) == [run]
+        assert tracker.broken(PROCESS, seconds=1.0) == [run]
         clock.advance(1.0)
-        assert book.broken(START, seconds=1.0) == []
+        assert tracker.broken(PROCESS, seconds=1.0) == []
 
-    def test_first_end_counts(self, book):
+    def test_first_end_counts(self, tracker):
         ended = []
-        book.on_end(ended.append)
-        run = begin(book)
-        book.finish(run, ENDS.WHOLE, status=200)
-        book.finish(run, ENDS.LEFT)
+        tracker.on_end(ended.append)
+        run = begin(tracker)
+        tracker.finish(run, ENDS.WHOLE, status=200)
+        tracker.finish(run, ENDS.LEFT)
         assert (run.end, ended) == (ENDS.WHOLE, [run])
 
-    def test_starts_of_a_replica_are_kept_apart(self, book):
-        again = fixtures.target("i-1", incarnation=2)
-        run = begin(book, target=again)
-        assert book.running(START) == []
-        assert book.running(_target.process_of(again)) == [run]
+    def test_processes_of_a_replica_are_separate(self, tracker):
+        restarted = fixtures.target("i-1", incarnation=2)
+        run = begin(tracker, target=restarted)
+        assert tracker.running(PROCESS) == []
+        assert tracker.running(_target.process_of(restarted)) == [run]
 
-    def test_what_is_kept_is_bounded(self, book, clock):
+    def test_broken_runs_are_bounded(self, tracker, clock):
         for _ in range(200):
-            book.finish(begin(book), ENDS.LOST)
-        assert len(book.broken(START, seconds=1.0)) == 64
+            tracker.finish(begin(tracker), ENDS.LOST)
+        assert len(tracker.broken(PROCESS, seconds=1.0)) == 64
         clock.advance(_target_runs.RETENTION_SECONDS + 1)
         other = fixtures.target("i-2")
-        book.finish(begin(book, target=other), ENDS.LOST)
-        assert book.broken(START, seconds=_target_runs.RETENTION_SECONDS) == []
+        tracker.finish(begin(tracker, target=other), ENDS.LOST)
+        assert (
+            tracker.broken(PROCESS, seconds=_target_runs.RETENTION_SECONDS)
+            == []
+        )
 
     @pytest.mark.parametrize(
         "end, status, is_success",
@@ -84,7 +87,9 @@
             (ENDS.LOST, 200, False),
         ],
     )
-    def test_success_is_a_whole_answer(self, book, end, status, is_success):
-        run = begin(book)
-        book.finish(run, end, status=status)
+    def test_success_requires_a_complete_answer(
+        self, tracker, end, status, is_success
+    ):
+        run = begin(tracker)
+        tracker.finish(run, end, status=status)
         assert run.is_success is is_success
--- a/tests/topazlug/targets/test_targets.py
+++ b/tests/topazlug/targets/test_targets.py
@@ -1,4 +1,4 @@
-"""Which targets may get new work, by whichever sign comes first."""
+"""Tests of which targets are usable, depending on all sources of state."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 from topazlug.targets import _targets
 
 STATE = messages.FactState
-LEAVES = _target_report.TargetReport(leaving=True)
+LEAVING = _target_report.TargetReport(leaving=True)
 BACKOFF = _target_report.TargetReport(backoff=3.0)
 
 
@@ -42,8 +42,8 @@
 
 
 class TestBackoff:
-    def test_no_work_of_this_daemon_until_it_is_over(self, directory, clock):
-        """Requests reach a replica that has asked for a backoff."""
+    def test_not_usable_until_it_ends(self, directory, clock):
+        """A replica must get no requests while it is in backoff."""
         assert usable(directory) == ["r1", "r2"]
         directory.handle_report(fixtures.target("r1"), BACKOFF)
         assert usable(directory) == ["r2"]
@@ -54,12 +54,12 @@
         assert usable(directory) == ["r1", "r2"]
         assert directory.is_usable("r1")
 
-    def test_others_may_send_work(self, directory):
+    def test_stays_in_service_for_other_daemons(self, directory):
         directory.handle_report(fixtures.target("r1"), BACKOFF)
         assert directory.in_service(fixtures.POOL) == ["r1", "r2"]
         assert directory.is_in_service("r1")
 
-    def test_seconds_until_the_first_is_over(self, directory, clock):
+    def test_seconds_until_the_first_ends(self, directory, clock):
         until = directory.seconds_until_usable
         directory.handle_report(fixtures.target("r1"), BACKOFF)
         assert until(fixtures.POOL) == 0.0
@@ -70,30 +70,29 @@
 
     def test_no_seconds_where_none_is_in_service(self, directory):
         for name in ("r1", "r2"):
-            directory.handle_report(fixtures.target(name), LEAVES)
+            directory.handle_report(fixtures.target(name), LEAVING)
         assert directory.seconds_until_usable(fixtures.POOL) is None
 
-    def test_a_new_start_gets_work(self, directory):
+    def test_restarted_target_is_usable(self, directory):
         directory.handle_report(fixtures.target("r1"), BACKOFF)
         directory.take_list([fixtures.target("r1", incarnation=2)])
         assert usable(directory) == ["r1"]
 
 
-class TestSigns:
+class TestSources:
     def test_listed_targets_are_usable(self, directory):
         assert usable(directory) == ["r1", "r2"]
         assert directory.usable("none") == []
 
-    def test_list_says_leaving(self, directory):
+    def test_listed_as_leaving(self, directory):
         directory.take_list([fixtures.target("r1", leaving=True)])
         assert usable(directory) == []
 
     @pytest.mark.parametrize("state", [STATE.leaving, STATE.dead])
-    def test_fact_goes_before_the_lagging_list(self, directory, state):
-        """Symptom: a leaving target gets new work for half a minute.
+    def test_fact_overrides_the_lagging_list(self, directory, state):
+        """A leaving target must get no new requests while the list lags.
 
-        Sequence: it says that it leaves; the list still shows it live.
-        Cause: the list lags.
+        It got some for half a minute, as the list still showed it as live.
         """
         assert usable(directory) == ["r1", "r2"]
         directory.apply_fact(fact(state))
@@ -103,15 +102,15 @@
         )
         assert usable(directory) == ["r2"]
 
-    def test_new_incarnation_ends_the_leaving(self, directory):
+    def test_new_incarnation_is_not_leaving(self, directory):
         directory.apply_fact(fact(STATE.leaving))
         directory.take_list([fixtures.target("r1", incarnation=2)])
         assert usable(directory) == ["r1"]
 
-    def test_own_answer_goes_before_an_entry_that_is_old(self, directory):
-        """Requests reach a leaving replica while the store is away."""
+    def test_report_overrides_an_old_entry(self, directory):
+        """A leaving replica must get none while the store is unavailable."""
         assert usable(directory) == ["r1", "r2"]
-        directory.handle_report(fixtures.target("r1"), LEAVES)
+        directory.handle_report(fixtures.target("r1"), LEAVING)
         assert usable(directory) == ["r2"]
         assert not directory.is_usable("r1")
         directory.take_list(
@@ -119,37 +118,35 @@
         )
         assert usable(directory) == ["r2"]
 
-    def test_own_answer_counts_after_an_entry_has_lapsed(
+    def test_report_still_applies_after_its_entry_expired(
         self, directory, clock
     ):
-        """An entry that comes back after a lapse makes a replica usable."""
-        directory.handle_report(fixtures.target("r1"), LEAVES)
+        """An entry that expires and returns must not make it usable."""
+        directory.handle_report(fixtures.target("r1"), LEAVING)
         directory.take_list([fixtures.target("r2")])
         clock.advance(120.0)
         directory.take_list([fixtures.target("r2", slots=9)])
         directory.take_list([fixtures.target("r1"), fixtures.target("r2")])
         assert usable(directory) == ["r2"]
 
-    def test_own_answer_of_an_ended_start_counts_no_more(self, directory):
-        directory.handle_report(fixtures.target("r1"), LEAVES)
+    def test_report_of_an_ended_process_does_not_apply(self, directory):
+        directory.handle_report(fixtures.target("r1"), LEAVING)
         directory.take_list([fixtures.target("r1", incarnation=2)])
         assert usable(directory) == ["r1"]
 
-    def test_one_that_says_that_it_leaves_still_holds_contexts(
-        self, directory
-    ):
-        directory.handle_report(fixtures.target("r1"), LEAVES)
+    def test_leaving_target_still_answers(self, directory):
+        directory.handle_report(fixtures.target("r1"), LEAVING)
         assert directory.is_answering("r1")
 
-    def test_leaving_is_told_once(self, directory):
-        told = []
-        directory.on_report(lambda target, word: told.append(target.replica))
+    def test_report_callback_is_called_once(self, directory):
+        calls = []
+        directory.on_report(lambda target, _: calls.append(target.replica))
         for _ in range(2):
-            directory.handle_report(fixtures.target("r1"), LEAVES)
+            directory.handle_report(fixtures.target("r1"), LEAVING)
         directory.handle_report(
             fixtures.target("r2"), _target_report.EMPTY_REPORT
         )
-        assert told == ["r1"]
+        assert calls == ["r1"]
 
     @pytest.mark.parametrize(
         "drains",
@@ -158,7 +155,7 @@
             _targets.Drains(zones=frozenset({"z1"})),
         ],
     )
-    def test_operators_drain(self, directory, drains):
+    def test_drained_target_is_not_usable(self, directory, drains):
         directory.set_drains(drains)
         assert usable(directory) == ["r2"]
         directory.set_drains(_targets.Drains())
@@ -172,20 +169,20 @@
         clock.advance(1.01)
         assert usable(directory) == ["r1", "r2"]
 
-    def test_change_is_told_once(self, directory):
-        told = []
-        directory.on_change(lambda: told.append(1))
+    def test_change_callback_is_called_once(self, directory):
+        calls = []
+        directory.on_change(lambda: calls.append(1))
         for _ in range(2):
             directory.take_list([fixtures.target("r1")])
-        assert told == [1]
+        assert calls == [1]
 
 
 class TestFlapping:
-    def test_is_held_out_for_longer_each_time(self, directory, clock):
-        """Symptom: chats swing back and forth and lose their context.
+    def test_held_out_time_doubles(self, directory, clock):
+        """A flapping target must not take its chats back at once.
 
-        Sequence: a target dies and returns, again and again. Cause: each
-        return takes its chats back at once.
+        Its chats moved back and forth with each death and return, and lost
+        their cached context each time.
         """
         held = []
         for _ in range(5):
@@ -197,7 +194,7 @@
             held.append(clock.seconds - start)
         assert held == [0, 2, 4, 8, 16]
 
-    def test_is_forgiven_after_the_window(self, directory, clock):
+    def test_returns_before_the_window_do_not_count(self, directory, clock):
         for _ in range(2):
             directory.apply_fact(fact(STATE.dead))
             directory.apply_fact(fact(STATE.live))
--- a/tests/topazlug/targets/test_zone_reachability.py
+++ b/tests/topazlug/targets/test_zone_reachability.py
@@ -1,4 +1,4 @@
-"""Zones that a daemon leaves alone, and until when."""
+"""Tests of which zones count as unreachable, and for how long."""
 
 import msgspec
 import pytest
@@ -22,39 +22,37 @@
     return msgspec.structs.replace(fixtures.target(name), zone=zone)
 
 
-class TestZoneReach:
-    def test_one_silent_replica_is_no_silent_zone(self, reachability):
+class TestZoneReachability:
+    def test_one_replica_is_not_enough(self, reachability):
         for _ in range(5):
             reachability.note_timeout(target("i-1"))
         assert reachability.is_reachable("b")
 
-    def test_two_are(self, reachability):
+    def test_two_replicas_are_enough(self, reachability):
         assert not reachability.note_timeout(target("i-1"))
         assert reachability.note_timeout(target("i-2"))
         assert not reachability.is_reachable("b")
         assert reachability.is_reachable("a")
 
-    def test_two_with_an_answer_between_are_not(self, reachability):
+    def test_answer_in_between_resets_the_count(self, reachability):
         reachability.note_timeout(target("i-1"))
         reachability.note_answer(target("i-3"))
         reachability.note_timeout(target("i-2"))
         assert reachability.is_reachable("b")
 
-    def test_it_is_tried_again_and_left_alone_for_longer(
-        self, reachability, clock
-    ):
+    def test_backoff_doubles_up_to_a_maximum(self, reachability, clock):
         reachability.note_timeout(target("i-1"))
         reachability.note_timeout(target("i-2"))
-        closed = []
+        backoffs = []
         for _ in range(4):
             began = clock.monotonic()
             while not reachability.is_reachable("b"):
                 clock.advance(0.1)
-            closed.append(clock.monotonic() - began)
+            backoffs.append(clock.monotonic() - began)
             reachability.note_timeout(target("i-3"))
-        assert closed == pytest.approx([1.0, 2.0, 4.0, 4.0], abs=0.11)
+        assert backoffs == pytest.approx([1.0, 2.0, 4.0, 4.0], abs=0.11)
 
-    def test_silences_that_were_on_their_way_change_nothing(
+    def test_timeouts_during_the_backoff_have_no_effect(
         self, reachability, clock
     ):
         reachability.note_timeout(target("i-1"))
@@ -64,7 +62,7 @@
         clock.advance(1.1)
         assert reachability.is_reachable("b")
 
-    def test_answer_opens_it_at_once(self, reachability, clock):
+    def test_answer_makes_it_reachable_at_once(self, reachability, clock):
         reachability.note_timeout(target("i-1"))
         reachability.note_timeout(target("i-2"))
         reachability.note_answer(target("i-1"))
