--- a/bench/capacity/capacity_relay.py
+++ b/bench/capacity/capacity_relay.py
@@ -60,7 +60,7 @@
             target=self._target,
             request_id=request_id,
             answer=answer,
-            silence=20.0,
+            receive_timeout=20.0,
             deadline=_CLOCK.monotonic() + 120.0,
         )
         start_response("200 OK", [("Content-Type", "text/event-stream")])
--- a/src/topazlug/_daemon.py
+++ b/src/topazlug/_daemon.py
@@ -21,7 +21,7 @@
 from topazlug.callers import _caller_server
 from topazlug.callers import _callers
 from topazlug.calls import _attempts
-from topazlug.calls import _call_parts
+from topazlug.calls import _call_assembly
 from topazlug.calls import _chat_calls
 from topazlug.calls import _retry_budget
 from topazlug.calls import _service_calls
@@ -126,7 +126,7 @@
             clock=self.clock,
             max_kept_bytes=settings.limits.max_kept_answer_bytes,
         )
-        parts = _call_parts.CallParts(
+        assembly = _call_assembly.CallAssembly(
             attempts=attempts,
             admission=self.routing.admission,
             connections=self.routing.connections,
@@ -137,9 +137,9 @@
             clock=self.clock,
         )
         self.app = _callers.CallersApp(
-            chats=_chat_calls.ChatCalls(parts=parts, spawn=gevent.spawn),
+            chats=_chat_calls.ChatCalls(assembly=assembly, spawn=gevent.spawn),
             services=_service_calls.ServiceCalls(
-                parts=parts, claims=self.claims
+                assembly=assembly, claims=self.claims
             ),
             configuration=self.fleet.configuration,
             limits=settings.limits,
--- a/src/topazlug/calls/_call_parts.py
+++ b/src/topazlug/calls/_call_assembly.py
@@ -12,7 +12,7 @@
 from topazlug.telemetry import _metrics
 
 
-class CallParts(NamedTuple):
+class CallAssembly(NamedTuple):
     """Parts of the daemon that calls share.
 
     Attributes
--- a/src/topazlug/calls/_call_path.py
+++ b/src/topazlug/calls/_call_path.py
@@ -17,7 +17,7 @@
 from topazlug._generated import table
 from topazlug.callers import _caller_answer
 from topazlug.callers import _caller_request
-from topazlug.calls import _call_parts
+from topazlug.calls import _call_assembly
 from topazlug.limits import _quotas
 from topazlug.routing import _place
 from topazlug.targets import _target_answer
@@ -32,16 +32,16 @@
 
     Parameters
     ----------
-    parts : CallParts
+    assembly : CallAssembly
         What all calls share.
     log : Logger
         The kind's own.
     """
 
     def __init__(
-        self, *, parts: _call_parts.CallParts, log: logbook.Logger
+        self, *, assembly: _call_assembly.CallAssembly, log: logbook.Logger
     ) -> None:
-        self._parts = parts
+        self._parts = assembly
         self._log = log
 
     def run(
--- a/src/topazlug/calls/_chat_body.py
+++ b/src/topazlug/calls/_chat_body.py
@@ -75,7 +75,10 @@
 
 
 def read_answer(
-    answer: _target_answer.TargetAnswer, *, silence: float, deadline: float
+    answer: _target_answer.TargetAnswer,
+    *,
+    receive_timeout: float,
+    deadline: float,
 ) -> bytes:
     """Read an engine's answer that is not streamed.
 
@@ -86,7 +89,9 @@
     """
     blocks: list[bytes] = []
     size = 0
-    for block in answer.chunks(silence=silence, deadline=deadline):
+    for block in answer.chunks(
+        receive_timeout=receive_timeout, deadline=deadline
+    ):
         size += len(block)
         if size > _MAX_ANSWER_BYTES:
             raise _errors.TargetFailed(
--- a/src/topazlug/calls/_chat_calls.py
+++ b/src/topazlug/calls/_chat_calls.py
@@ -17,7 +17,7 @@
 from topazlug.callers import _caller_answer
 from topazlug.callers import _caller_request
 from topazlug.callers import _caller_watch
-from topazlug.calls import _call_parts
+from topazlug.calls import _call_assembly
 from topazlug.calls import _call_path
 from topazlug.calls import _chat_body
 from topazlug.calls import _chat_stream
@@ -60,7 +60,7 @@
 
     Parameters
     ----------
-    parts : CallParts
+    assembly : CallAssembly
         What all calls share.
     spawn : callable
         Starts a greenlet for work that the caller does not wait for.
@@ -69,11 +69,11 @@
     def __init__(
         self,
         *,
-        parts: _call_parts.CallParts,
+        assembly: _call_assembly.CallAssembly,
         spawn: Callable[..., object],
     ) -> None:
-        self._parts = parts
-        self._path = _call_path.CallPath(parts=parts, log=_log)
+        self._parts = assembly
+        self._path = _call_path.CallPath(assembly=assembly, log=_log)
         self._spawn = spawn
 
     def serve(
@@ -173,7 +173,7 @@
         try:
             body = _chat_body.read_answer(
                 answer,
-                silence=self._parts.limits.target_silence,
+                receive_timeout=self._parts.limits.target_silence,
                 deadline=call.request.deadline,
             )
         finally:
@@ -205,7 +205,7 @@
             target=place.target,
             request_id=call.request.request_id,
             answer=answer,
-            silence=self._parts.limits.target_silence,
+            receive_timeout=self._parts.limits.target_silence,
             deadline=call.request.deadline,
         )
         pieces = stream.pieces()
--- a/src/topazlug/calls/_chat_stream.py
+++ b/src/topazlug/calls/_chat_stream.py
@@ -37,7 +37,7 @@
         The request.
     answer : TargetAnswer
         The answer whose head has arrived.
-    silence : float
+    receive_timeout : float
         Seconds without a byte that count as silence.
     deadline : float
         Monotonic seconds at which the request ends.
@@ -50,13 +50,13 @@
         target: _targets.Target,
         request_id: _ids.RequestId,
         answer: _target_answer.TargetAnswer,
-        silence: float,
+        receive_timeout: float,
         deadline: float,
     ) -> None:
         self._connections = connections
         self._target = target
         self._request_id = request_id
-        self._silence = silence
+        self._silence = receive_timeout
         self._deadline = deadline
         self._reader = _sse.EventReader()
         self._left = False
@@ -105,7 +105,7 @@
 
     def _relay(self) -> Iterator[bytes]:
         chunks = self.answer.chunks(
-            silence=self._silence, deadline=self._deadline
+            receive_timeout=self._silence, deadline=self._deadline
         )
         for data in chunks:
             try:
@@ -121,7 +121,7 @@
     def _resume(self, error: _errors.RequestError) -> None:
         """Continue after the last whole event, or raise what broke it."""
         self.answer.close()
-        self._reader.drop_rest()
+        self._reader.discard_partial()
         last_id = self._reader.last_id
         if last_id is None or last_id < 0 or self.resumes >= _MAX_RESUMES:
             raise error
--- a/src/topazlug/calls/_service_calls.py
+++ b/src/topazlug/calls/_service_calls.py
@@ -13,7 +13,7 @@
 from topazlug._generated import table
 from topazlug.callers import _caller_answer
 from topazlug.callers import _caller_request
-from topazlug.calls import _call_parts
+from topazlug.calls import _call_assembly
 from topazlug.calls import _call_path
 from topazlug.calls import _service_wire
 from topazlug.claims import _claim_rows
@@ -67,7 +67,7 @@
 
     Parameters
     ----------
-    parts : CallParts
+    assembly : CallAssembly
         What all calls share.
     claims : Claims
         Claims in the platform's table.
@@ -76,11 +76,11 @@
     def __init__(
         self,
         *,
-        parts: _call_parts.CallParts,
+        assembly: _call_assembly.CallAssembly,
         claims: Claims,
     ) -> None:
-        self._parts = parts
-        self._path = _call_path.CallPath(parts=parts, log=_log)
+        self._parts = assembly
+        self._path = _call_path.CallPath(assembly=assembly, log=_log)
         self._claims = claims
 
     def serve(
@@ -186,7 +186,7 @@
             place, _target_request(call), call.request
         )
         chunks = answer.chunks(
-            silence=self._parts.limits.target_silence,
+            receive_timeout=self._parts.limits.target_silence,
             deadline=call.request.deadline,
         )
         if call.claim is not None:
--- a/src/topazlug/calls/_sse.py
+++ b/src/topazlug/calls/_sse.py
@@ -92,7 +92,7 @@
         """Say whether no part of an event is left over."""
         return not self._rest
 
-    def drop_rest(self) -> None:
+    def discard_partial(self) -> None:
         """Forget a torn event before the stream is continued."""
         self._rest = b""
 
--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -191,7 +191,7 @@
             The stream broke before its first event.
         """
         chunks = self._answer.chunks(
-            silence=patience, deadline=self._call.deadline
+            receive_timeout=patience, deadline=self._call.deadline
         )
         for data in chunks:
             events = self._whole_events(data)
@@ -248,7 +248,7 @@
     def _relay(self) -> Iterator[bytes]:
         before = self._clock.monotonic()
         chunks = self._answer.chunks(
-            silence=self._silence(), deadline=self._call.deadline
+            receive_timeout=self._silence(), deadline=self._call.deadline
         )
         for data in chunks:
             events = self._whole_events(data)
@@ -283,7 +283,7 @@
             return False
         if isinstance(error, _errors.DeadlineExceeded):
             return False
-        self._reader.drop_rest()
+        self._reader.discard_partial()
         resumed = self._resumer.resume(
             self._call, self._place, self._reader.last_id
         )
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -183,7 +183,7 @@
         view = self._views.of_start(place.target)
         seconds = self._clock.monotonic() - sent_at
         view.note_latency(seconds)
-        self._targets.reachability.note_answer(place.target)
+        self._targets.reachability.record_answer(place.target)
         load = self._wire.load(answer)
         if load is not None:
             view.note_report(load.running + load.waiting)
--- a/src/topazlug/forwarding/_forwarder.py
+++ b/src/topazlug/forwarding/_forwarder.py
@@ -187,7 +187,7 @@
     ) -> _caller_answer.CallerAnswer:
         """Read an answer whole, or its first part if it is very long."""
         left = call.deadline - self._clock.monotonic()
-        chunks = answer.chunks(silence=left, deadline=call.deadline)
+        chunks = answer.chunks(receive_timeout=left, deadline=call.deadline)
         head = bytearray()
         for data in chunks:
             head += data
--- a/src/topazlug/placement/_owned_admission.py
+++ b/src/topazlug/placement/_owned_admission.py
@@ -197,7 +197,7 @@
             Whether the connection was not refused either.
         """
         target = place.target
-        if is_silent and self._targets.reachability.note_timeout(target):
+        if is_silent and self._targets.reachability.record_timeout(target):
             _log.warning("zone {zone} is not reached", zone=target.zone)
         self._targets.cold.presume_cold([target])
         if self.asks is not None:
--- a/src/topazlug/placement/_owner_search.py
+++ b/src/topazlug/placement/_owner_search.py
@@ -188,7 +188,7 @@
         which it knew nothing, and those were full.
         """
         if reply.backoff > 0:
-            self._targets.take_peer_backoff(replica, reply.backoff)
+            self._targets.apply_peer_backoff(replica, reply.backoff)
             return
         view = self._views.of(replica)
         if reply.verdict is messages.Verdict.granted:
--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -233,7 +233,7 @@
             return self._try(request, search, replica, redirects=0)
         search.asked.add(replica)
         if reply.backoff > 0:
-            self._targets.take_peer_backoff(replica, reply.backoff)
+            self._targets.apply_peer_backoff(replica, reply.backoff)
             search.retry_after = max(search.retry_after, reply.backoff)
             return None
         if reply.verdict is messages.Verdict.granted:
--- a/src/topazlug/targets/_reported_states.py
+++ b/src/topazlug/targets/_reported_states.py
@@ -84,7 +84,7 @@
         )
         return True
 
-    def note_peer_backoff(
+    def record_peer_backoff(
         self, target: _target.Target, seconds: float
     ) -> None:
         """Record a backoff that applies to all daemons, reported by a peer."""
--- a/src/topazlug/targets/_target_answer.py
+++ b/src/topazlug/targets/_target_answer.py
@@ -114,13 +114,13 @@
         return [value for key, value in self.headers if key.lower() == wanted]
 
     def chunks(
-        self, *, silence: float, deadline: float = math.inf
+        self, *, receive_timeout: float, deadline: float = math.inf
     ) -> Iterator[bytes]:
         """Yield the body in chunks as they arrive.
 
         Parameters
         ----------
-        silence : float
+        receive_timeout : float
             Timeout in seconds for receiving the next bytes.
         deadline : float
             Monotonic seconds at which the request ends, even if bytes still
@@ -142,19 +142,21 @@
             if self._parser.message_complete:
                 self._finish()
                 return
-            self._receive(silence, deadline)
+            self._receive(receive_timeout, deadline)
 
-    def _receive(self, silence: float, deadline: float) -> None:
+    def _receive(self, receive_timeout: float, deadline: float) -> None:
         remaining = deadline - self._clock.monotonic()
         try:
-            self._connection.settimeout(max(0.0, min(silence, remaining)))
+            self._connection.settimeout(
+                max(0.0, min(receive_timeout, remaining))
+            )
             data = self._connection.recv(BLOCK)
             if self._on_receive is not None:
                 self._on_receive()
             self._parser.feed(data)
         except (TimeoutError, BlockingIOError) as error:
             self.close(_target_runs.RunEnd.SILENT)
-            if remaining <= silence:
+            if remaining <= receive_timeout:
                 raise deadline_error() from error
             raise _errors.TargetSilent(
                 "the target stopped sending in the middle of its answer",
--- a/src/topazlug/targets/_target_client.py
+++ b/src/topazlug/targets/_target_client.py
@@ -201,7 +201,7 @@
             connection.close()
             raise
         if not request.is_probe:
-            self.note_received(target)
+            self.record_received(target)
         if self._handle_report is not None:
             self._handle_report(target, self._wire.report(answer))
         answer.idle_seconds = self._wire.idle_seconds(answer)
@@ -260,7 +260,7 @@
         for connection in list(in_use):
             _target_answer.shut_down(connection)
 
-    def note_received(self, target: _targets.Target) -> None:
+    def record_received(self, target: _targets.Target) -> None:
         """Record that a target has just sent something."""
         self._last_received_at[target.replica] = self._clock.monotonic()
 
@@ -346,7 +346,7 @@
             request_id=request.request_id,
             clock=self._clock,
             sender=sender,
-            on_receive=functools.partial(self.note_received, target),
+            on_receive=functools.partial(self.record_received, target),
             on_end=functools.partial(self._end_use, use),
         )
 
--- a/src/topazlug/targets/_target_poller.py
+++ b/src/topazlug/targets/_target_poller.py
@@ -152,7 +152,7 @@
         answer = self._connections.exchange(
             target, request, head_timeout=_TIMEOUT_SECONDS
         )
-        body = b"".join(answer.chunks(silence=_TIMEOUT_SECONDS))
+        body = b"".join(answer.chunks(receive_timeout=_TIMEOUT_SECONDS))
         return msgspec.json.decode(
             body[:_MAX_DOCUMENT_BYTES], type=LoadDocument
         )
--- a/src/topazlug/targets/_targets.py
+++ b/src/topazlug/targets/_targets.py
@@ -255,7 +255,7 @@
         for callback in self._report_callbacks:
             callback(target, report)
 
-    def take_peer_backoff(
+    def apply_peer_backoff(
         self, replica: _ids.ReplicaId, seconds: float
     ) -> None:
         """Apply a backoff that applies to all daemons, reported by a peer.
@@ -266,7 +266,7 @@
         target = self.target_by_replica.get(replica)
         if target is None:
             return
-        self.reported.note_peer_backoff(target, seconds)
+        self.reported.record_peer_backoff(target, seconds)
         self._candidates_by_group.pop(target.group, None)
 
     def is_leaving(self, target: Target) -> bool:
--- a/src/topazlug/targets/_zone_reachability.py
+++ b/src/topazlug/targets/_zone_reachability.py
@@ -42,11 +42,11 @@
         self._clock = clock
         self._zone_by_name: dict[str, _Zone] = {}
 
-    def note_answer(self, target: _target.Target) -> None:
+    def record_answer(self, target: _target.Target) -> None:
         """Record that a replica has answered: its zone is reachable."""
         self._zone_by_name.pop(target.zone, None)
 
-    def note_timeout(self, target: _target.Target) -> bool:
+    def record_timeout(self, target: _target.Target) -> bool:
         """Record that a connection to a replica timed out.
 
         Returns
--- a/tests/topazlug/calls/test_sse.py
+++ b/tests/topazlug/calls/test_sse.py
@@ -28,7 +28,7 @@
     def test_torn_event_is_held_back(self):
         reader = _sse.EventReader()
         assert reader.feed(event(0) + b"id: 1\ndata: t") == event(0)
-        reader.drop_rest()
+        reader.discard_partial()
         assert reader.feed(event(1)) == event(1)
 
     def test_repeated_events_are_dropped(self):
--- a/tests/topazlug/placement/test_unreached_zone.py
+++ b/tests/topazlug/placement/test_unreached_zone.py
@@ -41,7 +41,7 @@
             place = self.daemon.admit(chat, excluded=excluded, **request)
             self.daemon.admission.release(place)
             if place.target.zone not in self.dark:
-                self.daemon.targets.reachability.note_answer(place.target)
+                self.daemon.targets.reachability.record_answer(place.target)
                 return waited
             waited += 1
             self.fleet.clock.advance(CONNECT_SECONDS)
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -31,7 +31,7 @@
 from topazlug.callers import _caller_server
 from topazlug.callers import _callers
 from topazlug.calls import _attempts
-from topazlug.calls import _call_parts
+from topazlug.calls import _call_assembly
 from topazlug.calls import _chat_calls
 from topazlug.calls import _retry_budget
 from topazlug.calls import _service_calls
@@ -294,7 +294,7 @@
             count_retry=self.retried.append,
         )
         metrics = _metrics.Metrics(_settings_types.MetricsSettings(), ME, "z1")
-        parts = _call_parts.CallParts(
+        assembly = _call_assembly.CallAssembly(
             attempts=attempts,
             admission=admission,
             connections=self.connections,
@@ -306,8 +306,10 @@
         )
         claims = claim_fakes.make_keeper(self.store, clock=QuickClock())
         return _callers.CallersApp(
-            chats=_chat_calls.ChatCalls(parts=parts, spawn=gevent.spawn),
-            services=_service_calls.ServiceCalls(parts=parts, claims=claims),
+            chats=_chat_calls.ChatCalls(assembly=assembly, spawn=gevent.spawn),
+            services=_service_calls.ServiceCalls(
+                assembly=assembly, claims=claims
+            ),
             configuration=table_holder(),
             limits=self.limits,
             metrics=metrics,
--- a/tests/topazlug/targets/test_target_client.py
+++ b/tests/topazlug/targets/test_target_client.py
@@ -49,8 +49,8 @@
     )
 
 
-def body_of(answer, *, silence=5.0, **options):
-    return b"".join(answer.chunks(silence=silence, **options))
+def body_of(answer, *, receive_timeout=5.0, **options):
+    return b"".join(answer.chunks(receive_timeout=receive_timeout, **options))
 
 
 def answering(*answers):
