--- a/src/topazlug/calls/__init__.py
+++ b/src/topazlug/calls/__init__.py
@@ -1,1 +1,1 @@
-"""One request of the product's own interface: attempts, streams, outcome."""
+"""Calls through the project's own interface: chats and service calls."""
--- a/src/topazlug/calls/_attempts.py
+++ b/src/topazlug/calls/_attempts.py
@@ -1,4 +1,4 @@
-"""One request's attempts at targets, and what is known of its outcome."""
+"""Attempts of a request at targets, and the request's outcome."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -17,7 +17,7 @@
 
 _log = logbook.Logger("attempts")
 _MAX_ATTEMPTS = 4
-# A request whose connections all fail is not tried for ever.
+# Bounds the attempts of a request whose connections all fail.
 _MAX_CONNECTS = 6
 
 ResultT = TypeVar("ResultT")
@@ -25,36 +25,37 @@
 
 
 class Budget(Protocol):
-    """How many retries may still be made."""
+    """Budget of retries."""
 
     def earn(self, group: _ids.GroupName) -> None:
-        """Note a first attempt."""
+        """Record a first attempt."""
 
     def spend(self, group: _ids.GroupName) -> bool:
-        """Take one retry; tell whether there was one."""
+        """Take one retry from the budget; return whether there was one."""
 
 
 @final
 class Attempts:
-    """Runs a request at one target after the other until one answers.
+    """Sends a request to one target after another until one answers.
 
-    "Not run" is promised to the caller, so it is said only when no byte of
-    any attempt went to a target, or each target that got bytes refused them
-    before running. One attempt whose fate is unknown makes the whole
-    request unknown, also when a later one was refused.
+    The outcome "not run" is a guarantee to the caller. It is returned only if
+    no attempt sent anything to a target, or each target that received
+    something rejected it before running it. One attempt with an unknown
+    outcome makes the outcome of the request unknown, even if a later attempt
+    was rejected.
 
     Parameters
     ----------
     admission : Admission
-        Finds places.
+        Chooses replicas and reserves their slots.
     targets : TargetDirectory
-        Targets.
+        Known targets.
     budget : Budget
-        This daemon's retries.
+        Retry budget of this daemon.
     clock : Clock
         Time.
     count_retry : callable
-        Gets each request that is tried again.
+        Called with each request that is retried.
     """
 
     def __init__(
@@ -87,25 +88,25 @@
         Parameters
         ----------
         request : PlaceRequest
-            What needs a place.
+            The request to find a replica for.
         attempt : callable
-            Makes one attempt; it owns the place once it returns, and this
-            method releases it when it raises.
+            Makes one attempt with a placement. If it returns, it has taken
+            over the placement; if it raises, the placement is released here.
         repeatable : bool
-            Whether an attempt whose fate is unknown may be repeated.
+            Whether the request may be repeated after an unknown outcome.
         may_repeat : callable or None
-            Says whether such a one may be repeated after it failed at a
-            target; None if it always may.
+            Returns whether a repeatable request may be repeated after it
+            failed with an unknown outcome at a given target; None if always.
         max_replicas : int
-            Replicas that the request may be sent to.
+            Maximum number of replicas that the request is sent to.
         free_connects : bool
-            Whether a failed connection, over which nothing was sent, counts
-            neither as an attempt nor as a retry.
+            Whether failed connections, over which nothing was sent, count
+            neither as attempts nor as retries.
 
         Raises
         ------
         RequestError
-            The last failure, with what is known of all attempts.
+            The last failure, with the outcome of all attempts combined.
         """
         self._budget.earn(request.group)
         sent = 0
@@ -113,75 +114,75 @@
         excluded: frozenset[_ids.ReplicaId] = frozenset()
         failure: _errors.RequestError | None = None
         for number in range(1, _MAX_CONNECTS + 1):
-            place = self._admit(request, excluded, failure)
+            placement = self._admit(request, excluded, failure)
             try:
-                return attempt(place)
+                return attempt(placement)
             except _target_client.ConnectFailed as error:
-                failure = self._connect_failed(place, error)
+                failure = self._connect_failed(placement, error)
             except _errors.TargetRefused as error:
-                failure = self._refused(place, error)
+                failure = self._rejected(placement, error)
             except _errors.RequestError as error:
                 failure = error
                 if error.outcome is not _errors.Outcome.NOT_RUN:
                     outcome = error.outcome
             except BaseException:
-                self._admission.release(place)
+                self._admission.release(placement)
                 raise
-            self._admission.release(place)
+            self._admission.release(placement)
             failure.outcome = outcome
-            unsent = isinstance(failure, _errors.NoTarget)
-            sent += 0 if unsent and free_connects else 1
+            is_unsent = isinstance(failure, _errors.NoTarget)
+            sent += 0 if is_unsent and free_connects else 1
             if number == _MAX_CONNECTS or sent >= max_replicas:
                 raise failure
-            is_free = unsent and free_connects
+            is_free = is_unsent and free_connects
             is_certain = failure.outcome is _errors.Outcome.NOT_RUN
             if not is_certain and may_repeat is not None:
-                repeatable = repeatable and may_repeat(place.target)
-            if not is_free and not self._may_repeat(
+                repeatable = repeatable and may_repeat(placement.target)
+            if not is_free and not self._allows_retry(
                 request.group, failure, repeatable
             ):
                 raise failure
             if is_free and self._clock.monotonic() >= request.deadline:
                 raise failure
             self._count_retry(request)
-            excluded |= {place.target.replica}
-        raise AssertionError("the last attempt returns or raises")
+            excluded |= {placement.target.replica}
+        raise AssertionError("the last attempt neither returned nor raised")
 
     def _admit(
         self,
         request: _place.PlaceRequest,
         excluded: frozenset[_ids.ReplicaId],
-        before: _errors.RequestError | None,
+        previous_failure: _errors.RequestError | None,
     ) -> _place.Place:
-        """Find a place; a repeat that finds none tells what broke before."""
-        wanted = msgspec.structs.replace(
+        """Choose a replica; if a retry finds none, raise the last failure."""
+        placement_request = msgspec.structs.replace(
             request,
             excluded=excluded,
             returning=request.returning and not excluded,
         )
         try:
-            return self._admission.admit(wanted)
+            return self._admission.admit(placement_request)
         except _errors.RequestError:
-            if before is None:
+            if previous_failure is None:
                 raise
-            raise before from None
+            raise previous_failure from None
 
     def _connect_failed(
-        self, place: _place.Place, error: _target_client.ConnectFailed
+        self, placement: _place.Place, error: _target_client.ConnectFailed
     ) -> _errors.RequestError:
-        self._targets.avoid(place.target.replica)
+        self._targets.avoid(placement.target.replica)
         return _errors.NoTarget(error.message, retry_after=1.0)
 
-    def _refused(
-        self, place: _place.Place, error: _errors.TargetRefused
+    def _rejected(
+        self, placement: _place.Place, error: _errors.TargetRefused
     ) -> _errors.TargetRefused:
-        """Tell a caller to come back no sooner than a target takes work."""
-        wait = self._targets.seconds_until_usable(place.target.group)
+        """Delay the caller's retry until a target of the group is usable."""
+        wait = self._targets.seconds_until_usable(placement.target.group)
         error.refused_for = wait or 0.0
         error.retry_after = max(error.retry_after or 0.0, error.refused_for)
         return error
 
-    def _may_repeat(
+    def _allows_retry(
         self,
         group: _ids.GroupName,
         failure: _errors.RequestError,
@@ -189,7 +190,7 @@
     ) -> bool:
         if isinstance(failure, _errors.DeadlineExceeded):
             return False
-        certain = failure.outcome is _errors.Outcome.NOT_RUN
-        if not certain and not repeatable:
+        is_certain = failure.outcome is _errors.Outcome.NOT_RUN
+        if not is_certain and not repeatable:
             return False
         return self._budget.spend(group)
--- a/src/topazlug/calls/_call_assembly.py
+++ b/src/topazlug/calls/_call_assembly.py
@@ -1,4 +1,4 @@
-"""What every kind of caller's call is served with."""
+"""Components shared by all kinds of calls."""
 
 from typing import NamedTuple
 
@@ -13,24 +13,24 @@
 
 
 class CallAssembly(NamedTuple):
-    """Parts of the daemon that calls share.
+    """Components of the daemon that serve all kinds of calls.
 
     Attributes
     ----------
     attempts : Attempts
-        Finds replicas and retries.
+        Sends requests to replicas, with retries.
     admission : Admission
-        Takes places back.
+        Releases placements.
     connections : TargetConnections
         Connections to targets.
     quotas : Quotas
         Ceilings of teams.
     limits : LimitSettings
-        Bounds.
+        Timeouts and other limits.
     metrics : Metrics
-        What is measured.
+        Counters and histograms.
     guard : CrashGuard
-        Refuses requests that crash replicas.
+        Rejects requests that crash replicas.
     clock : Clock
         Time.
     """
--- a/src/topazlug/calls/_chat_body.py
+++ b/src/topazlug/calls/_chat_body.py
@@ -1,4 +1,4 @@
-"""What is read of a chat request and of an answer; the rest goes unread."""
+"""Parsing of the parts of chat requests and answers that the daemon uses."""
 
 from typing import Any
 
@@ -11,18 +11,18 @@
 
 _MAX_ANSWER_BYTES = 16 << 20
 _MAX_MESSAGES = 10_000
-_MAX_CHAT_ID = 256
+_MAX_CHAT_ID_LENGTH = 256
 
 
 class ChatMessage(msgspec.Struct):
-    """One message of a conversation; other fields go through unread."""
+    """One message of a chat; other fields are not parsed."""
 
     role: str
     content: Any = None
 
 
 class ChatBody(msgspec.Struct):
-    """What is read of a chat request; other fields go through unread."""
+    """A chat request; other fields are not parsed."""
 
     model: str
     messages: list[ChatMessage]
@@ -30,12 +30,12 @@
 
 
 def decode(body: bytes) -> ChatBody:
-    """Read a body.
+    """Parse the body of a chat request.
 
     Raises
     ------
     BadBody
-        It is no chat request.
+        The body is not a valid chat request.
     """
     try:
         chat = msgspec.json.decode(body, type=ChatBody)
@@ -54,14 +54,18 @@
     caller: _caller_request.Caller,
     chat: ChatBody,
 ) -> str:
-    """Name the chat, by its header or by what stays the same in it."""
-    given = request.header("X-Chat-Id")
-    if len(given) > _MAX_CHAT_ID:
+    """Return the chat's id: from its header, or a hash of its first messages.
+
+    The hash covers the first system and the first user message, which are the
+    same in all requests of a chat.
+    """
+    header = request.header("X-Chat-Id")
+    if len(header) > _MAX_CHAT_ID_LENGTH:
         raise _errors.BadHeader(
-            f"X-Chat-Id is longer than {_MAX_CHAT_ID} characters"
+            f"X-Chat-Id is longer than {_MAX_CHAT_ID_LENGTH} characters"
         )
-    if given:
-        return given
+    if header:
+        return header
     system = _first_text(chat, "system")
     user = _first_text(chat, "user")
     return f"{_ranking.chat_hash(caller.name, chat.model, system, user):x}"
@@ -85,7 +89,7 @@
     Raises
     ------
     RequestError
-        It did not come whole.
+        The answer is incomplete or too long.
     """
     blocks: list[bytes] = []
     size = 0
@@ -106,15 +110,15 @@
 
 
 def _check_json(body: bytes) -> None:
-    """Refuse an answer that is not whole.
+    """Raise if an answer is not complete JSON.
 
-    Without a length, the end of the connection ends the answer, and that of
-    an engine that died looks the same.
+    An answer without a length ends with its connection, so that the truncated
+    answer of an engine that died would look complete.
     """
     try:
         msgspec.json.decode(body, type=msgspec.Raw)
     except msgspec.DecodeError as error:
         raise _errors.TargetTruncated(
-            f"the engine's answer is not whole: {error}",
+            f"the engine's answer is not complete JSON: {error}",
             outcome=_errors.Outcome.UNKNOWN,
         ) from error
--- a/src/topazlug/calls/_chat_calls.py
+++ b/src/topazlug/calls/_chat_calls.py
@@ -1,6 +1,6 @@
-"""Chat completions: from a caller's body to an engine's answer.
+"""Chat completions: calls of engines in OpenAI's format.
 
-The wire format is OpenAI's; the caller's bytes go to the engine unchanged.
+The caller's body is sent to the engine unchanged.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 from topazlug.callers import _caller_request
 from topazlug.callers import _caller_watch
 from topazlug.calls import _call_assembly
-from topazlug.calls import _call_path
+from topazlug.calls import _call_runner
 from topazlug.calls import _chat_body
 from topazlug.calls import _chat_stream
 from topazlug.configuration import _configuration
@@ -34,7 +34,7 @@
 
 
 class _Call(msgspec.Struct):
-    """One chat request on its way."""
+    """A chat call in progress."""
 
     request: _caller_request.CallerRequest
     caller: _caller_request.Caller
@@ -46,12 +46,12 @@
 
     @property
     def chat_name(self) -> str:
-        """Give the chat's hash; its id is the caller's own word."""
+        """Return a hash of the chat's id, which the caller may choose."""
         return f"{_ranking.chat_hash(self.caller.name, self.chat_id):016x}"
 
     @property
     def request_class(self) -> table.RequestClass:
-        return _call_path.class_of(self.caller)
+        return _call_runner.request_class_of(self.caller)
 
 
 @final
@@ -61,7 +61,7 @@
     Parameters
     ----------
     assembly : CallAssembly
-        What all calls share.
+        Components shared by all calls.
     spawn : callable
         Starts a greenlet for work that the caller does not wait for.
     """
@@ -72,8 +72,8 @@
         assembly: _call_assembly.CallAssembly,
         spawn: Callable[..., object],
     ) -> None:
-        self._parts = assembly
-        self._path = _call_path.CallPath(assembly=assembly, log=_log)
+        self._assembly = assembly
+        self._runner = _call_runner.CallRunner(assembly=assembly, log=_log)
         self._spawn = spawn
 
     def serve(
@@ -87,7 +87,7 @@
         Raises
         ------
         RequestError
-            Nothing of an answer has gone to the caller.
+            The call failed before anything was sent to the caller.
         """
         request.read_deadline()
         body = request.read_body()
@@ -108,7 +108,7 @@
                 body=body,
             ),
         )
-        wanted = _place.PlaceRequest(
+        placement_request = _place.PlaceRequest(
             group=_ids.GroupName(pool.name),
             chat=_ranking.chat_hash(caller.name, call.chat_id),
             team=caller.name,
@@ -119,93 +119,95 @@
         )
         with _caller_watch.watched(request.socket):
             with _logs.request_fields(chat=call.chat_name):
-                return self._run(call, wanted)
+                return self._run(call, placement_request)
 
     def _run(
-        self, call: _Call, wanted: _place.PlaceRequest
+        self, call: _Call, placement_request: _place.PlaceRequest
     ) -> _caller_answer.CallerAnswer:
-        return self._path.run(
-            wanted,
+        return self._runner.run(
+            placement_request,
             call.caller,
-            lambda place, ticket: self._attempt(call, place, ticket),
+            lambda placement, ticket: self._attempt(call, placement, ticket),
             repeatable=True,
             fingerprint=call.fingerprint,
         )
 
     def _attempt(
-        self, call: _Call, place: _place.Place, ticket: _quotas.Ticket
+        self, call: _Call, placement: _place.Place, ticket: _quotas.Ticket
     ) -> _caller_answer.CallerAnswer:
-        """Make one attempt; what it may have left behind is cancelled."""
+        """Make one attempt; cancel it if it may still run after a failure."""
         try:
-            with _logs.request_fields(replica=place.target.replica):
-                return self._send(call, place, ticket)
+            with _logs.request_fields(replica=placement.target.replica):
+                return self._exchange(call, placement, ticket)
         except _errors.RequestError as error:
             if error.outcome is _errors.Outcome.UNKNOWN:
-                self._cancel(call, place)
+                self._cancel(call, placement)
             raise
         except _caller_watch.CallerLeft:
-            self._cancel(call, place)
+            self._cancel(call, placement)
             raise
 
-    def _send(
-        self, call: _Call, place: _place.Place, ticket: _quotas.Ticket
+    def _exchange(
+        self, call: _Call, placement: _place.Place, ticket: _quotas.Ticket
     ) -> _caller_answer.CallerAnswer:
-        waited = self._parts.clock.monotonic() - call.request.started
-        self._parts.metrics.observe_queueing(
-            call.caller.name, call.request_class, waited
+        queueing_seconds = (
+            self._assembly.clock.monotonic() - call.request.started
+        )
+        self._assembly.metrics.observe_queueing(
+            call.caller.name, call.request_class, queueing_seconds
         )
         call.request.remaining()
-        answer = self._path.exchange(
-            place, _engine_request(call), call.request
+        answer = self._runner.exchange(
+            placement, _engine_request(call), call.request
         )
         if answer.status == 200 and call.streamed:
-            return self._stream(call, place, answer, ticket)
-        return self._whole(call, place, answer, ticket)
+            return self._streamed_answer(call, placement, answer, ticket)
+        return self._complete_answer(call, placement, answer, ticket)
 
-    def _whole(
+    def _complete_answer(
         self,
         call: _Call,
-        place: _place.Place,
+        placement: _place.Place,
         answer: _target_answer.TargetAnswer,
         ticket: _quotas.Ticket,
     ) -> _caller_answer.CallerAnswer:
-        """Read an answer that is not streamed, and give it whole."""
+        """Read an answer that is not streamed, and return it complete."""
         try:
             body = _chat_body.read_answer(
                 answer,
-                receive_timeout=self._parts.limits.target_silence,
+                receive_timeout=self._assembly.limits.target_silence,
                 deadline=call.request.deadline,
             )
         finally:
             answer.close()
-        self._parts.admission.release(place)
+        self._assembly.admission.release(placement)
         ticket.give_back()
-        self._note_first(call, answer)
-        self._note_end(call, place, answer.status)
-        headers = _caller_headers(call, place, answer)
+        self._observe_first_token(call, answer)
+        self._record_end(call, placement, answer.status)
+        headers = _caller_headers(call, placement, answer)
         headers.append(("Content-Length", str(len(body))))
         return _caller_answer.CallerAnswer(
             status=answer.status, headers=headers, body=iter([body])
         )
 
-    def _stream(
+    def _streamed_answer(
         self,
         call: _Call,
-        place: _place.Place,
+        placement: _place.Place,
         answer: _target_answer.TargetAnswer,
         ticket: _quotas.Ticket,
     ) -> _caller_answer.CallerAnswer:
-        """Wait for the first event, then hand the rest over as it comes.
+        """Wait for the first event, then relay the rest as it arrives.
 
-        The first event is awaited here, where a failure can still be
-        repeated at another engine: nothing has gone to the caller yet.
+        Until the first event, nothing has been sent to the caller, so that
+        the call can still be repeated at another engine after a failure.
         """
         stream = _chat_stream.ChatStream(
-            connections=self._parts.connections,
-            target=place.target,
+            connections=self._assembly.connections,
+            target=placement.target,
             request_id=call.request.request_id,
             answer=answer,
-            receive_timeout=self._parts.limits.target_silence,
+            receive_timeout=self._assembly.limits.target_silence,
             deadline=call.request.deadline,
         )
         pieces = stream.pieces()
@@ -214,21 +216,23 @@
         except BaseException:
             stream.answer.close()
             raise
-        self._note_first(call, answer)
+        self._observe_first_token(call, answer)
         watch = _caller_watch.CallerWatch(
             call.request.socket, left=stream.caller_left
         )
-        body = self._relay(call, place, ticket, stream, watch, first, pieces)
+        body = self._relay(
+            call, placement, ticket, stream, watch, first, pieces
+        )
         return _caller_answer.CallerAnswer(
             status=200,
-            headers=_caller_headers(call, place, answer),
+            headers=_caller_headers(call, placement, answer),
             body=_caller_answer.started(body),
         )
 
     def _relay(
         self,
         call: _Call,
-        place: _place.Place,
+        placement: _place.Place,
         ticket: _quotas.Ticket,
         stream: _chat_stream.ChatStream,
         watch: _caller_watch.CallerWatch,
@@ -238,79 +242,83 @@
         try:
             yield b""
             yield first
-            yield from self._rest(call, pieces)
-            self._note_end(call, place, 200 if stream.is_whole else 499)
+            yield from self._observed_pieces(call, pieces)
+            self._record_end(call, placement, 200 if stream.is_whole else 499)
         except _errors.RequestError as error:
             self._count(call, error.code, error.outcome)
-            with _log_fields(call, place):
+            with _log_fields(call, placement):
                 _log.warning("stream broke: {code}", code=error.code.value)
             yield _chat_stream.error_event(error, call.request.request_id)
         finally:
             watch.stop()
-            self._parts.admission.release(place)
+            self._assembly.admission.release(placement)
             ticket.give_back()
             if not stream.is_whole:
                 stream.answer.close()
-                self._cancel(call, place)
+                self._cancel(call, placement)
 
-    def _rest(self, call: _Call, pieces: Iterator[bytes]) -> Iterator[bytes]:
-        before = self._parts.clock.monotonic()
+    def _observed_pieces(
+        self, call: _Call, pieces: Iterator[bytes]
+    ) -> Iterator[bytes]:
+        before = self._assembly.clock.monotonic()
         for piece in pieces:
-            now = self._parts.clock.monotonic()
-            self._parts.metrics.observe_between_tokens(
+            now = self._assembly.clock.monotonic()
+            self._assembly.metrics.observe_between_tokens(
                 call.caller.name, call.request_class, now - before
             )
             before = now
             yield piece
 
-    def _cancel(self, call: _Call, place: _place.Place) -> None:
-        """Have the engine stop work that nobody waits for any more.
+    def _cancel(self, call: _Call, placement: _place.Place) -> None:
+        """Cancel a call on its engine in the background.
 
-        An engine keeps a broken stream alive for a while, so that it can be
-        continued; without this its slot would stay taken that long.
+        An engine keeps a broken stream running for a while so that it can be
+        resumed. Without a cancellation it would occupy a slot for that long.
         """
-        self._spawn(self._send_cancel, call.request.request_id, place)
+        self._spawn(self._send_cancel, call.request.request_id, placement)
 
     def _send_cancel(
-        self, request_id: _ids.RequestId, place: _place.Place
+        self, request_id: _ids.RequestId, placement: _place.Place
     ) -> None:
         request = _target_client.TargetRequest(
             method="POST",
             path=f"/v1/streams/{parse.quote(request_id)}/cancel",
-            headers=[_host(place)],
+            headers=[_host(placement)],
             body=b"",
             request_id=request_id,
             fresh=True,
         )
         try:
-            answer = self._parts.connections.exchange(
-                place.target, request, head_timeout=1.0
+            answer = self._assembly.connections.exchange(
+                placement.target, request, head_timeout=1.0
             )
         except _errors.TopazlugError as error:
-            _log.debug("cancel was not heard: {why}", why=error.message)
+            _log.debug("cancel request failed: {why}", why=error.message)
             return
         answer.close()
 
-    def _note_first(
+    def _observe_first_token(
         self, call: _Call, answer: _target_answer.TargetAnswer
     ) -> None:
-        now = self._parts.clock.monotonic()
-        self._parts.metrics.observe_first_token(
+        now = self._assembly.clock.monotonic()
+        self._assembly.metrics.observe_first_token(
             call.caller.name, call.request_class, now - call.request.started
         )
-        cached = _number(answer.header("X-Cached-Tokens"))
-        prompt = _number(answer.header("X-Prompt-Tokens"))
+        cached = _parse_count(answer.header("X-Cached-Tokens"))
+        prompt = _parse_count(answer.header("X-Prompt-Tokens"))
         if call.returning and prompt is not None:
             hit = bool(cached)
-            self._parts.metrics.count_reuse(hit, cached or 0, prompt)
+            self._assembly.metrics.count_reuse(hit, cached or 0, prompt)
 
-    def _note_end(self, call: _Call, place: _place.Place, status: int) -> None:
-        self._path.ended(
+    def _record_end(
+        self, call: _Call, placement: _place.Place, status: int
+    ) -> None:
+        self._runner.record_end(
             call.caller,
             call.request,
             status=status,
             code=None if status == 200 else _errors.Code.TARGET_FAILED,
-            fields=_log_fields(call, place),
+            fields=_log_fields(call, placement),
         )
 
     def _count(
@@ -319,7 +327,7 @@
         code: _errors.Code | None,
         outcome: _errors.Outcome,
     ) -> None:
-        self._parts.metrics.count_request(
+        self._assembly.metrics.count_request(
             call.caller.name, call.request_class, code, outcome
         )
 
@@ -338,18 +346,18 @@
     return pool
 
 
-def _log_fields(call: _Call, place: _place.Place) -> _logs.request_fields:
-    """Give the fields of a line, where the request's own context is gone."""
+def _log_fields(call: _Call, placement: _place.Place) -> _logs.request_fields:
+    """Return log fields for use after the request's logging context ended."""
     return _logs.request_fields(
         request_id=call.request.request_id,
         team=call.caller.name,
         chat=call.chat_name,
-        replica=place.target.replica,
+        replica=placement.target.replica,
     )
 
 
-def _host(place: _place.Place) -> tuple[str, str]:
-    return "Host", f"{place.target.host}:{place.target.port}"
+def _host(placement: _place.Place) -> tuple[str, str]:
+    return "Host", f"{placement.target.host}:{placement.target.port}"
 
 
 def _engine_request(call: _Call) -> _target_client.TargetRequest:
@@ -358,8 +366,8 @@
         path=_PATH,
         headers=[
             ("Content-Type", "application/json"),
-            # The engine gets a hash: a chat id is the caller's own word and
-            # two teams may use the same one.
+            # A hash, because callers choose their chat ids, and two teams may
+            # use the same one.
             ("X-Chat-Id", call.chat_name),
             ("X-Priority", "1" if call.caller.batch else "0"),
             ("Host", "engine"),
@@ -371,14 +379,14 @@
 
 
 def _caller_headers(
-    call: _Call, place: _place.Place, answer: _target_answer.TargetAnswer
+    call: _Call, placement: _place.Place, answer: _target_answer.TargetAnswer
 ) -> list[tuple[str, str]]:
-    kind = answer.header("Content-Type") or "application/json"
+    content_type = answer.header("Content-Type") or "application/json"
     headers = [
-        ("Content-Type", kind),
+        ("Content-Type", content_type),
         (_caller_answer.OUTCOME, _errors.Outcome.RAN.value),
         ("X-Request-Id", call.request.request_id),
-        ("Topazlug-Replica", place.target.replica),
+        ("Topazlug-Replica", placement.target.replica),
     ]
     cached = answer.header("X-Cached-Tokens")
     if cached:
@@ -388,5 +396,5 @@
     return headers
 
 
-def _number(text: str) -> int | None:
+def _parse_count(text: str) -> int | None:
     return int(text) if text.isdigit() else None
--- a/src/topazlug/calls/_chat_stream.py
+++ b/src/topazlug/calls/_chat_stream.py
@@ -1,8 +1,8 @@
-"""Relays one streamed answer of an engine, event by event.
+"""Relaying of an engine's streamed answer, event by event.
 
-The bytes go on as they come. When the engine's stream breaks, it is
-continued after the last whole event where the engine can; where it can't,
-the caller gets a final error event and never the closing one.
+Events are relayed as they arrive. If the engine's stream breaks, it is resumed
+after the last complete event, if the engine can. If not, the caller receives a
+final error event, and never the closing event.
 """
 
 from collections.abc import Iterator
@@ -20,12 +20,12 @@
 
 _log = logbook.Logger("stream")
 _MAX_RESUMES = 3
-_RESUME_TIMEOUT = 2.0
+_RESUME_TIMEOUT_SECONDS = 2.0
 
 
 @final
 class ChatStream:
-    """One streamed answer.
+    """A streamed answer of an engine.
 
     Parameters
     ----------
@@ -36,9 +36,9 @@
     request_id : RequestId
         The request.
     answer : TargetAnswer
-        The answer whose head has arrived.
+        The answer, whose head has been received.
     receive_timeout : float
-        Seconds without a byte that count as silence.
+        Timeout in seconds for receiving the next bytes.
     deadline : float
         Monotonic seconds at which the request ends.
     """
@@ -56,70 +56,70 @@
         self._connections = connections
         self._target = target
         self._request_id = request_id
-        self._silence = receive_timeout
+        self._receive_timeout = receive_timeout
         self._deadline = deadline
         self._reader = _sse.EventReader()
-        self._left = False
+        self._has_caller_left = False
         self.answer = answer
         self.resumes = 0
 
     @property
     def is_whole(self) -> bool:
-        """Say whether the closing event came."""
+        """Return whether the closing event was received."""
         return self._reader.done
 
     @property
     def events(self) -> int:
-        """Give the events passed on."""
+        """Return the number of events relayed."""
         return self._reader.count
 
     def caller_left(self) -> None:
-        """Break the engine's connection; may be called from the hub."""
-        self._left = True
+        """Abort the answer as its caller left; may be called from the hub."""
+        self._has_caller_left = True
         self.answer.abort()
 
     def pieces(self) -> Iterator[bytes]:
-        """Give whole events as they come.
+        """Yield complete events as they arrive.
 
         Raises
         ------
         RequestError
-            The stream broke and could not be continued.
+            The stream broke and could not be resumed.
         """
         while True:
             try:
                 yield from self._relay()
                 return
             except _errors.RequestError as error:
-                # Nobody is left to hear of it, or the caller has it whole:
-                # an error event after the closing one would deny that.
-                if self._left or self._reader.done:
+                # The caller has left, or has the complete answer and must not
+                # receive an error event after the closing one.
+                if self._has_caller_left or self._reader.done:
                     self.answer.close()
                     return
                 if isinstance(error, _errors.DeadlineExceeded):
                     raise
                 self._resume(error)
-            if self._left:
+            if self._has_caller_left:
                 self.answer.close()
                 return
 
     def _relay(self) -> Iterator[bytes]:
         chunks = self.answer.chunks(
-            receive_timeout=self._silence, deadline=self._deadline
+            receive_timeout=self._receive_timeout, deadline=self._deadline
         )
         for data in chunks:
             try:
                 events = self._reader.feed(data)
             except ValueError as error:
                 self.answer.close()
-                raise _torn(str(error)) from error
+                raise _broken_stream_error(str(error)) from error
             if events:
                 yield events
         if not self._reader.done:
-            raise _torn("it ended without the closing event")
+            raise _broken_stream_error("it ended without the closing event")
 
     def _resume(self, error: _errors.RequestError) -> None:
-        """Continue after the last whole event, or raise what broke it."""
+        """Resume after the last complete event, or raise the given error."""
         self.answer.close()
         self._reader.discard_partial()
         last_id = self._reader.last_id
@@ -141,7 +141,7 @@
             answer = self._connections.exchange(
                 self._target,
                 request,
-                head_timeout=_RESUME_TIMEOUT,
+                head_timeout=_RESUME_TIMEOUT_SECONDS,
                 deadline=self._deadline,
             )
         except _errors.TopazlugError:
@@ -152,7 +152,7 @@
         self.answer = answer
 
 
-def _torn(why: str) -> _errors.TargetTruncated:
+def _broken_stream_error(why: str) -> _errors.TargetTruncated:
     return _errors.TargetTruncated(
         f"the engine's stream broke: {why}",
         outcome=_errors.Outcome.UNKNOWN,
@@ -162,6 +162,6 @@
 def error_event(
     error: _errors.TopazlugError, request_id: _ids.RequestId
 ) -> bytes:
-    """Give the final event of a stream that broke."""
+    """Return the final event of a broken stream."""
     document = _caller_answer.error_document(error, request_id)
     return b"data: " + document + b"\n\n"
--- a/src/topazlug/calls/_service_calls.py
+++ b/src/topazlug/calls/_service_calls.py
@@ -14,8 +14,8 @@
 from topazlug.callers import _caller_answer
 from topazlug.callers import _caller_request
 from topazlug.calls import _call_assembly
-from topazlug.calls import _call_path
-from topazlug.calls import _service_wire
+from topazlug.calls import _call_runner
+from topazlug.calls import _service_relay
 from topazlug.claims import _claim_rows
 from topazlug.claims import _claims
 from topazlug.configuration import _configuration
@@ -29,12 +29,12 @@
 _log = _logs.logger("service")
 PREFIX = "/v1/services/"
 IDEMPOTENCY_KEY = "Idempotency-Key"
-_MAX_KEY = 256
-_BUFFERED = 1 << 20
+_MAX_KEY_LENGTH = 256
+_MAX_BUFFERED_BYTES = 1 << 20
 
 
 class Claims(Protocol):
-    """What keeps claims."""
+    """Store of claims."""
 
     def claim(
         self,
@@ -45,11 +45,11 @@
         fingerprint: str,
         deadline: float,
     ) -> _claims.Claim | _claims.KeptAnswer:
-        """Claim the right to run a request once."""
+        """Claim the right to run a request, or return its kept answer."""
 
 
 class _Call(msgspec.Struct):
-    """One service call on its way."""
+    """A service call in progress."""
 
     request: _caller_request.CallerRequest
     caller: _caller_request.Caller
@@ -68,7 +68,7 @@
     Parameters
     ----------
     assembly : CallAssembly
-        What all calls share.
+        Components shared by all calls.
     claims : Claims
         Claims in the platform's table.
     """
@@ -79,8 +79,8 @@
         assembly: _call_assembly.CallAssembly,
         claims: Claims,
     ) -> None:
-        self._parts = assembly
-        self._path = _call_path.CallPath(assembly=assembly, log=_log)
+        self._assembly = assembly
+        self._runner = _call_runner.CallRunner(assembly=assembly, log=_log)
         self._claims = claims
 
     def serve(
@@ -94,7 +94,7 @@
         Raises
         ------
         RequestError
-            Nothing of an answer has gone to the caller.
+            The call failed before anything was sent to the caller.
         """
         row, path = _route(request, caller, snapshot)
         request.read_deadline(longest=row.deadline)
@@ -116,17 +116,23 @@
         )
         kept = self._claim(call)
         if kept is not None:
-            return _of_kept(kept, call)
+            return _replayed_answer(kept, call)
         if call.claim is None:
             return self._run(call)
-        # Whatever ends the call, its claim ends with it: a caller that is
-        # gone before anything was sent must not leave its key unknown for a
-        # day.
+        # The claim ends with the call, for whatever reason the call ends. If
+        # the caller left before anything was sent, its key would otherwise
+        # have an unknown outcome for a day.
         with call.claim:
             return self._run(call)
 
     def _claim(self, call: _Call) -> _claims.KeptAnswer | None:
-        """Claim a call that may not be repeated, before anything is sent."""
+        """Claim a call that must not run twice, before anything is sent.
+
+        Returns
+        -------
+        KeptAnswer or None
+            The answer of an earlier run with the same key, if there is one.
+        """
         key = call.request.header(IDEMPOTENCY_KEY)
         if call.repeatable:
             return None
@@ -137,11 +143,12 @@
                     f" {IDEMPOTENCY_KEY} header"
                 )
             return None
-        if len(key) > _MAX_KEY:
+        if len(key) > _MAX_KEY_LENGTH:
             raise _errors.BadHeader(
-                f"{IDEMPOTENCY_KEY} is longer than {_MAX_KEY} characters"
+                f"{IDEMPOTENCY_KEY} is longer than {_MAX_KEY_LENGTH}"
+                " characters"
             )
-        found = self._claims.claim(
+        result = self._claims.claim(
             team=call.caller.name,
             service=_ids.GroupName(call.row.name),
             key=key,
@@ -150,13 +157,13 @@
             ),
             deadline=call.request.deadline,
         )
-        if isinstance(found, _claims.KeptAnswer):
-            return found
-        call.claim = found
+        if isinstance(result, _claims.KeptAnswer):
+            return result
+        call.claim = result
         return None
 
     def _run(self, call: _Call) -> _caller_answer.CallerAnswer:
-        wanted = _place.PlaceRequest(
+        placement_request = _place.PlaceRequest(
             group=_ids.GroupName(call.row.name),
             chat=_ranking.chat_hash(call.request.request_id),
             team=call.caller.name,
@@ -165,10 +172,12 @@
             deadline=call.request.deadline,
         )
         try:
-            return self._path.run(
-                wanted,
+            return self._runner.run(
+                placement_request,
                 call.caller,
-                lambda place, ticket: self._attempt(call, place, ticket),
+                lambda placement, ticket: self._attempt(
+                    call, placement, ticket
+                ),
                 repeatable=call.repeatable,
                 fingerprint=call.fingerprint,
             )
@@ -177,91 +186,93 @@
             raise
 
     def _attempt(
-        self, call: _Call, place: _place.Place, ticket: _quotas.Ticket
+        self, call: _Call, placement: _place.Place, ticket: _quotas.Ticket
     ) -> _caller_answer.CallerAnswer:
         call.request.remaining()
         if call.claim is not None:
             call.claim.may_send()
-        answer = self._path.exchange(
-            place, _target_request(call), call.request
+        answer = self._runner.exchange(
+            placement, _target_request(call), call.request
         )
         chunks = answer.chunks(
-            receive_timeout=self._parts.limits.target_silence,
+            receive_timeout=self._assembly.limits.target_silence,
             deadline=call.request.deadline,
         )
         if call.claim is not None:
-            return self._keep(call, place, answer, chunks, ticket)
-        return self._relay(call, place, answer, chunks, ticket)
+            return self._finish_claimed(
+                call, placement, answer, chunks, ticket
+            )
+        return self._relay(call, placement, answer, chunks, ticket)
 
-    def _keep(
+    def _finish_claimed(
         self,
         call: _Call,
-        place: _place.Place,
+        placement: _place.Place,
         answer: _target_answer.TargetAnswer,
         chunks: Iterator[bytes],
         ticket: _quotas.Ticket,
     ) -> _caller_answer.CallerAnswer:
-        """Read a claimed call's answer whole, so that a repeat gets it."""
+        """Read a claimed call's answer and keep it for repeats."""
         try:
-            body = _service_wire.read_whole(chunks)
+            body = _service_relay.read_bounded(chunks)
         finally:
             answer.close()
-        headers = _service_wire.passed_back(answer)
+        headers = _service_relay.relayed_headers(answer)
         if call.claim is not None:
             call.claim.finish(answer.status, headers, body)
-        self._end(call, place, answer.status, ticket)
+        self._end(call, placement, answer.status, ticket)
         return _caller_answer.CallerAnswer(
             status=answer.status,
             headers=headers
-            + _own_headers(call, place.target.replica)
-            + _service_wire.length(answer.status, len(body)),
+            + _own_headers(call, placement.target.replica)
+            + _service_relay.content_length(answer.status, len(body)),
             body=iter([body]),
         )
 
     def _relay(
         self,
         call: _Call,
-        place: _place.Place,
+        placement: _place.Place,
         answer: _target_answer.TargetAnswer,
         chunks: Iterator[bytes],
         ticket: _quotas.Ticket,
     ) -> _caller_answer.CallerAnswer:
-        """Give a short answer whole, and a long one as it comes.
+        """Buffer a short answer; relay a long one as it arrives.
 
-        A short answer that breaks can still be repeated, since nothing of
-        it has gone to the caller.
+        If a short answer breaks, the call can still be repeated, as nothing
+        has been sent to the caller.
         """
         head: list[bytes] = []
         size = 0
-        whole = True
+        is_complete = True
         for block in chunks:
             head.append(block)
             size += len(block)
-            if size > _BUFFERED:
-                whole = False
+            if size > _MAX_BUFFERED_BYTES:
+                is_complete = False
                 break
-        headers = _service_wire.passed_back(answer) + _own_headers(
-            call, place.target.replica
+        headers = _service_relay.relayed_headers(answer) + _own_headers(
+            call, placement.target.replica
         )
-        if whole:
-            self._end(call, place, answer.status, ticket)
+        if is_complete:
+            self._end(call, placement, answer.status, ticket)
             if call.request.method == "HEAD":
                 stated = answer.header("Content-Length")
                 size = int(stated) if stated.isdigit() else 0
-            headers += _service_wire.length(answer.status, size)
+            headers += _service_relay.content_length(answer.status, size)
             body: Iterator[bytes] = iter(head)
         else:
             body = _caller_answer.started(
-                self._rest(call, place, answer, head, chunks, ticket)
+                self._relay_rest(call, placement, answer, head, chunks, ticket)
             )
         return _caller_answer.CallerAnswer(
             status=answer.status, headers=headers, body=body
         )
 
-    def _rest(
+    def _relay_rest(
         self,
         call: _Call,
-        place: _place.Place,
+        placement: _place.Place,
         answer: _target_answer.TargetAnswer,
         head: list[bytes],
         chunks: Iterator[bytes],
@@ -273,18 +284,18 @@
             yield from chunks
         finally:
             answer.close()
-            self._end(call, place, answer.status, ticket)
+            self._end(call, placement, answer.status, ticket)
 
     def _end(
         self,
         call: _Call,
-        place: _place.Place,
+        placement: _place.Place,
         status: int,
         ticket: _quotas.Ticket,
     ) -> None:
-        self._parts.admission.release(place)
+        self._assembly.admission.release(placement)
         ticket.give_back()
-        self._path.ended(
+        self._runner.record_end(
             call.caller,
             call.request,
             status=status,
@@ -293,7 +304,7 @@
                 request_id=call.request.request_id,
                 team=call.caller.name,
                 service=call.row.name,
-                replica=place.target.replica,
+                replica=placement.target.replica,
             ),
         )
 
@@ -308,9 +319,9 @@
     allowed = caller.team.services
     if row is None or (allowed and name not in allowed):
         raise _errors.UnknownService(f"no service {name!r}")
-    # The path goes on encoded as it came: decoded, a line break would start
-    # a header of the caller's choice, and an encoded slash would name
-    # another resource.
+    # The path must stay encoded as received. If it were decoded, a line break
+    # in it could inject a header, and an encoded slash would change which
+    # resource is requested.
     path = parse.quote("/" + rest, safe="%/:@!$&'()*+,;=~", encoding="latin-1")
     if request.query:
         path += "?" + parse.quote(request.query, safe="=&%+/:@!$'()*,;~?")
@@ -318,7 +329,7 @@
 
 
 def _end_claim(call: _Call, error: _errors.RequestError) -> None:
-    """Free the key if certainly nothing ran, else leave it unknown."""
+    """Release the key if nothing ran; else its outcome stays unknown."""
     if call.claim is None:
         return
     if error.outcome is _errors.Outcome.NOT_RUN:
@@ -331,7 +342,7 @@
     headers = [
         (name, value)
         for name, value in call.request.headers()
-        if name.lower() not in _service_wire.NOT_PASSED_ON
+        if name.lower() not in _service_relay.UNRELAYED_HEADERS
         and "\n" not in value
     ]
     headers.append(("Host", call.row.name))
@@ -354,7 +365,7 @@
     ]
 
 
-def _of_kept(
+def _replayed_answer(
     kept: _claims.KeptAnswer, call: _Call
 ) -> _caller_answer.CallerAnswer:
     headers = list(kept.headers)
@@ -362,7 +373,7 @@
         (_caller_answer.OUTCOME, _errors.Outcome.RAN.value),
         ("X-Request-Id", call.request.request_id),
         ("Idempotency-Replayed", "true"),
-        *_service_wire.length(kept.status, len(kept.body)),
+        *_service_relay.content_length(kept.status, len(kept.body)),
     ]
     return _caller_answer.CallerAnswer(
         status=kept.status, headers=headers, body=iter([kept.body])
--- a/src/topazlug/calls/_service_wire.py
+++ b/src/topazlug/calls/_service_relay.py
@@ -1,15 +1,15 @@
-"""What of an answer goes on between a plain service and its caller."""
+"""Headers and bodies relayed between a plain service and its caller."""
 
 from collections.abc import Iterator
 
 from topazlug import _errors
 from topazlug.targets import _target_answer
 
-_MAX_KEPT_WHOLE = 16 << 20
-_BODYLESS = (204, 304)
-# Fields that describe one connection (RFC 9110, 7.6.1), the caller's own
-# credentials, and the names that only this daemon may set.
-NOT_PASSED_ON = frozenset(
+_MAX_KEPT_ANSWER_BYTES = 16 << 20
+_BODYLESS_STATUSES = (204, 304)
+# Fields that describe a single connection (RFC 9110, 7.6.1), the caller's
+# credentials, and fields that only this daemon may set.
+UNRELAYED_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -30,30 +30,38 @@
 )
 
 
-def passed_back(
+def relayed_headers(
     answer: _target_answer.TargetAnswer,
 ) -> list[tuple[str, str]]:
-    """Give the fields of an answer that its caller gets."""
+    """Return the header fields of an answer that are sent to the caller."""
     return [
         (name, value)
         for name, value in answer.headers
-        if name.lower() not in NOT_PASSED_ON
+        if name.lower() not in UNRELAYED_HEADERS
         and not name.lower().startswith(("x-target-", "topazlug-"))
     ]
 
 
-def length(status: int, size: int) -> list[tuple[str, str]]:
-    """Give the field of a body's length, where there is a body."""
-    return [] if status in _BODYLESS else [("Content-Length", str(size))]
+def content_length(status: int, size: int) -> list[tuple[str, str]]:
+    """Return the `Content-Length` field, if the status allows a body."""
+    return (
+        [] if status in _BODYLESS_STATUSES else [("Content-Length", str(size))]
+    )
 
 
-def read_whole(chunks: Iterator[bytes]) -> bytes:
-    """Read an answer that is kept; raises TargetFailed on a huge one."""
+def read_bounded(chunks: Iterator[bytes]) -> bytes:
+    """Read an answer that will be kept.
+
+    Raises
+    ------
+    TargetFailed
+        The answer is longer than `_MAX_KEPT_ANSWER_BYTES`.
+    """
     blocks: list[bytes] = []
     size = 0
     for block in chunks:
         size += len(block)
-        if size > _MAX_KEPT_WHOLE:
+        if size > _MAX_KEPT_ANSWER_BYTES:
             raise _errors.TargetFailed(
                 "the answer of a claimed request is too long",
                 outcome=_errors.Outcome.UNKNOWN,
--- a/src/topazlug/calls/_sse.py
+++ b/src/topazlug/calls/_sse.py
@@ -1,100 +1,102 @@
-"""Server-sent events: whole events out of a stream of bytes.
+"""Server-sent events: splitting of a byte stream into complete events.
 
-Only whole events are passed on, so that a stream which breaks in the middle
-of one can be continued without a torn or doubled event.
+Only complete events are relayed, so that a stream that breaks in the middle of
+an event can be resumed without a truncated or duplicated event.
 """
 
 from typing import final
 
 DONE = b"data: [DONE]"
-_END = b"\n\n"
-_ID = b"id:"
+_EVENT_END = b"\n\n"
+_ID_FIELD = b"id:"
 _MAX_EVENT_BYTES = 1 << 20
 
 
 class EventTooLong(ValueError):
-    """An event passes the bound on its size."""
+    """An event exceeds the maximum size."""
 
 
 class EventMissing(ValueError):
-    """An event's number shows that another was lost before it."""
+    """An event's id shows that an event before it was lost."""
 
 
 @final
 class EventReader:
-    """Cuts a stream into events and drops the ones seen before.
+    """Splits a stream into events and discards repeated ones.
 
     Parameters
     ----------
     last_id : int or None
-        Number of the last event that the caller has; None where the first
-        number is the sender's choice.
+        Id of the last event that the caller has; None if the sender may
+        choose the first id.
 
     Attributes
     ----------
-    last_id : int
-        Number of the last event passed on; -1 or None before the first.
+    last_id : int or None
+        Id of the last event returned; -1 or None before the first.
     done : bool
-        Whether the closing event came.
+        Whether the closing event was received.
     count : int
-        Events passed on, the closing one not counted.
+        Number of events returned, without the closing one.
     """
 
     def __init__(self, *, last_id: int | None = -1) -> None:
-        self._rest = b""
+        self._partial = b""
         self.last_id = last_id
         self.done = False
         self.count = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes and give the whole events among them.
+        """Process received bytes and return the events they complete.
 
         Parameters
         ----------
         data : bytes
-            What came.
+            The bytes received.
 
         Returns
         -------
         bytes
-            Whole new events in order; may be empty.
+            Complete new events in order; may be empty.
 
         Raises
         ------
         EventTooLong
-            An event passes one MiB.
+            An event is longer than 1 MiB.
         EventMissing
-            A number is left out; events before it were already counted, so
-            the stream must be continued after `last_id`.
+            An event is missing after `last_id`, where the stream must be
+            resumed.
         """
-        text = self._rest + data if self._rest else data
-        *events, self._rest = text.split(_END)
-        if len(self._rest) > _MAX_EVENT_BYTES:
-            raise EventTooLong(f"{len(self._rest)} bytes without an end")
-        fresh = []
+        text = self._partial + data if self._partial else data
+        *events, self._partial = text.split(_EVENT_END)
+        if len(self._partial) > _MAX_EVENT_BYTES:
+            raise EventTooLong(
+                f"incomplete event of {len(self._partial)} bytes"
+            )
+        new_events = []
         for event in events:
             try:
                 if self._is_new(event):
-                    fresh.append(event)
+                    new_events.append(event)
             except EventMissing:
-                if not fresh:
+                if not new_events:
                     raise
-                # The events before the gap are passed on first; the gap
-                # shows again with the next bytes or the stream's end.
-                self._rest = event + _END + self._rest
+                # Return the events before the gap first. The event after it
+                # is put back, so that the next call raises.
+                self._partial = event + _EVENT_END + self._partial
                 break
-        if not fresh:
+        if not new_events:
             return b""
-        return _END.join(fresh) + _END
+        return _EVENT_END.join(new_events) + _EVENT_END
 
     @property
     def is_between_events(self) -> bool:
-        """Say whether no part of an event is left over."""
-        return not self._rest
+        """Return whether no partial event is buffered."""
+        return not self._partial
 
     def discard_partial(self) -> None:
-        """Forget a torn event before the stream is continued."""
-        self._rest = b""
+        """Discard a partial event before the stream is resumed."""
+        self._partial = b""
 
     def _is_new(self, event: bytes) -> bool:
         if self.done:
@@ -102,22 +104,22 @@
         if event.startswith(DONE):
             self.done = True
             return True
-        number = _number(event)
-        if number is not None:
-            last = number - 1 if self.last_id is None else self.last_id
-            if number <= last:
+        event_id = _event_id(event)
+        if event_id is not None:
+            last = event_id - 1 if self.last_id is None else self.last_id
+            if event_id <= last:
                 return False
-            if number != last + 1:
-                raise EventMissing(f"{number} follows {last}")
-            self.last_id = number
+            if event_id != last + 1:
+                raise EventMissing(f"event {event_id} follows event {last}")
+            self.last_id = event_id
         self.count += 1
         return True
 
 
-def _number(event: bytes) -> int | None:
-    """Give an event's number; other lines may stand before it."""
+def _event_id(event: bytes) -> int | None:
+    """Return an event's numeric id, which need not be in its first line."""
     for line in event.split(b"\n"):
-        if line.startswith(_ID):
-            digits = line[len(_ID) :].strip()
+        if line.startswith(_ID_FIELD):
+            digits = line[len(_ID_FIELD) :].strip()
             return int(digits) if digits.isdigit() else None
     return None
--- a/tests/topazlug/calls/test_attempts.py
+++ b/tests/topazlug/calls/test_attempts.py
@@ -1,4 +1,4 @@
-"""What is known of a request after several attempts."""
+"""Tests of retries, and of a request's outcome after several attempts."""
 
 import pytest
 
@@ -13,15 +13,15 @@
 UNKNOWN = _errors.Outcome.UNKNOWN
 
 
-def refused():
-    return _errors.TargetRefused("the target refused", retry_after=1.0)
+def rejected():
+    return _errors.TargetRefused("the target rejected", retry_after=1.0)
 
 
 def broken():
     return _errors.TargetTruncated("broke", outcome=UNKNOWN)
 
 
-def unconnected():
+def connect_failed():
     return _target_client.ConnectFailed("no connection")
 
 
@@ -37,17 +37,17 @@
             links=fixtures.NoLinks(),
         )
         self.budget = _retry_budget.RetryBudget(ratio=ratio)
-        self.tried = []
+        self.replicas = []
         self.retried = []
 
     def run(self, *failures, repeatable):
-        left = list(failures)
+        remaining = list(failures)
 
-        def attempt(place):
-            self.tried.append(place.target.replica)
-            if left:
-                raise left.pop(0)
-            self.entry.admission.release(place)
+        def attempt(placement):
+            self.replicas.append(placement.target.replica)
+            if remaining:
+                raise remaining.pop(0)
+            self.entry.admission.release(placement)
             return "answer"
 
         attempts = _attempts.Attempts(
@@ -62,48 +62,50 @@
             return attempts.run(request, attempt, repeatable=repeatable)
         finally:
             assert not self.entry.admission.holdings.place_by_ask
-            assert len(set(self.tried)) == len(self.tried)
+            assert len(set(self.replicas)) == len(self.replicas)
 
 
 class TestRun:
     @pytest.mark.parametrize("repeatable", [True, False])
-    @pytest.mark.parametrize("failure", [refused, unconnected])
-    def test_what_did_not_run_is_repeated(self, failure, repeatable):
+    @pytest.mark.parametrize("failure", [rejected, connect_failed])
+    def test_request_that_did_not_run_is_repeated(self, failure, repeatable):
         runner = Runner()
         assert runner.run(failure(), repeatable=repeatable) == "answer"
-        assert len(runner.tried) == 2
+        assert len(runner.replicas) == 2
         assert len(runner.retried) == 1
 
-    def test_unknown_is_repeated_only_if_idempotent(self):
+    def test_unknown_outcome_is_repeated_only_if_idempotent(self):
         assert Runner().run(broken(), repeatable=True) == "answer"
         runner = Runner()
         with pytest.raises(_errors.TargetTruncated):
             runner.run(broken(), repeatable=False)
-        assert len(runner.tried) == 1
+        assert len(runner.replicas) == 1
         assert not runner.retried
 
     @pytest.mark.parametrize(
         "failures, outcome",
         [
-            ([refused, refused, refused, refused], NOT_RUN),
-            ([unconnected, refused, unconnected, refused], NOT_RUN),
-            ([broken, refused, refused, refused], UNKNOWN),
-            ([refused, broken, refused, unconnected], UNKNOWN),
+            ([rejected, rejected, rejected, rejected], NOT_RUN),
+            ([connect_failed, rejected, connect_failed, rejected], NOT_RUN),
+            ([broken, rejected, rejected, rejected], UNKNOWN),
+            ([rejected, broken, rejected, connect_failed], UNKNOWN),
         ],
     )
-    def test_one_unknown_attempt_makes_it_unknown(self, failures, outcome):
-        """Symptom: a caller is told not-run though its request ran.
+    def test_one_unknown_attempt_makes_the_outcome_unknown(
+        self, failures, outcome
+    ):
+        """The outcome must not be "not run" if one attempt may have run.
 
-        Sequence: one attempt breaks, the repeats are refused. Cause: the
-        last failure was taken for the whole.
+        One attempt broke and its retries were rejected. Only the last failure
+        determined the outcome.
         """
         made = [failure() for failure in failures]
         with pytest.raises(_errors.RequestError) as caught:
             Runner().run(*made, repeatable=True)
         assert caught.value.outcome is outcome
 
-    @pytest.mark.parametrize("first", [broken, refused, unconnected])
-    def test_no_place_for_a_repeat_tells_what_broke(self, first):
+    @pytest.mark.parametrize("first", [broken, rejected, connect_failed])
+    def test_retry_without_a_replica_raises_the_earlier_failure(self, first):
         failure = first()
         with pytest.raises(_errors.RequestError) as caught:
             Runner(replicas=1).run(failure, repeatable=True)
@@ -112,27 +114,27 @@
         else:
             assert caught.value.code is _errors.Code.NO_TARGET
 
-    def test_passed_deadline_is_not_repeated(self):
+    def test_no_retry_after_the_deadline(self):
         runner = Runner()
         late = _errors.DeadlineExceeded("late", outcome=UNKNOWN)
         with pytest.raises(_errors.DeadlineExceeded):
             runner.run(late, repeatable=True)
-        assert len(runner.tried) == 1
+        assert len(runner.replicas) == 1
 
     def test_retries_stop_with_the_budget(self):
         runner = Runner(ratio=0.0)
         for _ in range(3):
-            runner.tried.clear()
+            runner.replicas.clear()
             runner.run(broken(), repeatable=True)
-        runner.tried.clear()
+        runner.replicas.clear()
         with pytest.raises(_errors.TargetTruncated):
             runner.run(broken(), repeatable=True)
 
-    def test_fault_of_ours_gives_the_place_back(self):
+    def test_internal_error_releases_the_placement(self):
         with pytest.raises(ZeroDivisionError):
             Runner().run(ZeroDivisionError(), repeatable=True)
 
     def test_unreachable_target_is_avoided(self):
         runner = Runner()
-        runner.run(unconnected(), repeatable=False)
-        assert not runner.entry.targets.is_usable(runner.tried[0])
+        runner.run(connect_failed(), repeatable=False)
+        assert not runner.entry.targets.is_usable(runner.replicas[0])
--- a/tests/topazlug/calls/test_blocked_calls.py
+++ b/tests/topazlug/calls/test_blocked_calls.py
@@ -1,4 +1,4 @@
-"""Chats and service calls that crash the targets that run them."""
+"""Tests of chats and service calls that crash the targets they run on."""
 
 import json
 
@@ -9,17 +9,17 @@
 from topazlug.crashes import _evidence
 
 QUESTION = "the one that crashes"
-# Three attempts show it; the first of them may end a second target.
-MOST_ENDED = 4
+# Three crashes are the evidence; the first attempt may crash a second target.
+MAX_CRASHED = 4
 
 
 class Targets:
-    """Targets that end at one question, and answer all others."""
+    """Targets that crash on one question, and answer all others."""
 
     def __init__(self, rig, group):
         self.rig = rig
         self.group = group
-        self.ended = []
+        self.crashed = []
         self.started = 0
         for _ in range(3):
             self.start()
@@ -33,33 +33,35 @@
         def script(sock):
             while data := wire_fixtures.read_request(sock):
                 if QUESTION.encode() in data:
-                    self._end(name)
+                    self._crash(name)
                     return
                 sock.sendall(wire_fixtures.http_answer(b"{}"))
 
         return script
 
-    def _end(self, name):
-        self.ended.append(name)
+    def _crash(self, name):
+        self.crashed.append(name)
         (target,) = [one for one in self.rig.listed if one.replica == name]
         for server in self.rig.servers:
             if server.server_port == target.port:
                 server.stop(timeout=0)
 
-    def replace_ended(self):
-        """Take ended targets off the list, and list new ones."""
+    def replace_crashed(self):
+        """Take crashed targets off the list, and list new ones."""
         before = self.rig.entry.targets.target_by_replica
-        gone = [one for one in self.rig.listed if one.replica in self.ended]
-        for target in gone:
+        unlisted = [
+            one for one in self.rig.listed if one.replica in self.crashed
+        ]
+        for target in unlisted:
             self.rig.listed.remove(target)
             self.start()
         listed = self.rig.entry.targets.target_by_replica.values()
         self.rig.guard.take_list(before, listed)
-        fixtures.wait_until(self._are_noted)
+        fixtures.wait_until(self._are_recorded)
 
-    def _are_noted(self):
+    def _are_recorded(self):
         notes = self.rig.guard._notebook._own
-        return len(notes) >= len(self.ended)
+        return len(notes) >= len(self.crashed)
 
 
 @pytest.fixture
@@ -69,49 +71,49 @@
     made.stop()
 
 
-def ask(rig, targets, call, times):
+def call_repeatedly(rig, targets, call, times):
     answers = []
     for _ in range(times):
         answers.append(call())
-        targets.replace_ended()
+        targets.replace_crashed()
         rig.guard.decide()
     return answers
 
 
-def is_decided(rig):
-    """Have the guard decide; say whether a request is blocked."""
+def has_decided(rig):
+    """Run the guard's decision; return whether a request is blocked."""
     rig.guard.decide()
     return bool(rig.guard.blocked)
 
 
 class TestChat:
     @pytest.mark.parametrize("stream", [False, True])
-    def test_few_engines_get_it(self, rig, stream):
-        """One chat ended four engines at each of its attempts.
+    def test_few_engines_crash(self, rig, stream):
+        """A chat that crashes engines must be blocked after few crashes.
 
-        A chat whose engine fails is sent to up to three others, and its
-        caller asks again.
+        It crashed four engines with each call: after a failure it is sent to
+        up to three other engines, and then its caller repeats the call.
         """
         targets = Targets(rig, fixtures.POOL)
-        answers = ask(
+        answers = call_repeatedly(
             rig, targets, lambda: rig.chat(QUESTION, stream=stream), 8
         )
-        assert len(targets.ended) <= MOST_ENDED
+        assert len(targets.crashed) <= MAX_CRASHED
         assert answers[-1].status == 503
         assert answers[-1].code == "request_blocked"
         assert answers[-1].outcome == "not-run"
-        fixtures.wait_until(lambda: is_decided(rig))
+        fixtures.wait_until(lambda: has_decided(rig))
         assert rig.guard.blocked == 1
         rig.wait_idle()
 
     def test_other_chats_are_served(self, rig):
         targets = Targets(rig, fixtures.POOL)
-        ask(rig, targets, lambda: rig.chat(QUESTION), 6)
+        call_repeatedly(rig, targets, lambda: rig.chat(QUESTION), 6)
         assert rig.chat("another").status == 200
 
 
 class TestService:
-    def test_few_services_get_it(self, rig):
+    def test_few_services_crash(self, rig):
         targets = Targets(rig, fixtures.SERVICE)
 
         def call():
@@ -119,16 +121,16 @@
                 "GET", "/v1/services/letters/x", body=QUESTION.encode()
             )
 
-        answers = ask(rig, targets, call, 8)
-        assert len(targets.ended) <= MOST_ENDED
+        answers = call_repeatedly(rig, targets, call, 8)
+        assert len(targets.crashed) <= MAX_CRASHED
         assert answers[-1].code == "request_blocked"
 
-    def test_key_of_a_blocked_call_is_free_again(self, rig):
-        """A call that certainly did not run must not keep its key."""
+    def test_key_of_a_blocked_call_is_released(self, rig):
+        """A call that did not run must not keep its idempotency key."""
         targets = Targets(rig, fixtures.SERVICE)
 
         def call():
-            key = f"k{targets.started}-{len(targets.ended)}"
+            key = f"k{targets.started}-{len(targets.crashed)}"
             return rig.send(
                 "POST",
                 "/v1/services/letters/x",
@@ -136,8 +138,8 @@
                 body=QUESTION.encode(),
             )
 
-        answers = ask(rig, targets, call, 8)
-        assert len(targets.ended) <= _evidence.CRASHES
+        answers = call_repeatedly(rig, targets, call, 8)
+        assert len(targets.crashed) <= _evidence.CRASHES
         assert answers[-1].code == "request_blocked"
         assert answers[-1].outcome == "not-run"
         last = rig.send(
@@ -148,5 +150,5 @@
         )
         assert json.loads(last.body)["error"]["code"] == "request_blocked"
         states = [row.value["state"] for row in rig.store.row_by_key.values()]
-        assert states.count("claimed") == len(targets.ended)
+        assert states.count("claimed") == len(targets.crashed)
         assert set(states) == {"claimed", "released"}
--- a/tests/topazlug/calls/test_chat_calls.py
+++ b/tests/topazlug/calls/test_chat_calls.py
@@ -1,4 +1,4 @@
-"""Chats: the whole answer to the caller's own question, or a failure."""
+"""Tests that a chat gets its own complete answer, or a visible failure."""
 
 import hashlib
 import json
@@ -39,7 +39,7 @@
 
 
 def only(answer, engines):
-    """Give the engine that answered."""
+    """Return the engine that answered."""
     return engines[answer.headers["topazlug-replica"]]
 
 
@@ -70,11 +70,11 @@
         ],
     )
     @pytest.mark.parametrize("stream", [False, True])
-    def test_other_engine_answers(self, rig, stream, fault):
+    def test_another_engine_answers(self, rig, stream, fault):
         """Symptom: a family gets half an answer, or none.
 
-        Sequence: the chat's home breaks the answer before any of it went to
-        the caller. Cause: an engine that fails; another one is free.
+        Sequence: the chat's home engine_faults the answer before any of it went to
+        the caller. Cause: an engine that fails; another run_caller is free.
         """
         engines = [rig.engine(name) for name in ("e1", "e2")]
         home = only(ask(rig), rig.engines)
@@ -86,11 +86,11 @@
         for engine in engines:
             fixtures.wait_until(lambda: engine._scheduler.running == 0)
 
-    def test_json_cut_by_the_end_of_the_connection(self, rig):
-        """Symptom: a caller's library fails on half a JSON document.
+    def test_json_truncated_by_the_end_of_the_connection(self, rig):
+        """A truncated JSON document must not be sent to the caller.
 
-        Sequence: an engine answers without a length and dies. Cause: the
-        connection's end is all that ends such an answer.
+        An engine answers without a length and dies. Such an answer ends with
+        its connection, and the caller's library failed to parse it.
         """
 
         def half(sock):
@@ -102,10 +102,10 @@
         assert (answer.status, answer.code) == (502, "target_truncated")
         assert answer.outcome == "unknown"
 
-    def test_last_failure_is_told_when_nobody_is_left(self, rig):
-        """Symptom: no target, it says, though one broke the answer.
+    def test_failure_is_returned_if_no_engine_remains(self, rig):
+        """The failure of an attempt must not be hidden by its retry.
 
-        Cause: the repeat found no second replica, and said so.
+        The retry found no second replica, and the error was "no target".
         """
         engine = rig.engine("e1")
         engine.faults.truncate_count = 1
@@ -115,11 +115,10 @@
 
     @pytest.mark.parametrize("stream", [False, True])
     def test_late_answer(self, rig, stream):
-        """Symptom: silence on the line long after the caller's deadline.
+        """A slow engine must not delay the failure beyond the deadline.
 
-        Sequence: the engine answers after the deadline. Cause: it is slow;
-        the wait for it must end with the deadline, whatever retries are
-        left, and its work must be cancelled.
+        The wait must end at the deadline even if retries remain, and the
+        engine's work must be cancelled.
         """
         engine, spare = [rig.engine(name) for name in ("e1", "e2")]
         set_all([engine, spare], late=600.0, late_count=9)
@@ -131,17 +130,18 @@
         assert rig.budget.spent == 0
         rig.wait_idle()
 
-    def test_status_that_nobody_knows(self, rig):
-        """Symptom: status 500 in plain text instead of the engine's answer.
+    def test_nonstandard_status(self, rig):
+        """An answer with a nonstandard status must be relayed.
 
-        Cause: the status has no standard phrase.
+        The caller received status 500 in plain text, because the status has
+        no standard phrase.
         """
 
-        def odd(sock):
+        def nonstandard(sock):
             wire_fixtures.read_request(sock)
             sock.sendall(wire_fixtures.http_answer(b"{}", status="599 Odd"))
 
-        rig.scripted("e1", odd)
+        rig.scripted("e1", nonstandard)
         answer = ask(rig)
         assert (answer.status, answer.body) == (599, b"{}")
         rig.wait_idle()
@@ -149,10 +149,10 @@
 
 class TestStream:
     @pytest.mark.parametrize("after", range(0, TOKENS + 3))
-    def test_cut_stream_is_continued(self, rig, after):
+    def test_broken_stream_is_resumed(self, rig, after):
         """Symptom: a word is missing or doubled in the middle.
 
-        Sequence: the engine's connection breaks after some events; it can
+        Sequence: the engine's connection engine_faults after some events; it can
         continue the stream. Cause: it must be continued after the last
         whole event.
         """
@@ -166,19 +166,19 @@
         assert (only(answer, rig.engines) is home) is (after > 0)
         rig.wait_idle()
 
-    def test_repeated_events_are_passed_once(self, rig):
+    def test_repeated_events_are_relayed_once(self, rig):
         engine = rig.engine("e1")
         set_all([engine], duplicate_events_count=1)
         answer = ask(rig, stream=True)
         assert answer.text == expected("where?")
         assert answer.body.count(b"[DONE]") == 1
 
-    def test_stream_that_can_not_be_continued(self, rig):
+    def test_stream_that_can_not_be_resumed(self, rig):
         """Symptom: half an answer that looks whole.
 
-        Sequence: the stream breaks, the engine has lost it. Cause: the
+        Sequence: the stream engine_faults, the engine has lost it. Cause: the
         engine can't continue; the caller must see an error event and never
-        the closing one, and the slot must not stay taken.
+        the closing run_caller, and the slot must not stay taken.
         """
         engine = rig.engine("e1")
         set_all(
@@ -191,7 +191,7 @@
         rig.wait_idle()
 
     def test_missing_event(self, rig):
-        def skipping(sock):
+        def skip_event(sock):
             if b"POST" not in wire_fixtures.read_request(sock):
                 sock.sendall(wire_fixtures.http_answer(b"", status="404 No"))
                 return
@@ -201,17 +201,17 @@
                 b'id: 2\ndata: {"choices":[]}\n\ndata: [DONE]\n\n'
             )
 
-        rig.scripted("e1", skipping)
+        rig.scripted("e1", skip_event)
         answer = ask(rig, stream=True)
         assert answer.code == "target_truncated"
         assert not answer.done
         assert b"id: 2" not in answer.body
 
     def test_break_after_the_closing_event(self, rig):
-        """Symptom: an error event after ``[DONE]``.
+        """There must be no error event after ``[DONE]``.
 
-        Sequence: the engine dies between the closing event and the end of
-        its answer. Cause: the end is missing, nothing of the answer is.
+        If the engine dies between the closing event and the end of its
+        answer, all events of the answer have been received.
         """
 
         def script(sock):
@@ -230,10 +230,10 @@
         assert answer.whole
         rig.wait_idle()
 
-    def test_engine_that_stalls_in_the_middle(self, rig):
-        """Symptom: the caller waits for the next word past its deadline.
+    def test_engine_that_stalls_during_a_stream(self, rig):
+        """A stalled stream must end at the deadline.
 
-        Cause: the deadline was looked at only when bytes came.
+        The deadline was checked only when bytes arrived.
         """
         engine = rig.engine("e1", token_interval=0.05)
         started = gevent.spawn(
@@ -253,10 +253,10 @@
 
 
 class TestCallerLeaves:
-    """Symptom: engines are full of answers that nobody waits for.
+    """A call must be cancelled on its engine when its caller disconnects.
 
-    Sequence: a caller hangs up. Cause: nobody notices before the next
-    write, or nobody tells the engine.
+    Engines were busy with answers without a caller, because the disconnect
+    was noticed only at the next write, or not reported to the engine.
     """
 
     def hang_up(self, rig, engine, ready, **options):
@@ -281,14 +281,14 @@
         )
 
     @pytest.mark.parametrize("stream", [False, True])
-    def test_before_the_head(self, rig, stream):
+    def test_before_the_answer(self, rig, stream):
         engine = rig.engine("e1")
         set_all([engine], late=600.0, late_count=1)
         self.hang_up(
             rig, engine, lambda: bool(events(engine)["start"]), stream=stream
         )
 
-    def test_in_the_middle_of_a_stream(self, rig):
+    def test_during_a_stream(self, rig):
         engine = rig.engine("e1")
         body = wire_fixtures.chat_body("q", stream=True, max_tokens=100000)
         sock = rig.connect()
@@ -302,11 +302,11 @@
         fixtures.wait_until(lambda: events(engine)["cancel"] == 1)
         rig.wait_idle()
 
-    def test_that_reads_nothing(self, rig, monkeypatch):
-        """Symptom: one caller holds a slot for hours.
+    def test_caller_that_does_not_read(self, rig, monkeypatch):
+        """A caller that does not read its stream must not hold a slot.
 
-        Sequence: it asks for a long stream and reads nothing. Cause: the
-        write to it blocks, and nothing bounds it.
+        The write to it blocked without a timeout, and it held its slot for
+        hours.
         """
         monkeypatch.setattr(
             "topazlug.callers._caller_connection._WRITE_SECONDS", 0.05
@@ -363,7 +363,7 @@
         assert caught.value.code == "model_not_found"
 
 
-BREAKS = [
+ENGINE_FAULTS = [
     {},
     {"truncate_count": 2, "truncate_after": 0},
     {"truncate_count": 2, "truncate_after": 3},
@@ -375,7 +375,7 @@
     {"garbage_count": 2},
     {"late_count": 2},
 ]
-MIXES = ["own", "previous", "own+previous", "half"]
+MIXED_ANSWERS = ["own", "previous", "own+previous", "half"]
 CALLERS = strategies.lists(
     strategies.tuples(
         strategies.booleans(), strategies.sampled_from([False] * 3 + [True])
@@ -386,28 +386,28 @@
 
 
 class MixingEngine:
-    """Gives now and then the answer to the question before."""
+    """Sometimes sends the answer to the previous question."""
 
     def __init__(self):
-        self.mixes = []
+        self.mixed_answers = []
         self.previous = b""
 
     def script(self, sock):
-        while asked := wire_fixtures.read_request(sock):
-            if fixtures.CHAT.encode() not in asked:
+        while received := wire_fixtures.read_request(sock):
+            if fixtures.CHAT.encode() not in received:
                 sock.sendall(wire_fixtures.http_answer(b"", status="404 No"))
                 continue
-            own = self.answer(asked)
-            mix = self.mixes.pop() if self.mixes else "own"
+            own = self.answer(received)
+            mixed = self.mixed_answers.pop() if self.mixed_answers else "own"
             previous, self.previous = self.previous, own
-            if mix == "half":
+            if mixed == "half":
                 sock.sendall(own[:-20])
                 return
             parts = {"own": own, "previous": previous or own}
-            sock.sendall(b"".join(parts[name] for name in mix.split("+")))
+            sock.sendall(b"".join(parts[name] for name in mixed.split("+")))
 
-    def answer(self, asked):
-        head, _, body = asked.partition(b"\r\n\r\n")
+    def answer(self, received):
+        head, _, body = received.partition(b"\r\n\r\n")
         (request_id,) = re.findall(rb"X-Request-Id: (\w+)", head)
         document = json.loads(body)
         text = expected(document["messages"][0]["content"])
@@ -440,30 +440,36 @@
 class TestAnyFaults:
     @settings(max_examples=60)
     @given(
-        breaks=strategies.tuples(*[strategies.sampled_from(BREAKS)] * 2),
-        mixes=strategies.lists(strategies.sampled_from(MIXES), max_size=6),
+        engine_faults=strategies.tuples(
+            *[strategies.sampled_from(ENGINE_FAULTS)] * 2
+        ),
+        mixed_answers=strategies.lists(
+            strategies.sampled_from(MIXED_ANSWERS), max_size=6
+        ),
         callers=CALLERS,
     )
-    def test_own_and_whole_or_visibly_failed(
-        self, shared, breaks, mixes, callers
+    def test_own_complete_answer_or_visible_failure(
+        self, shared, engine_faults, mixed_answers, callers
     ):
-        """Symptom: words of another's answer, or half one that looks whole.
+        """No mix of faults may expose a foreign or truncated answer.
 
-        Sequence: any mix of engines' faults, with callers side by side on
-        reused connections, some of which leave. Cause: any.
+        Concurrent callers share reused connections to engines with any
+        faults, and some callers disconnect.
         """
-        shared.mixing.mixes = list(mixes)
-        for engine, faults in zip(shared.engines.values(), breaks):
+        shared.mixing.mixed_answers = list(mixed_answers)
+        for engine, faults in zip(shared.engines.values(), engine_faults):
             engine.faults = type(engine.faults)(late=0.005, **faults)
         tasks = [
-            gevent.spawn(self.one, shared, f"question {number}", *caller)
+            gevent.spawn(
+                self.run_caller, shared, f"question {number}", *caller
+            )
             for number, caller in enumerate(callers)
         ]
         gevent.joinall(tasks, raise_error=True)
         shared.wait_idle()
 
-    def one(self, rig, question, stream, leaves):
-        if leaves:
+    def run_caller(self, rig, question, stream, disconnects):
+        if disconnects:
             body = wire_fixtures.chat_body(question, stream=stream)
             with rig.connect() as sock:
                 sock.sendall(
--- a/tests/topazlug/calls/test_service_calls.py
+++ b/tests/topazlug/calls/test_service_calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: "not run" is true, and at most one run."""
+"""Tests that service calls run at most once, and "not run" is true."""
 
 import gevent
 from hypothesis import given
@@ -29,10 +29,10 @@
 
 
 def runs(rig):
-    """Give the request ids of all runs of all services.
+    """Return the request ids of all runs of all services.
 
-    Other programs on the machine may call a port that was theirs a moment
-    ago; their paths are others.
+    Paths of other calls are ignored: another program on the machine may call
+    a port that it used itself shortly before.
     """
     journals = [service.journal for service in rig.services.values()]
     entries = [run for journal in journals for run in journal]
@@ -40,7 +40,7 @@
 
 
 def answering(*parts):
-    """Give one answer, in parts, and hang up."""
+    """Send one answer in parts, and close the connection."""
 
     def script(sock):
         if wire_fixtures.read_request(sock):
@@ -68,11 +68,11 @@
             ({"late_count": 9, "late": 600.0}, 504),
         ],
     )
-    def test_unknown_is_not_repeated(self, rig, fault, status):
-        """Symptom: two confirmation letters.
+    def test_unknown_outcome_is_not_repeated(self, rig, fault, status):
+        """A POST with an unknown outcome must not be repeated.
 
-        Sequence: a POST runs and its answer is lost; another replica is
-        free. Cause: an unknown outcome was taken for not-run.
+        It ran and its answer was lost. As another replica was free it ran
+        again, and two confirmation letters were sent.
         """
         for name in ("s1", "s2"):
             service = rig.service(name)
@@ -90,13 +90,13 @@
         answer = call(rig, "GET")
         assert answer.status == 200
 
-    def test_refused_post_goes_to_another(self, rig):
+    def test_rejected_post_is_sent_to_another(self, rig):
         rig.service("s1").faults.refuse_count = 9
         rig.service("s2")
         assert call(rig).headers["topazlug-replica"] == "s2"
         assert len(runs(rig)) == 1
 
-    def test_refused_by_all_is_not_run(self, rig):
+    def test_rejected_by_all_is_not_run(self, rig):
         for name in ("s1", "s2"):
             rig.service(name).faults.refuse_count = 9
         answer = call(rig)
@@ -104,11 +104,11 @@
         assert answer.headers["retry-after"]
         assert runs(rig) == []
 
-    def test_unknown_then_refused_is_unknown(self, rig):
-        """Symptom: a caller is told not-run though its request ran.
+    def test_unknown_then_rejected_is_unknown(self, rig):
+        """The outcome must not be "not run" if one attempt may have run.
 
-        Sequence: an idempotent call runs at one replica and its answer is
-        lost; the repeat is refused. Cause: the last word was taken for all.
+        An idempotent call ran at one replica and its answer was lost, and its
+        retry was rejected. Only the last answer determined the outcome.
         """
         for name in ("s1", "s2"):
             rig.service(name)
@@ -121,7 +121,7 @@
             ran = answer.headers["x-request-id"] in runs(rig)
             assert (answer.outcome == "unknown") is ran
 
-    def test_leaving_target_is_told_to_all(self, rig):
+    def test_leaving_target_is_published(self, rig):
         service = rig.service("s1")
         service._leaving = True
         rig.service("s2")
@@ -144,20 +144,20 @@
         assert len(runs(rig)) == 1
         assert call(rig, key="k", body=b"y").status == 422
 
-    def test_refused_claim_can_be_tried_again(self, rig):
+    def test_claim_of_a_rejected_call_is_released(self, rig):
         rig.service("s1").faults.refuse_count = 1
         assert call(rig, key="k").outcome == "not-run"
         fixtures.wait_until(lambda: call(rig, key="k").status == 200)
         assert len(runs(rig)) == 1
 
-    def test_unknown_claim_stays_unknown(self, rig):
+    def test_claim_with_an_unknown_outcome_is_kept(self, rig):
         rig.service("s1").faults.die_before_answer_count = 1
         assert call(rig, key="k").outcome == "unknown"
         answer = call(rig, key="k")
         assert (answer.status, answer.outcome) == (409, "unknown")
         assert len(runs(rig)) == 1
 
-    def test_store_down_sends_nothing(self, rig):
+    def test_nothing_is_sent_without_the_store(self, rig):
         rig.service("s1")
         rig.store.transact_faults.extend([claim_fakes.Fault.DOWN] * 9)
         answer = call(rig, key="k")
@@ -165,11 +165,11 @@
         assert answer.headers["retry-after"]
         assert runs(rig) == []
 
-    def test_caller_that_leaves_does_not_stop_a_claimed_run(self, rig):
-        """Symptom: a guest is charged and the repeat says unknown.
+    def test_claimed_run_continues_without_its_caller(self, rig):
+        """A claimed run must not be aborted when its caller disconnects.
 
-        Sequence: the caller hangs up while its claimed request runs, and
-        repeats it. Cause: the run was broken off with its caller.
+        The caller repeats the request and must get the answer of that run. A
+        guest was charged although the repeat returned an unknown outcome.
         """
         service = rig.service("s1")
         service.faults.freeze = True
@@ -196,19 +196,19 @@
         rig.scripted("s1", answering(head, *parts), group=fixtures.SERVICE)
         return call(rig, "GET")
 
-    def test_is_passed_on_whole(self, rig):
+    def test_is_relayed_completely(self, rig):
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % self.LENGTH
         answer = self.answer(rig, head, b"x" * self.LENGTH)
         assert answer.whole
         assert len(answer.body) == self.LENGTH
         rig.wait_idle()
 
-    def test_cut_is_visible(self, rig):
-        """Symptom: half a list of guests that looks whole.
+    def test_truncation_is_visible(self, rig):
+        """A truncated answer must not look complete.
 
-        Sequence: the service dies in the middle of a long answer, of which
-        part has gone to the caller. Cause: the daemon closed its own answer
-        properly.
+        The service dies in the middle of a long answer, part of which was
+        already relayed. The daemon ended its own answer properly, and a
+        caller took half a list of guests for the complete list.
         """
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % self.LENGTH
         answer = self.answer(rig, head, b"x" * (self.LENGTH - 1))
@@ -216,7 +216,7 @@
         assert not answer.whole
         rig.wait_idle()
 
-    def test_caller_that_leaves_frees_the_place(self, rig):
+    def test_caller_that_leaves_frees_its_slot(self, rig):
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (1 << 40)
 
         def endless(sock):
@@ -232,7 +232,7 @@
         rig.wait_idle()
 
 
-class TestPassedOn:
+class TestRelay:
     def sent(self, rig, *args, **options):
         seen = []
 
@@ -253,15 +253,15 @@
     @pytest.mark.parametrize(
         "path", ["/a%2Fb", "/a%20b?c=%26&d=1", "/%0d%0aX-Evil:%201", "/%ff"]
     )
-    def test_path_goes_on_as_it_came(self, rig, path):
-        """Symptom: a call reaches another resource, or smuggles a header.
+    def test_path_is_unchanged(self, rig, path):
+        """The path must not be decoded before it is relayed.
 
-        Cause: the path was decoded on its way.
+        A decoded path could request another resource or inject a header.
         """
         line = self.sent(rig, "GET", path).split(b"\r\n")[0]
         assert line == f"GET {path} HTTP/1.1".encode()
 
-    def test_own_names_can_not_be_given(self, rig):
+    def test_reserved_headers_are_removed(self, rig):
         headers = [
             ("X-Fencing-Number", "99"),
             ("X-Priority", "0"),
@@ -276,10 +276,10 @@
             assert name not in sent
 
     def test_head_has_no_body(self, rig):
-        """Symptom: the next answer on the connection can't be read.
+        """An answer without a body must not end with a chunk.
 
-        Cause: a terminating chunk was written after the head of an answer
-        that has no body.
+        A terminating chunk after the head made the next answer on the
+        connection unreadable.
         """
         rig.service("s1")
         head = wire_fixtures.raw_request("HEAD", PREFIX + "/x")
@@ -343,10 +343,10 @@
     def test_not_run_and_at_most_once(
         self, shared, schedule, store, down, calls
     ):
-        """Symptom: "not run" for a letter that was sent, or two letters.
+        """No mix of faults may cause a wrong "not run" or a second run.
 
-        Sequence: any mix of faults of services and of the table service,
-        with calls side by side, some under the same key. Cause: any.
+        Concurrent calls, some with the same key, meet any faults of the
+        services and of the table service.
         """
         shared.store.row_by_key.clear()
         shared.store.transact_faults.clear()
@@ -360,7 +360,8 @@
         if down:
             shared.entry.targets.avoid("s1")
         tasks = [
-            gevent.spawn(self.one, shared, *arguments) for arguments in calls
+            gevent.spawn(self.run_call, shared, *arguments)
+            for arguments in calls
         ]
         gevent.joinall(tasks, raise_error=True)
         shared.wait_idle()
@@ -387,6 +388,6 @@
         keys = [key for key, _ in claimed]
         assert len(keys) == len(set(keys)), claimed
 
-    def one(self, rig, method, key, seconds):
+    def run_call(self, rig, method, key, seconds):
         headers = [("X-Request-Timeout", seconds)]
         return method, call(rig, method, key=key, headers=headers)
--- a/tests/topazlug/calls/test_sse.py
+++ b/tests/topazlug/calls/test_sse.py
@@ -1,4 +1,4 @@
-"""Events: whole, in order, each once, whatever the bytes' cuts."""
+"""Events: whole, in order, each once, whatever the bytes' boundaries."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -17,21 +17,21 @@
 
 class TestEventReader:
     @given(strategies.lists(strategies.integers(0, len(STREAM)), max_size=8))
-    def test_any_cuts_give_the_same_events(self, cuts):
+    def test_events_do_not_depend_on_chunk_boundaries(self, boundaries):
         reader = _sse.EventReader()
-        ends = sorted([0, *cuts, len(STREAM)])
-        got = [reader.feed(STREAM[a:b]) for a, b in zip(ends, ends[1:])]
-        assert b"".join(got) == STREAM
+        ends = sorted([0, *boundaries, len(STREAM)])
+        received = [reader.feed(STREAM[a:b]) for a, b in zip(ends, ends[1:])]
+        assert b"".join(received) == STREAM
         assert reader.done
         assert reader.count == 6
 
-    def test_torn_event_is_held_back(self):
+    def test_partial_event_is_not_returned(self):
         reader = _sse.EventReader()
         assert reader.feed(event(0) + b"id: 1\ndata: t") == event(0)
         reader.discard_partial()
         assert reader.feed(event(1)) == event(1)
 
-    def test_repeated_events_are_dropped(self):
+    def test_repeated_events_are_discarded(self):
         reader = _sse.EventReader()
         repeated = event(0) * 2 + event(1) + event(0) + event(2)
         assert reader.feed(repeated) == event(0) + event(1) + event(2)
@@ -43,10 +43,9 @@
         )
 
     def test_missing_event_is_an_error(self):
-        """Symptom: a caller reads an answer with a word left out.
+        """An event that the engine lost must be detected by the ids.
 
-        Sequence: the engine sends events 0 and 2. Cause: an event was lost
-        on the engine's side; only the numbers show it.
+        Without this, the caller would receive an answer with a word missing.
         """
         reader = _sse.EventReader()
         reader.feed(event(0))
@@ -54,14 +53,14 @@
             reader.feed(event(2))
         assert reader.last_id == 0
 
-    def test_events_before_a_gap_come_first(self):
+    def test_events_before_a_gap_are_returned_first(self):
         reader = _sse.EventReader()
         assert reader.feed(event(0) + event(2) + DONE) == event(0)
         assert not reader.done
         with pytest.raises(_sse.EventMissing):
             reader.feed(event(3))
 
-    def test_event_without_end_is_bounded(self):
+    def test_incomplete_event_is_bounded(self):
         reader = _sse.EventReader()
         with pytest.raises(_sse.EventTooLong):
             reader.feed(b"data: " + b"x" * (1 << 20))
