--- a/src/topazlug/targets/_target_answer.py
+++ b/src/topazlug/targets/_target_answer.py
@@ -44,7 +44,7 @@
     def _on_message_begin(self) -> None:
         if self.message_complete and self.final_status >= FINAL:
             self.has_more = True
-            raise _response.HTTPParseError("bytes after the whole answer")
+            raise _response.HTTPParseError("bytes after the complete answer")
         super()._on_message_begin()
 
     def feed(self, data: str | bytes) -> None:
--- a/tests/topazlug/calls/test_attempts.py
+++ b/tests/topazlug/calls/test_attempts.py
@@ -14,7 +14,7 @@
 
 
 def rejected():
-    return _errors.TargetRefused("the target rejected", retry_after=1.0)
+    return _errors.TargetRefused("the target refused", retry_after=1.0)
 
 
 def broken():
--- a/tests/topazlug/calls/test_blocked_calls.py
+++ b/tests/topazlug/calls/test_blocked_calls.py
@@ -9,7 +9,7 @@
 from topazlug.crashes import _evidence
 
 QUESTION = "the one that crashes"
-# Three crashes are the evidence; the first attempt may crash a second target.
+# Three attempts are enough evidence; the first may crash a second target.
 MAX_CRASHED = 4
 
 
@@ -80,7 +80,7 @@
     return answers
 
 
-def has_decided(rig):
+def decide_and_check_blocked(rig):
     """Run the guard's decision; return whether a request is blocked."""
     rig.guard.decide()
     return bool(rig.guard.blocked)
@@ -102,7 +102,7 @@
         assert answers[-1].status == 503
         assert answers[-1].code == "request_blocked"
         assert answers[-1].outcome == "not-run"
-        fixtures.wait_until(lambda: has_decided(rig))
+        fixtures.wait_until(lambda: decide_and_check_blocked(rig))
         assert rig.guard.blocked == 1
         rig.wait_idle()
 
--- a/tests/topazlug/calls/test_chat_calls.py
+++ b/tests/topazlug/calls/test_chat_calls.py
@@ -71,10 +71,9 @@
     )
     @pytest.mark.parametrize("stream", [False, True])
     def test_another_engine_answers(self, rig, stream, fault):
-        """Symptom: a family gets half an answer, or none.
+        """A chat must be repeated if nothing was sent to the caller yet.
 
-        Sequence: the chat's home engine_faults the answer before any of it went to
-        the caller. Cause: an engine that fails; another run_caller is free.
+        The chat's engine fails before that, while another engine is free.
         """
         engines = [rig.engine(name) for name in ("e1", "e2")]
         home = only(ask(rig), rig.engines)
@@ -150,11 +149,9 @@
 class TestStream:
     @pytest.mark.parametrize("after", range(0, TOKENS + 3))
     def test_broken_stream_is_resumed(self, rig, after):
-        """Symptom: a word is missing or doubled in the middle.
+        """A broken stream must be resumed after the last complete event.
 
-        Sequence: the engine's connection engine_faults after some events; it can
-        continue the stream. Cause: it must be continued after the last
-        whole event.
+        Otherwise a word would be missing or duplicated in the answer.
         """
         for name in ("e1", "e2"):
             rig.engine(name)
@@ -174,11 +171,10 @@
         assert answer.body.count(b"[DONE]") == 1
 
     def test_stream_that_can_not_be_resumed(self, rig):
-        """Symptom: half an answer that looks whole.
+        """A truncated stream must not look complete.
 
-        Sequence: the stream engine_faults, the engine has lost it. Cause: the
-        engine can't continue; the caller must see an error event and never
-        the closing run_caller, and the slot must not stay taken.
+        If the engine can't resume a broken stream, the caller must receive an
+        error event and never the closing event, and the slot must be released.
         """
         engine = rig.engine("e1")
         set_all(
--- a/tests/topazlug/calls/test_sse.py
+++ b/tests/topazlug/calls/test_sse.py
@@ -1,4 +1,4 @@
-"""Events: whole, in order, each once, whatever the bytes' boundaries."""
+"""Tests that events are complete, in order and returned once."""
 
 from hypothesis import given
 from hypothesis import strategies
