--- a/src/topazlug/targets/_target_client.py
+++ b/src/topazlug/targets/_target_client.py
@@ -205,17 +205,17 @@
         if self._handle_report is not None:
             self._handle_report(target, self._wire.report(answer))
         answer.idle_seconds = self._wire.idle_seconds(answer)
-        refusal = self._wire.refusal(answer)
-        if refusal is not None:
+        rejection = self._wire.rejection(answer)
+        if rejection is not None:
             answer.close(_target_runs.RunEnd.NOT_RUN)
             _log.info(
                 "{replica} rejected the request: {why}",
                 replica=target.replica,
-                why=refusal.message,
+                why=rejection.message,
                 status=answer.status,
                 retry_after=answer.header(_target_report.RETRY_AFTER),
             )
-            raise refusal
+            raise rejection
         return answer
 
     def _begin_use(
--- a/src/topazlug/targets/_target_wire.py
+++ b/src/topazlug/targets/_target_wire.py
@@ -28,7 +28,7 @@
     id_header: str
     repeats_answers: bool
 
-    def refusal(
+    def rejection(
         self, answer: _target_answer.TargetAnswer
     ) -> _errors.TargetRefused | None:
         """Return the error if the target rejected the request, else None."""
@@ -51,7 +51,7 @@
     id_header = REQUEST_ID
     repeats_answers = False
 
-    def refusal(
+    def rejection(
         self, answer: _target_answer.TargetAnswer
     ) -> _errors.TargetRefused | None:
         """Return the error if the target rejected the request, else None."""
