--- a/src/topazlug/calls/_attempts.py
+++ b/src/topazlug/calls/_attempts.py
@@ -113,7 +113,7 @@
         outcome = _errors.Outcome.NOT_RUN
         excluded: frozenset[_ids.ReplicaId] = frozenset()
         failure: _errors.RequestError | None = None
-        for number in range(1, _MAX_CONNECTS + 1):
+        for attempt_number in range(1, _MAX_CONNECTS + 1):
             placement = self._admit(request, excluded, failure)
             try:
                 return attempt(placement)
@@ -132,7 +132,7 @@
             failure.outcome = outcome
             is_unsent = isinstance(failure, _errors.NoTarget)
             sent += 0 if is_unsent and free_connects else 1
-            if number == _MAX_CONNECTS or sent >= max_replicas:
+            if attempt_number == _MAX_CONNECTS or sent >= max_replicas:
                 raise failure
             is_free = is_unsent and free_connects
             is_certain = failure.outcome is _errors.Outcome.NOT_RUN
--- a/src/topazlug/calls/_call_runner.py
+++ b/src/topazlug/calls/_call_runner.py
@@ -129,7 +129,7 @@
         status : int
             Status of the target's answer.
         code : Code or None
-            Error code that it is counted under, None for a success.
+            Error code that it is counted under if the target failed it.
         fields : request_fields
             Fields of the log line, as the request's own logging context has
             already ended.
--- a/src/topazlug/calls/_chat_calls.py
+++ b/src/topazlug/calls/_chat_calls.py
@@ -243,7 +243,9 @@
             yield b""
             yield first
             yield from self._observed_pieces(call, pieces)
-            self._record_end(call, placement, 200 if stream.is_whole else 499)
+            self._record_end(
+                call, placement, 200 if stream.is_complete else 499
+            )
         except _errors.RequestError as error:
             self._count(call, error.code, error.outcome)
             with _log_fields(call, placement):
@@ -253,7 +255,7 @@
             watch.stop()
             self._assembly.admission.release(placement)
             ticket.give_back()
-            if not stream.is_whole:
+            if not stream.is_complete:
                 stream.answer.close()
                 self._cancel(call, placement)
 
--- a/src/topazlug/calls/_chat_stream.py
+++ b/src/topazlug/calls/_chat_stream.py
@@ -64,7 +64,7 @@
         self.resumes = 0
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the closing event was received."""
         return self._reader.done
 
--- a/src/topazlug/calls/_service_calls.py
+++ b/src/topazlug/calls/_service_calls.py
@@ -225,7 +225,7 @@
             status=answer.status,
             headers=headers
             + _own_headers(call, placement.target.replica)
-            + _service_relay.content_length(answer.status, len(body)),
+            + _service_relay.content_length_headers(answer.status, len(body)),
             body=iter([body]),
         )
 
@@ -259,7 +259,9 @@
             if call.request.method == "HEAD":
                 stated = answer.header("Content-Length")
                 size = int(stated) if stated.isdigit() else 0
-            headers += _service_relay.content_length(answer.status, size)
+            headers += _service_relay.content_length_headers(
+                answer.status, size
+            )
             body: Iterator[bytes] = iter(head)
         else:
             body = _caller_answer.started(
@@ -373,7 +375,7 @@
         (_caller_answer.OUTCOME, _errors.Outcome.RAN.value),
         ("X-Request-Id", call.request.request_id),
         ("Idempotency-Replayed", "true"),
-        *_service_relay.content_length(kept.status, len(kept.body)),
+        *_service_relay.content_length_headers(kept.status, len(kept.body)),
     ]
     return _caller_answer.CallerAnswer(
         status=kept.status, headers=headers, body=iter([kept.body])
--- a/src/topazlug/calls/_service_relay.py
+++ b/src/topazlug/calls/_service_relay.py
@@ -42,7 +42,7 @@
     ]
 
 
-def content_length(status: int, size: int) -> list[tuple[str, str]]:
+def content_length_headers(status: int, size: int) -> list[tuple[str, str]]:
     """Return the `Content-Length` field, if the status allows a body."""
     return (
         [] if status in _BODYLESS_STATUSES else [("Content-Length", str(size))]
--- a/src/topazlug/targets/_reported_states.py
+++ b/src/topazlug/targets/_reported_states.py
@@ -46,7 +46,7 @@
         ]
         self._state_by_process = collections.OrderedDict()
 
-    def note(
+    def record(
         self, target: _target.Target, report: _target_report.TargetReport
     ) -> bool:
         """Record a target's report.
@@ -56,13 +56,13 @@
         bool
             Whether it changes the target's state.
         """
-        is_leaving = report.leaving and self._note_leaving(target)
-        is_backoff = report.backoff > 0 and self._note_backoff(
+        is_leaving = report.leaving and self._record_leaving(target)
+        is_backoff = report.backoff > 0 and self._record_backoff(
             target, report.backoff
         )
         return is_leaving or is_backoff
 
-    def _note_leaving(self, target: _target.Target) -> bool:
+    def _record_leaving(self, target: _target.Target) -> bool:
         if self.is_leaving(target):
             return False
         self._ensure_state(target).leaving = True
@@ -74,7 +74,7 @@
         )
         return True
 
-    def _note_backoff(self, target: _target.Target, seconds: float) -> bool:
+    def _record_backoff(self, target: _target.Target, seconds: float) -> bool:
         if not self._extend_backoff(target, seconds):
             return False
         _log.info(
@@ -87,7 +87,7 @@
     def record_peer_backoff(
         self, target: _target.Target, seconds: float
     ) -> None:
-        """Record a backoff that applies to all daemons, reported by a peer."""
+        """Record a backoff for all daemons that a peer reported."""
         if self._extend_backoff(target, seconds):
             _log.info(
                 "peer reports a backoff of {replica}: {seconds:.1f} s "
--- a/src/topazlug/targets/_target_answer.py
+++ b/src/topazlug/targets/_target_answer.py
@@ -179,7 +179,7 @@
         if self._closed:
             return
         ends = _target_runs.RunEnd
-        self._note_closed(ends.WHOLE if self._is_framed else ends.LEFT)
+        self._record_end(ends.WHOLE if self._is_framed else ends.LEFT)
         if self._parser.should_close() or not self._all_sent():
             self._close_connection()
         else:
@@ -199,7 +199,7 @@
         names = {name.lower() for name, _ in self.headers}
         return bool(names & {"content-length", "transfer-encoding"})
 
-    def _note_closed(self, end: _target_runs.RunEnd) -> None:
+    def _record_end(self, end: _target_runs.RunEnd) -> None:
         self._closed = True
         if self._on_end is not None:
             self._on_end(end, self.status)
@@ -236,7 +236,7 @@
         """
         if self._closed:
             return
-        self._note_closed(end)
+        self._record_end(end)
         self._close_connection()
 
 
@@ -322,13 +322,13 @@
             Seconds for which the target keeps it; None for the daemon's
             default.
         """
-        allowed = _IDLE_SECONDS if seconds is None else seconds
-        if len(self._idle) >= self._max_connections or allowed <= 0:
+        idle_seconds = _IDLE_SECONDS if seconds is None else seconds
+        if len(self._idle) >= self._max_connections or idle_seconds <= 0:
             connection.close()
             return
         now = self._clock.monotonic()
         self._idle.append(
-            IdleConnection(connection, last_request, now + allowed)
+            IdleConnection(connection, last_request, now + idle_seconds)
         )
 
     def sweep(self) -> None:
--- a/src/topazlug/targets/_target_client.py
+++ b/src/topazlug/targets/_target_client.py
@@ -64,7 +64,7 @@
         Whether it requires a new connection. The target may close an idle one
         just as the request is sent, which leaves the outcome unknown.
     is_probe : bool
-        Whether its answer does not count as received by a caller's request.
+        Whether it is a poll, whose answer `has_answered_within` ignores.
     fingerprint : Fingerprint or None
         Identifies a caller's request across all its repeats; None for the
         daemon's own requests, whose runs are not tracked.
@@ -185,8 +185,8 @@
             sent.
         """
         pool = self._pool(target)
-        kept = None if request.fresh else pool.take()
-        connection = kept.connection if kept else self._connect(target)
+        idle = None if request.fresh else pool.take()
+        connection = idle.connection if idle else self._connect(target)
         use = self._begin_use(connection, target, request)
         try:
             answer = self._send_and_read_head(
@@ -194,7 +194,7 @@
                 request,
                 head_timeout,
                 deadline,
-                previous=self._previous_request(kept),
+                previous=self._previous_request(idle),
             )
         except BaseException as error:
             self._end_use(use, _end_of(error))
@@ -265,12 +265,12 @@
         self._last_received_at[target.replica] = self._clock.monotonic()
 
     def _previous_request(
-        self, kept: _target_answer.IdleConnection | None
+        self, idle: _target_answer.IdleConnection | None
     ) -> _ids.RequestId | None:
         """Return the request whose answer may be repeated, if any."""
-        if kept is None or not self._wire.repeats_answers:
+        if idle is None or not self._wire.repeats_answers:
             return None
-        return kept.last_request
+        return idle.last_request
 
     def has_answered_within(
         self, target: _targets.Target, seconds: float
@@ -317,8 +317,8 @@
             # If the daemon was suspended while it connected, the request
             # would run long after its caller received a deadline error.
             raise _errors.DeadlineExceeded("no connection before the deadline")
-        silent_at = now + head_timeout
-        end = min(silent_at, deadline)
+        head_timeout_at = now + head_timeout
+        end = min(head_timeout_at, deadline)
         sender = None
         try:
             connection.settimeout(self._remaining(end))
@@ -331,7 +331,7 @@
                 previous=previous,
             )
         except (TimeoutError, BlockingIOError) as error:
-            if deadline <= silent_at:
+            if deadline <= head_timeout_at:
                 raise _target_answer.deadline_error() from error
             raise _errors.TargetSilent(
                 "the target did not answer within the timeout",
--- a/src/topazlug/targets/_targets.py
+++ b/src/topazlug/targets/_targets.py
@@ -247,7 +247,7 @@
         self, target: Target, report: _target_report.TargetReport
     ) -> None:
         """Apply the report in a target's answer."""
-        if not self.reported.note(target, report):
+        if not self.reported.record(target, report):
             return
         self._candidates_by_group.pop(target.group, None)
         if report.leaving:
@@ -258,7 +258,7 @@
     def apply_peer_backoff(
         self, replica: _ids.ReplicaId, seconds: float
     ) -> None:
-        """Apply a backoff that applies to all daemons, reported by a peer.
+        """Apply a backoff for all daemons that a peer reported.
 
         It is not passed on: the receivers would count this daemon as one
         more that the target rejected, and the backoff would never end.
