--- a/src/topazlug/targets/_answer_heads.py
+++ b/src/topazlug/targets/_answer_heads.py
@@ -78,7 +78,7 @@
                         "the head of the answer is too long"
                     )
                 connection.settimeout(self._remaining(end))
-                data = connection.recv(_target_answer.BLOCK)
+                data = connection.recv(_target_answer.RECEIVE_BYTES)
                 if not data:
                     raise target_failed_error(
                         "the connection ended before the answer"
@@ -92,7 +92,7 @@
                 )
             parser.feed(head + separator)
             pending = rest
-            if parser.final_status < _target_answer.FINAL:
+            if parser.final_status < _target_answer.MIN_FINAL_STATUS:
                 continue
             echoed = self._echoed(parser)
             if not echoed - {request_id}:
@@ -133,7 +133,7 @@
                 )
             if not rest:
                 connection.settimeout(self._remaining(end))
-                rest = connection.recv(_target_answer.BLOCK)
+                rest = connection.recv(_target_answer.RECEIVE_BYTES)
                 if not rest:
                     raise target_failed_error(
                         "the answer belongs to another request"
--- a/src/topazlug/targets/_reported_states.py
+++ b/src/topazlug/targets/_reported_states.py
@@ -2,8 +2,8 @@
 
 A leaving target reports this in each answer, often before the platform's list
 shows it: the store may be unavailable, or the target's entry late. A target
-that rejects requests may request a backoff from the daemon that it answers;
-other daemons receive nothing of it.
+that rejects requests may request a backoff from the daemon that it answers,
+and only that daemon receives this request.
 """
 
 import collections
--- a/src/topazlug/targets/_target_answer.py
+++ b/src/topazlug/targets/_target_answer.py
@@ -17,8 +17,8 @@
 from topazlug import _ids
 from topazlug.targets import _target_runs
 
-BLOCK = 16384
-FINAL = 200
+RECEIVE_BYTES = 16384
+MIN_FINAL_STATUS = 200
 _IDLE_SECONDS = 60.0
 IDLE_PER_TARGET = 32
 
@@ -42,7 +42,7 @@
         return super()._on_headers_complete()
 
     def _on_message_begin(self) -> None:
-        if self.message_complete and self.final_status >= FINAL:
+        if self.message_complete and self.final_status >= MIN_FINAL_STATUS:
             self.has_more = True
             raise _response.HTTPParseError("bytes after the complete answer")
         super()._on_message_begin()
@@ -150,7 +150,7 @@
             self._connection.settimeout(
                 max(0.0, min(receive_timeout, remaining))
             )
-            data = self._connection.recv(BLOCK)
+            data = self._connection.recv(RECEIVE_BYTES)
             if self._on_receive is not None:
                 self._on_receive()
             self._parser.feed(data)
@@ -272,13 +272,13 @@
         The connection.
     last_request : RequestId
         The request whose answer was read last.
-    until : float
+    expires_at : float
         Monotonic seconds at which it expires.
     """
 
     connection: socket.socket
     last_request: _ids.RequestId
-    until: float
+    expires_at: float
 
 
 @final
@@ -338,18 +338,18 @@
         as many file descriptors.
         """
         now = self._clock.monotonic()
-        kept = [idle for idle in self._idle if now < idle.until]
+        unexpired = [idle for idle in self._idle if now < idle.expires_at]
         for idle in self._idle:
-            if now >= idle.until:
+            if now >= idle.expires_at:
                 idle.connection.close()
-        self._idle = collections.deque(kept)
+        self._idle = collections.deque(unexpired)
 
     def take(self) -> IdleConnection | None:
         """Remove and return the most recently used connection still usable."""
         now = self._clock.monotonic()
         while self._idle:
             idle = self._idle.pop()
-            if now < idle.until and _is_clean(idle.connection):
+            if now < idle.expires_at and _is_reusable(idle.connection):
                 return idle
             idle.connection.close()
         return None
@@ -360,7 +360,7 @@
             self._idle.pop().connection.close()
 
 
-def _is_clean(connection: socket.socket) -> bool:
+def _is_reusable(connection: socket.socket) -> bool:
     """Return whether an idle connection is open with no bytes to read.
 
     Such bytes belong to an answer without a request, and the next caller must
--- a/tests/topazlug/calls/test_chat_calls.py
+++ b/tests/topazlug/calls/test_chat_calls.py
@@ -49,9 +49,9 @@
             setattr(engine.faults, name, value)
 
 
-class TestWholeAnswer:
+class TestCompleteAnswer:
     @pytest.mark.parametrize("stream", [False, True])
-    def test_answer_is_whole(self, rig, stream):
+    def test_answer_is_complete(self, rig, stream):
         rig.engine("e1")
         answer = ask(rig, stream=stream)
         assert (answer.status, answer.outcome) == (200, "ran")
--- a/tests/topazlug/targets/test_target_client.py
+++ b/tests/topazlug/targets/test_target_client.py
@@ -237,7 +237,10 @@
         assert not made._idle_by_address
 
     def test_idle_connection_that_the_target_closed(self, connections, serve):
-        """A connection that the target closed while idle is not reused."""
+        """A connection that the target closed while idle must not be reused.
+
+        The first request after an idle period failed.
+        """
         target = serve(answering(wire_fixtures.http_answer(b"one")))
         connections.exchange(target, request(), head_timeout=5)
         answer = connections.exchange(target, request(), head_timeout=5)
