--- a/tests/topazlug/targets/test_targets.py
+++ b/tests/topazlug/targets/test_targets.py
@@ -108,7 +108,7 @@
         assert usable(directory) == ["r1"]
 
     def test_report_overrides_an_old_entry(self, directory):
-        """A leaving replica must get none while the store is unavailable."""
+        """A leaving replica must get no requests, even without the store."""
         assert usable(directory) == ["r1", "r2"]
         directory.handle_report(fixtures.target("r1"), LEAVING)
         assert usable(directory) == ["r2"]
@@ -121,7 +121,7 @@
     def test_report_still_applies_after_its_entry_expired(
         self, directory, clock
     ):
-        """An entry that expires and returns must not make it usable."""
+        """An entry that expires and returns must not make it usable again."""
         directory.handle_report(fixtures.target("r1"), LEAVING)
         directory.take_list([fixtures.target("r2")])
         clock.advance(120.0)
