--- a/bench/experiments/crashing_requests.py
+++ b/bench/experiments/crashing_requests.py
@@ -22,7 +22,7 @@
 from topazlug import _errors
 from topazlug import _ids
 from topazlug.crashes import _crash_guard
-from topazlug.crashes import _notes
+from topazlug.crashes import _crash_records
 from topazlug.targets import _target_runs
 from topazlug.targets import _targets
 
@@ -134,7 +134,7 @@
 
 class _Row(NamedTuple):
     at: float
-    note: _notes.Note
+    note: _crash_records.CrashRecord
 
 
 class _Daemon:
@@ -149,15 +149,15 @@
             targets=replay.targets,
             clock=replay.clock,
         )
-        self.guard.sharing = self
+        self.guard.publisher = self
         self._read = 0
 
-    def publish(self, notes: Any, *, drop: Any = ()) -> None:
+    def publish(self, notes: Any, *, remove: Any = ()) -> None:
         """Write notes; all daemons read them after the lag."""
         now = self._replay.clock.seconds
         self._replay.rows += [_Row(now, note) for note in notes]
         for note in notes:
-            if isinstance(note, _notes.Block):
+            if isinstance(note, _crash_records.Block):
                 self._replay.blocked.add(note.fingerprint)
 
     def read(self) -> None:
@@ -168,8 +168,10 @@
         if len(seen) == self._read:
             return
         self._read = len(seen)
-        self.guard.take_shared(
-            {_notes.key_of(row.note): row.note for row in seen}.values()
+        self.guard.set_shared_records(
+            {
+                _crash_records.record_key(row.note): row.note for row in seen
+            }.values()
         )
         replay.later(_SETTLED_SECONDS, self.guard.decide)
 
@@ -278,7 +280,7 @@
         for daemon, own in by_daemon.items():
             if self._random.random() >= self.load.lost:
                 daemon.read()
-                daemon.guard._take_crash(_target(replica), own)
+                daemon.guard._on_crash(_target(replica), own)
                 self.later(_SETTLED_SECONDS, daemon.guard.decide)
         self._hurt += len(runs)
 
--- a/src/topazlug/_daemon.py
+++ b/src/topazlug/_daemon.py
@@ -29,8 +29,8 @@
 from topazlug.claims import _claims
 from topazlug.configuration import _table_edits
 from topazlug.crashes import _crash_guard
-from topazlug.crashes import _kept_notes
-from topazlug.crashes import _told_notes
+from topazlug.crashes import _record_distributor
+from topazlug.crashes import _record_sync
 from topazlug.routing import _place
 from topazlug.routing import _routing_parts
 from topazlug.targets import _target_gauges
@@ -83,20 +83,20 @@
             targets=self.routing.targets,
             clock=self.clock,
         )
-        self.routing.on_list(self.guard.take_list)
-        told = _told_notes.ToldNotes(
+        self.routing.on_list(self.guard.handle_list_change)
+        distributor = _record_distributor.RecordDistributor(
             daemon=self.fleet.daemon_id,
             links=self.fleet.links,
             daemons=self.fleet.membership.usable,
-            take=self.guard.take_told,
+            on_records=self.guard.add_peer_records,
         )
-        self._notes = _kept_notes.KeptNotes(
+        self._notes = _record_sync.RecordSync(
             store=self.fleet.new_store(),
-            told=told,
-            take=self.guard.take_shared,
+            distributor=distributor,
+            on_records=self.guard.set_shared_records,
             clock=self.clock,
         )
-        self.guard.sharing = self._notes
+        self.guard.publisher = self._notes
 
     def _build_callers(self) -> None:
         settings = self.settings
--- a/src/topazlug/administration/_administration_blocked.py
+++ b/src/topazlug/administration/_administration_blocked.py
@@ -9,7 +9,7 @@
 from topazlug._generated import table
 from topazlug.administration import _administration_http
 from topazlug.crashes import _crash_guard
-from topazlug.crashes import _notes
+from topazlug.crashes import _crash_records
 
 _PATH = "/v1/blocked"
 
@@ -82,11 +82,11 @@
         return _administration_http.Answer(body=_blocked_request(block))
 
 
-def _blocked_request(block: _notes.Block) -> BlockedRequest:
+def _blocked_request(block: _crash_records.Block) -> BlockedRequest:
     return BlockedRequest(
         fingerprint=block.fingerprint,
         group=block.group,
         since=block.at.isoformat(),
-        until=(block.at + _notes.LASTING).isoformat(),
+        until=(block.at + _crash_records.RETENTION).isoformat(),
         crashes=list(block.starts),
     )
--- a/src/topazlug/crashes/_crash_guard.py
+++ b/src/topazlug/crashes/_crash_guard.py
@@ -14,11 +14,11 @@
 from topazlug import _errors
 from topazlug import _ids
 from topazlug import _logs
-from topazlug.crashes import _crash_watch
-from topazlug.crashes import _evidence
+from topazlug.crashes import _cause_analysis
+from topazlug.crashes import _crash_detector
+from topazlug.crashes import _crash_history
+from topazlug.crashes import _crash_records
 from topazlug.crashes import _likely_causes
-from topazlug.crashes import _notebook
-from topazlug.crashes import _notes
 from topazlug.targets import _target
 from topazlug.targets import _target_runs
 from topazlug.targets import _targets
@@ -28,16 +28,19 @@
 _SPREAD_SECONDS = 0.3
 # Daemons that saw no crash themselves leave it to those to write the block
 # down, and do it in their place if they are gone.
-_OTHERS_SECONDS = (1.5, 3.0)
+_FALLBACK_WRITE_SECONDS = (1.5, 3.0)
 # One attempt of a caller ends so many replicas at most.
-_MOST_CRASHES_AN_ATTEMPT = 2
+_MAX_CRASHES_PER_ATTEMPT = 2
 
 
-class Sharing(Protocol):
+class RecordPublisher(Protocol):
     """Has all daemons know what one has noted."""
 
     def publish(
-        self, notes: Sequence[_notes.Note], *, drop: Sequence[str] = ()
+        self,
+        records: Sequence[_crash_records.CrashRecord],
+        *,
+        remove: Sequence[str] = (),
     ) -> None:
         """Write notes, and drop rows by their keys; does not block."""
 
@@ -54,14 +57,14 @@
         What runs where.
     targets : TargetDirectory
         Known targets.
-    refuses : bool
+    rejects : bool
         Whether what it learns is acted on.
     clock : Clock
         Time.
 
     Attributes
     ----------
-    sharing : Sharing or None
+    publisher : Sharing or None
         How other daemons hear of it; None until this daemon has joined its
         fleet.
     """
@@ -72,42 +75,44 @@
         daemon: _ids.DaemonId,
         runs: _target_runs.RunBook,
         targets: _targets.TargetDirectory,
-        refuses: bool = True,
+        rejects: bool = True,
         clock: _clock.Clock,
     ) -> None:
-        self._refuses = refuses
+        self._refuses = rejects
         self._targets = targets
         self._clock = clock
-        self.sharing: Sharing | None = None
-        self._notebook = _notebook.Notebook(daemon=daemon, clock=clock)
-        self._watch = _crash_watch.CrashWatch(
+        self.publisher: RecordPublisher | None = None
+        self._history = _crash_history.CrashHistory(daemon=daemon, clock=clock)
+        self._detector = _crash_detector.CrashDetector(
             runs=runs,
             listed=lambda: targets.target_by_replica,
             is_leaving=targets.is_leaving,
-            crashed=self._take_crash,
+            crashed=self._on_crash,
             clock=clock,
         )
-        runs.on_end(self._take_end)
-        self._news = event.Event()
+        runs.on_end(self._on_run_end)
+        self._changed = event.Event()
         # Keys of notes that another daemon should write down, and when this
         # one does it instead.
         self._due_by_key: dict[str, float] = {}
-        self._likely = _likely_causes.LikelyCauses(clock=clock)
+        self._likely_causes = _likely_causes.LikelyCauses(clock=clock)
 
     @property
     def blocked(self) -> int:
         """Give how many requests are blocked."""
         return len(self.blocks())
 
-    def blocks(self) -> list[_notes.Block]:
+    def blocks(self) -> list[_crash_records.Block]:
         """Give the blocks in force, the newest first."""
-        blocks = self._notebook.evidence.blocks.values()
+        blocks = self._history.analysis.blocks.values()
         found = [block for block in blocks if not block.released]
         return sorted(found, key=lambda block: block.at, reverse=True)
 
-    def release(self, fingerprint: _ids.Fingerprint) -> _notes.Block | None:
+    def release(
+        self, fingerprint: _ids.Fingerprint
+    ) -> _crash_records.Block | None:
         """Let a blocked request run again; None if it is not blocked."""
-        block = self._notebook.release(fingerprint)
+        block = self._history.release(fingerprint)
         if block is not None:
             _log.info(
                 "requests of {fingerprint} may run again",
@@ -126,19 +131,22 @@
         """
         if not self._refuses:
             return
-        evidence = self._notebook.evidence
-        count = evidence.count_of(fingerprint)
+        analysis = self._history.analysis
+        count = analysis.crash_count_of(fingerprint)
         # An answer of this daemon may have cleared it since.
-        if count >= _evidence.CRASHES and self._likely.is_held(fingerprint):
+        if (
+            count >= _cause_analysis.MIN_CRASHES
+            and self._likely_causes.is_held(fingerprint)
+        ):
             raise _errors.RequestBlocked(
                 f"{count} replicas crashed when they ran this request;"
                 " whether it is the cause is not known yet",
                 retry_after=_likely_causes.HOLD_SECONDS,
             )
-        if not evidence.is_blocked(fingerprint):
+        if not analysis.is_blocked(fingerprint):
             return
-        block = evidence.blocks[fingerprint]
-        left = block.at + _notes.LASTING - self._clock.now()
+        block = analysis.blocks[fingerprint]
+        left = block.at + _crash_records.RETENTION - self._clock.now()
         if left > datetime.timedelta():
             raise _errors.RequestBlocked(
                 f"{len(block.starts)} replicas of {block.group} crashed when"
@@ -156,33 +164,38 @@
         """
         if not self._refuses:
             return True
-        if self._notebook.evidence.is_blocked(fingerprint):
+        if self._history.analysis.is_blocked(fingerprint):
             return False
         # A replica that ends at once is the second of the same attempt while
         # the first one is still being asked.
-        self._watch.wait_earlier_checked(fingerprint, target)
-        if not self._notebook.evidence.starts_of(fingerprint):
+        self._detector.wait_for_other_checks(fingerprint, target)
+        if not self._history.analysis.incarnations_of(fingerprint):
             # One crash is no reason, so nobody waits for it to be found out.
             return True
-        self._watch.wait_checked(target)
-        starts = self._notebook.evidence.starts_of(fingerprint)
-        return len(starts) < _MOST_CRASHES_AN_ATTEMPT
+        self._detector.wait_for_check(target)
+        crashes = self._history.analysis.incarnations_of(fingerprint)
+        return len(crashes) < _MAX_CRASHES_PER_ATTEMPT
 
-    def take_list(
+    def handle_list_change(
         self,
         before: Mapping[_ids.ReplicaId, _targets.Target],
         listed: Iterable[_targets.Target],
     ) -> None:
-        """Take the platform's list; see `CrashWatch`."""
-        self._watch.take_list(before, listed)
+        """Take the platform's list; see `CrashDetector`."""
+        self._detector.handle_list_change(before, listed)
 
-    def take_shared(self, notes: Iterable[_notes.Note]) -> None:
+    def set_shared_records(
+        self, records: Iterable[_crash_records.CrashRecord]
+    ) -> None:
         """Take the notes that all daemons see."""
-        self._notebook.take_shared(notes)
-        self._note_news()
+        self._history.set_shared_records(records)
+        self._update()
 
-    def take_told(
-        self, notes: Iterable[_notes.Note], *, stand_in: bool = False
+    def add_peer_records(
+        self,
+        records: Iterable[_crash_records.CrashRecord],
+        *,
+        stand_in: bool = False,
     ) -> None:
         """Take notes of a daemon that can't share them with all.
 
@@ -191,62 +204,62 @@
         stand_in : bool
             Whether this daemon shares them if the other one still can't.
         """
-        news = self._notebook.take_told(notes)
-        for note in news if stand_in else ():
-            self._set_due(note, random.uniform(*_OTHERS_SECONDS))
-        self._note_news()
+        added = self._history.add_peer_records(records)
+        for record in added if stand_in else ():
+            self._set_due(record, random.uniform(*_FALLBACK_WRITE_SECONDS))
+        self._update()
 
-    def _note_news(self) -> None:
-        self._likely.take(self._notebook.evidence.likely_causes())
-        self._news.set()
+    def _update(self) -> None:
+        self._likely_causes.update(self._history.analysis.likely_causes())
+        self._changed.set()
 
-    def _take_end(self, run: _target_runs.Run) -> None:
+    def _on_run_end(self, run: _target_runs.Run) -> None:
         if run.is_success:
-            self._notebook.note_answered(run.fingerprint)
+            self._history.add_answered(run.fingerprint)
 
-    def _take_crash(
+    def _on_crash(
         self, target: _targets.Target, runs: list[_target_runs.Run]
     ) -> None:
-        start = _target.start_of(target)
-        crash = self._notebook.note_crash(
-            start,
+        incarnation = _target.start_of(target)
+        crash = self._history.add_crash(
+            incarnation,
             target.group,
             runs,
             replicas=len(self._targets.known(target.group)),
         )
         self._publish([crash])
-        self._note_news()
+        self._update()
 
     def run(self) -> None:
         """Decide again after each news, for ever."""
         while True:
-            self._news.wait(self._seconds_to_due())
-            self._news.clear()
+            self._changed.wait(self._seconds_to_due())
+            self._changed.clear()
             self._clock.sleep(random.uniform(0.0, _SPREAD_SECONDS))
             self.decide()
 
     def _seconds_to_due(self) -> float | None:
         """Give when something is to be done without any news."""
         moments = [*self._due_by_key.values()]
-        moments += self._likely.settled_at()
+        moments += self._likely_causes.settle_times()
         if not moments:
             return None
         return max(0.0, min(moments) - self._clock.monotonic())
 
     def decide(self) -> None:
         """Clear requests that were answered, and block those that crash."""
-        cleared = self._notebook.cleared()
+        cleared = self._history.add_clearances()
         if cleared:
             self._publish(cleared)
-        self._likely.take(self._notebook.evidence.likely_causes())
-        while causes := self._notebook.evidence.causes():
-            if not all(map(self._likely.is_settled, causes)):
+        self._likely_causes.update(self._history.analysis.likely_causes())
+        while causes := self._history.analysis.causes():
+            if not all(map(self._likely_causes.is_settled, causes)):
                 break
-            for block in self._notebook.block(causes):
-                self._note_blocked(block)
+            for block in self._history.block(causes):
+                self._announce_block(block)
         self._publish_due()
 
-    def _note_blocked(self, block: _notes.Block) -> None:
+    def _announce_block(self, block: _crash_records.Block) -> None:
         _log.warning(
             "requests of {fingerprint} are blocked: {n} replicas crashed",
             fingerprint=block.fingerprint,
@@ -255,13 +268,15 @@
             starts=" ".join(block.starts),
         )
         wait = 0.0
-        if not self._notebook.is_witness(block.fingerprint):
-            wait = random.uniform(*_OTHERS_SECONDS)
+        if not self._history.has_own_crash(block.fingerprint):
+            wait = random.uniform(*_FALLBACK_WRITE_SECONDS)
         self._set_due(block, wait)
 
-    def _set_due(self, note: _notes.Note, wait: float) -> None:
+    def _set_due(
+        self, record: _crash_records.CrashRecord, wait: float
+    ) -> None:
         due = self._clock.monotonic() + wait
-        self._due_by_key[_notes.key_of(note)] = due
+        self._due_by_key[_crash_records.record_key(record)] = due
 
     def _publish_due(self) -> None:
         now = self._clock.monotonic()
@@ -269,10 +284,12 @@
             if due > now:
                 continue
             del self._due_by_key[key]
-            note = self._notebook.get(key)
-            if note is not None and not self._notebook.is_shared(note):
-                self._publish([note])
-
-    def _publish(self, notes: Sequence[_notes.Note]) -> None:
-        if self.sharing is not None:
-            self.sharing.publish(notes, drop=self._notebook.surplus())
+            record = self._history.get(key)
+            if record is not None and not self._history.is_in_table(record):
+                self._publish([record])
+
+    def _publish(self, records: Sequence[_crash_records.CrashRecord]) -> None:
+        if self.publisher is not None:
+            self.publisher.publish(
+                records, remove=self._history.obsolete_keys()
+            )
--- /dev/null
+++ b/src/topazlug/crashes/_crash_history.py
@@ -0,0 +1,359 @@
+"""All that this daemon knows of crashes, and how much of it is kept."""
+
+import collections
+from collections.abc import Iterable
+from collections.abc import Mapping
+import datetime
+import functools
+import math
+from typing import final
+
+import msgspec
+
+from topazlug import _clock
+from topazlug import _ids
+from topazlug.crashes import _cause_analysis
+from topazlug.crashes import _crash_records
+from topazlug.targets import _target
+from topazlug.targets import _target_runs
+
+# Rows and memory are bounded by what the last crashes leave. A replica that
+# runs 64 requests leaves as many suspects.
+MAX_CRASHES = 512
+MAX_SUSPECTS = 2048
+# Blocked requests; and as many suspected ones that were answered.
+MAX_BLOCKS = 256
+_MAX_SUSPECTS_PER_RECORD = 64
+# Requests answered here though some crash counts against them.
+_MAX_ANSWERED = 1024
+# A request that was answered so lately ends no replica, whatever news come of
+# crashes. 4,096 take 0.6 MB: what a daemon answers in two minutes at 34 a
+# second.
+_RECENT_ANSWER_SECONDS = 60.0
+_MAX_RECENT_ANSWERS = 4096
+
+_MAX_BY_KIND = {
+    _crash_records.Crash: MAX_CRASHES,
+    _crash_records.Answered: MAX_BLOCKS,
+    _crash_records.Block: MAX_BLOCKS,
+}
+
+RecordByKey = dict[str, _crash_records.CrashRecord]
+
+
+@final
+class CrashHistory:
+    """Notes of all daemons, as far as this one has them.
+
+    Parameters
+    ----------
+    daemon : DaemonId
+        This daemon.
+    clock : Clock
+        Time.
+    """
+
+    def __init__(self, *, daemon: _ids.DaemonId, clock: _clock.Clock) -> None:
+        self._daemon = daemon
+        self._clock = clock
+        # Rows that all daemons see; notes of this daemon that are no rows
+        # yet; what others told this one because they could not write it.
+        self._shared_by_key: RecordByKey = {}
+        self._own_by_key: RecordByKey = {}
+        self._received_by_key: RecordByKey = {}
+        self._answered_at: collections.OrderedDict[_ids.Fingerprint, float] = (
+            collections.OrderedDict()
+        )
+        # Suspects that this daemon has answered, and not told of yet.
+        self._answered: collections.OrderedDict[
+            _ids.Fingerprint, _crash_records.Answered
+        ] = collections.OrderedDict()
+        self._analysis: _cause_analysis.CauseAnalysis | None = None
+
+    @property
+    def analysis(self) -> _cause_analysis.CauseAnalysis:
+        """Give what all notes together say, as far as this daemon knows."""
+        return self._current_analysis()
+
+    def _current_analysis(self) -> _cause_analysis.CauseAnalysis:
+        """Count anew after news, and clear what was answered here lately."""
+        if self._analysis is None:
+            self._analysis = self._analyze()
+        return self._analysis
+
+    def _analyze(self) -> _cause_analysis.CauseAnalysis:
+        retained = _retained(self._merged_records(), self._clock.now())
+        self._own_by_key = {
+            k: v for k, v in self._own_by_key.items() if k in retained
+        }
+        self._received_by_key = {
+            k: v for k, v in self._received_by_key.items() if k in retained
+        }
+        self._clear_answered(retained.values())
+        return _cause_analysis.CauseAnalysis(
+            [*retained.values(), *self._answered.values()]
+        )
+
+    def set_shared_records(
+        self, records: Iterable[_crash_records.CrashRecord]
+    ) -> None:
+        """Take the rows that all daemons see."""
+        self._shared_by_key = {
+            _crash_records.record_key(record): record for record in records
+        }
+        for source in (self._own_by_key, self._received_by_key):
+            for key in [
+                key for key in source if self.is_in_table(source[key])
+            ]:
+                del source[key]
+        self._analysis = None
+
+    def add_peer_records(
+        self, records: Iterable[_crash_records.CrashRecord]
+    ) -> list[_crash_records.CrashRecord]:
+        """Take what a daemon tells that can't write rows just now.
+
+        Returns
+        -------
+        list of Note
+            What was not known.
+        """
+        known = self._merged_records()
+        added = []
+        for record in records:
+            key = _crash_records.record_key(record)
+            if key in known and _covers(known[key], record):
+                continue
+            self._received_by_key[key] = record
+            added.append(record)
+        self._analysis = None
+        return added
+
+    def get(self, key: str) -> _crash_records.CrashRecord | None:
+        """Give the note that would stand at a key."""
+        return self._merged_records().get(key)
+
+    def add_crash(
+        self,
+        incarnation: _target.Start,
+        group: _ids.GroupName,
+        runs: Iterable[_target_runs.Run],
+        *,
+        replicas: int,
+    ) -> _crash_records.Crash:
+        """Note what this daemon had running on a replica that crashed.
+
+        Parameters
+        ----------
+        replicas : int
+            How many replicas the group has.
+        """
+        now = self._clock.monotonic()
+        suspects = [
+            _crash_records.Suspect(
+                run.fingerprint,
+                _crash_records.attempt_tag(run.attempt),
+                round(run.seconds(now), 3),
+            )
+            for run in runs
+        ]
+        crash = _crash_records.Crash(
+            start=_crash_records.incarnation_name(incarnation),
+            daemon=self._daemon,
+            at=self._clock.now(),
+            group=group,
+            replicas=replicas,
+            suspects=suspects[:_MAX_SUSPECTS_PER_RECORD],
+        )
+        self._add_own_records(crash)
+        return crash
+
+    def block(
+        self, causes: Mapping[_ids.Fingerprint, _ids.GroupName]
+    ) -> list[_crash_records.Block]:
+        """Block requests that crash replicas; see `Evidence.causes`."""
+        blocks = [
+            _crash_records.Block(
+                fingerprint=fingerprint,
+                starts=sorted(self.analysis.incarnations_of(fingerprint)),
+                at=self._clock.now(),
+                group=group,
+            )
+            for fingerprint, group in causes.items()
+        ]
+        self._add_own_records(*blocks)
+        return blocks
+
+    def release(
+        self, fingerprint: _ids.Fingerprint
+    ) -> _crash_records.Block | None:
+        """Let a blocked request run again; None if it is not blocked."""
+        if not self.analysis.is_blocked(fingerprint):
+            return None
+        released = _crash_records.released_block(
+            self.analysis.blocks[fingerprint], now=self._clock.now()
+        )
+        self._add_own_records(released)
+        return released
+
+    def add_answered(self, fingerprint: _ids.Fingerprint) -> None:
+        """Note that a request was answered whole.
+
+        Here that counts at once: of requests that a team sends all the time
+        some run at each crash, and would be held back with it.
+        """
+        self._answered_at[fingerprint] = self._clock.monotonic()
+        self._answered_at.move_to_end(fingerprint)
+        if len(self._answered_at) > _MAX_RECENT_ANSWERS:
+            self._answered_at.popitem(last=False)
+        if self.analysis.incarnations_of(fingerprint):
+            self._analysis = None
+
+    def _clear_answered(
+        self, records: Iterable[_crash_records.CrashRecord]
+    ) -> None:
+        """Clear of their crashes what was answered here lately."""
+        oldest = self._clock.monotonic() - _RECENT_ANSWER_SECONDS
+        for record in records:
+            if not isinstance(record, _crash_records.Crash):
+                continue
+            for suspect in record.suspects:
+                at = self._answered_at.get(suspect.fingerprint, -math.inf)
+                if at > oldest:
+                    self._clear(suspect.fingerprint, record.start)
+        while len(self._answered) > _MAX_ANSWERED:
+            self._answered.popitem(last=False)
+
+    def _clear(
+        self,
+        fingerprint: _ids.Fingerprint,
+        incarnation: _crash_records.IncarnationName,
+    ) -> None:
+        previous = self._answered.get(fingerprint)
+        starts = set(previous.starts) if previous else set()
+        if incarnation not in starts:
+            self._answered[fingerprint] = _crash_records.Answered(
+                fingerprint=fingerprint,
+                starts=sorted({*starts, incarnation}),
+                at=self._clock.now(),
+            )
+
+    def add_clearances(self) -> list[_crash_records.Answered]:
+        """Give what to tell of answered requests that others may block.
+
+        Those that one more crash would block, where nobody had seen an
+        answer. Most requests that were beside a crash never come again, and
+        each row costs a call.
+        """
+        self._current_analysis()
+        if not self._answered:
+            return []
+        known = _cause_analysis.CauseAnalysis(self._merged_records().values())
+        found = [
+            self._merge_shared(record)
+            for fingerprint, record in self._answered.items()
+            if known.crash_count_of(fingerprint) + 1
+            >= _cause_analysis.MIN_CRASHES
+        ]
+        for record in found:
+            del self._answered[record.fingerprint]
+        self._add_own_records(*found)
+        return found
+
+    def _merge_shared(
+        self, record: _crash_records.Answered
+    ) -> _crash_records.Answered:
+        """Add what others have cleared: one row holds it all."""
+        previous = self._merged_records().get(
+            _crash_records.record_key(record)
+        )
+        if not isinstance(previous, _crash_records.Answered):
+            return record
+        starts = {*record.starts, *previous.starts}
+        return msgspec.structs.replace(record, starts=sorted(starts))
+
+    def has_own_crash(self, fingerprint: _ids.Fingerprint) -> bool:
+        """Say whether this daemon itself saw a crash under a request."""
+        return any(
+            record.daemon == self._daemon
+            and any(one.fingerprint == fingerprint for one in record.suspects)
+            for record in self._merged_records().values()
+            if isinstance(record, _crash_records.Crash)
+        )
+
+    def is_in_table(self, record: _crash_records.CrashRecord) -> bool:
+        """Say whether all daemons see what a note says."""
+        shared = self._shared_by_key.get(_crash_records.record_key(record))
+        return shared is not None and _covers(shared, record)
+
+    def obsolete_keys(self) -> list[str]:
+        """Give the keys of rows that nobody counts any more."""
+        retained = _retained(self._shared_by_key, self._clock.now())
+        return [key for key in self._shared_by_key if key not in retained]
+
+    def _add_own_records(self, *records: _crash_records.CrashRecord) -> None:
+        for record in records:
+            self._own_by_key[_crash_records.record_key(record)] = record
+        self._analysis = None
+
+    def _merged_records(self) -> RecordByKey:
+        found = dict(self._shared_by_key)
+        for source in (self._received_by_key, self._own_by_key):
+            for key, record in source.items():
+                if key not in found or not _covers(found[key], record):
+                    found[key] = record
+        return found
+
+
+@functools.singledispatch
+def _covers(
+    shared: _crash_records.CrashRecord, record: _crash_records.CrashRecord
+) -> bool:
+    """Say whether a row says all that a note with the same key does."""
+    return True
+
+
+@_covers.register
+def _block_covers(
+    shared: _crash_records.Block, record: _crash_records.Block
+) -> bool:
+    # Of two blocks by two daemons one is enough; what an operator has
+    # released since, or what crashes replicas again, is news.
+    is_same = shared.released == record.released
+    return is_same or shared.at >= record.at
+
+
+@_covers.register
+def _answered_covers(
+    shared: _crash_records.Answered, record: _crash_records.Answered
+) -> bool:
+    return set(record.starts) <= set(shared.starts)
+
+
+def _retained(
+    note_by_key: Mapping[str, _crash_records.CrashRecord],
+    now: datetime.datetime,
+) -> RecordByKey:
+    """Give the newest notes that still count, as far as there is room."""
+    newest = sorted(
+        note_by_key.items(), key=lambda item: item[1].at, reverse=True
+    )
+    retained: RecordByKey = {}
+    count_by_kind: collections.Counter[type] = collections.Counter()
+    suspects = 0
+    for key, record in newest:
+        if now - record.at >= _crash_records.RETENTION:
+            continue
+        kind = type(record)
+        count_by_kind[kind] += 1
+        if isinstance(record, _crash_records.Crash):
+            suspects += len(record.suspects)
+        if count_by_kind[kind] > _MAX_BY_KIND[kind]:
+            continue
+        if (
+            isinstance(record, _crash_records.Crash)
+            and suspects > MAX_SUSPECTS
+        ):
+            continue
+        retained[key] = record
+    return retained
--- a/src/topazlug/crashes/_notes.py
+++ b/src/topazlug/crashes/_crash_records.py
@@ -19,19 +19,19 @@
 TABLE = "crashes"
 # A block ends after a day, and so does what led to it. The request is then
 # tried once more on each day on which it still comes.
-LASTING = datetime.timedelta(days=1)
-_CRASH = "crash/"
-_ANSWERED = "answered/"
-_BLOCK = "block/"
+RETENTION = datetime.timedelta(days=1)
+_CRASH_PREFIX = "crash/"
+_ANSWERED_PREFIX = "answered/"
+_BLOCK_PREFIX = "block/"
 
-StartName = NewType("StartName", str)
+IncarnationName = NewType("IncarnationName", str)
 # Tells apart the attempts of callers.
 AttemptTag = NewType("AttemptTag", str)
 
 
-def start_name(start: _target.Start) -> StartName:
+def incarnation_name(incarnation: _target.Start) -> IncarnationName:
     """Give a start of a replica its name in rows."""
-    return StartName(f"{start.replica}@{start.incarnation}")
+    return IncarnationName(f"{incarnation.replica}@{incarnation.incarnation}")
 
 
 def attempt_tag(attempt: str) -> AttemptTag:
@@ -64,7 +64,7 @@
 
     Attributes
     ----------
-    start : StartName
+    start : IncarnationName
         Which start of which replica.
     daemon : DaemonId
         Whose requests these are.
@@ -78,7 +78,7 @@
         The daemon's requests there.
     """
 
-    start: StartName
+    start: IncarnationName
     daemon: _ids.DaemonId
     at: datetime.datetime
     group: _ids.GroupName
@@ -94,14 +94,14 @@
     ----------
     fingerprint : Fingerprint
         The request.
-    starts : list of StartName
+    starts : list of IncarnationName
         Crashes before its answer, which are no evidence against it.
     at : datetime
         When it was written.
     """
 
     fingerprint: _ids.Fingerprint
-    starts: list[StartName]
+    starts: list[IncarnationName]
     at: datetime.datetime
 
 
@@ -113,7 +113,7 @@
     ----------
     fingerprint : Fingerprint
         The request.
-    starts : list of StartName
+    starts : list of IncarnationName
         Crashes that it is the cause of.
     at : datetime
         When it was written.
@@ -125,18 +125,18 @@
     """
 
     fingerprint: _ids.Fingerprint
-    starts: list[StartName]
+    starts: list[IncarnationName]
     at: datetime.datetime
     group: _ids.GroupName
     released: bool = False
 
 
-Note = Crash | Answered | Block
-_DECODER = msgspec.json.Decoder(Note)
+CrashRecord = Crash | Answered | Block
+_DECODER = msgspec.json.Decoder(CrashRecord)
 
 
 @functools.singledispatch
-def key_of(note: Note) -> str:
+def record_key(record: CrashRecord) -> str:
     """Give the key of a note's row.
 
     Raises
@@ -144,25 +144,25 @@
     TypeError
         It is no note.
     """
-    raise TypeError(f"{type(note).__name__} is no note of a crash")
+    raise TypeError(f"{type(record).__name__} is no note of a crash")
 
 
-@key_of.register
-def _key_of_crash(note: Crash) -> str:
-    return f"{_CRASH}{note.start}/{note.daemon}"
+@record_key.register
+def _key_of_crash(record: Crash) -> str:
+    return f"{_CRASH_PREFIX}{record.start}/{record.daemon}"
 
 
-@key_of.register
-def _key_of_answered(note: Answered) -> str:
-    return f"{_ANSWERED}{note.fingerprint}"
+@record_key.register
+def _key_of_answered(record: Answered) -> str:
+    return f"{_ANSWERED_PREFIX}{record.fingerprint}"
 
 
-@key_of.register
-def _key_of_block(note: Block) -> str:
-    return f"{_BLOCK}{note.fingerprint}"
+@record_key.register
+def _key_of_block(record: Block) -> str:
+    return f"{_BLOCK_PREFIX}{record.fingerprint}"
 
 
-def released(block: Block, *, now: datetime.datetime) -> Block:
+def released_block(block: Block, *, now: datetime.datetime) -> Block:
     """Give a block that lets its request run again, later than the block.
 
     The clock of whoever releases it may be behind.
@@ -171,12 +171,12 @@
     return msgspec.structs.replace(block, at=max(now, later), released=True)
 
 
-def encode(note: Note) -> bytes:
+def encode(record: CrashRecord) -> bytes:
     """Give the data of a note's row."""
-    return msgspec.json.encode(note)
+    return msgspec.json.encode(record)
 
 
-def decode(key: str, data: bytes) -> Note:
+def decode(key: str, data: bytes) -> CrashRecord:
     """Read a row; one whose key is not its note's is refused.
 
     Raises
@@ -184,9 +184,11 @@
     ValueError
         The row is no note.
     """
-    note = _DECODER.decode(data)
-    if key_of(note) != key:
-        raise ValueError(f"the note of {key_of(note)!r} stands at {key!r}")
-    if note.at.tzinfo is None:
-        raise ValueError(f"{note.at} has no time zone")
-    return note
+    record = _DECODER.decode(data)
+    if record_key(record) != key:
+        raise ValueError(
+            f"the note of {record_key(record)!r} stands at {key!r}"
+        )
+    if record.at.tzinfo is None:
+        raise ValueError(f"{record.at} has no time zone")
+    return record
--- a/src/topazlug/crashes/_fingerprint.py
+++ b/src/topazlug/crashes/_fingerprint.py
@@ -6,7 +6,7 @@
 
 # 96 bits, 24 characters: no two requests of a fleet come to the same by
 # chance, and nobody can make one that comes to another's.
-_BYTES = 12
+_DIGEST_BYTES = 12
 
 
 def fingerprint(
@@ -26,8 +26,8 @@
     body : bytes
         Whole body.
     """
-    named = "\n".join((method, host.lower(), path, team))
-    digest = hashlib.blake2b(digest_size=_BYTES)
-    digest.update(f"{len(named)}\n{named}".encode("utf-8", "surrogateescape"))
+    head = "\n".join((method, host.lower(), path, team))
+    digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
+    digest.update(f"{len(head)}\n{head}".encode("utf-8", "surrogateescape"))
     digest.update(body)
     return _ids.Fingerprint(digest.hexdigest())
--- a/src/topazlug/crashes/_likely_causes.py
+++ b/src/topazlug/crashes/_likely_causes.py
@@ -35,26 +35,27 @@
         self._clock = clock
         self._count_by_fingerprint: Mapping[_ids.Fingerprint, int] = {}
         # Monotonic seconds.
-        self._first_at: dict[_ids.Fingerprint, float] = {}
+        self._likely_since: dict[_ids.Fingerprint, float] = {}
         self._held_until: dict[_ids.Fingerprint, float] = {}
 
-    def take(
+    def update(
         self, count_by_fingerprint: Mapping[_ids.Fingerprint, int]
     ) -> None:
         """Take how many crashes count against each likely cause."""
         now = self._clock.monotonic()
-        first_at, held_until = self._first_at, self._held_until
+        likely_since, held_until = self._likely_since, self._held_until
         before = self._count_by_fingerprint
-        self._first_at = {
-            name: first_at.get(name, now) for name in count_by_fingerprint
+        self._likely_since = {
+            fingerprint: likely_since.get(fingerprint, now)
+            for fingerprint in count_by_fingerprint
         }
         self._held_until = {
-            name: (
+            fingerprint: (
                 now + HOLD_SECONDS
-                if count > before.get(name, 0)
-                else held_until[name]
+                if count > before.get(fingerprint, 0)
+                else held_until[fingerprint]
             )
-            for name, count in count_by_fingerprint.items()
+            for fingerprint, count in count_by_fingerprint.items()
         }
         self._count_by_fingerprint = dict(count_by_fingerprint)
 
@@ -65,11 +66,11 @@
 
     def is_settled(self, fingerprint: _ids.Fingerprint) -> bool:
         """Say whether a request has been a likely cause for long enough."""
-        first_at = self._first_at.get(fingerprint, math.inf)
-        return self._clock.monotonic() >= first_at + _SETTLE_SECONDS
+        likely_since = self._likely_since.get(fingerprint, math.inf)
+        return self._clock.monotonic() >= likely_since + _SETTLE_SECONDS
 
-    def settled_at(self) -> list[float]:
+    def settle_times(self) -> list[float]:
         """Give the moments at which requests will be settled."""
         now = self._clock.monotonic()
-        moments = [at + _SETTLE_SECONDS for at in self._first_at.values()]
+        moments = [at + _SETTLE_SECONDS for at in self._likely_since.values()]
         return [at for at in moments if at > now]
--- a/src/topazlug/crashes/_told_notes.py
+++ b/src/topazlug/crashes/_record_distributor.py
@@ -21,7 +21,7 @@
 from topazlug import _ids
 from topazlug import _logs
 from topazlug._generated import messages
-from topazlug.crashes import _notes
+from topazlug.crashes import _crash_records
 from topazlug.peers import _peers
 from topazlug.routing import _ranking
 
@@ -31,24 +31,26 @@
 # Each takes a stream. In larger fleets two of each group are told, as one may
 # be gone, and pass it on to all of it: of 880 daemons each sends 200 messages
 # at most and gets each decision twice.
-_MOST_TOLD = 200
-_TOLD_A_GROUP = 2
+_MAX_RECIPIENTS = 200
+_RECIPIENTS_PER_GROUP = 2
 # The store may turn away those that decide, and serve others. Where it turns
 # away a third of the daemons, all of four with a chance of one in eighty.
 _STAND_INS = 4
 # What one message may hold: a crash of a replica with 64 requests takes 4 KB.
-_MOST_NOTES = 64
+_MAX_RECORDS = 64
 
 
-class Take(Protocol):
+class ReceiveRecords(Protocol):
     """Gets notes that were told."""
 
-    def __call__(self, notes: list[_notes.Note], *, stand_in: bool) -> None:
+    def __call__(
+        self, records: list[_crash_records.CrashRecord], *, stand_in: bool
+    ) -> None:
         """Take notes; `stand_in` as in the message."""
 
 
 @final
-class ToldNotes:
+class RecordDistributor:
     """Tells other daemons notes, and takes theirs.
 
     Parameters
@@ -59,7 +61,7 @@
         Streams to peers.
     daemons : callable
         Gives the daemons of the fleet by their ids.
-    take : Take
+    on_records : Take
         Gets notes that were told.
     """
 
@@ -69,31 +71,35 @@
         daemon: _ids.DaemonId,
         links: _peers.PeerLinks,
         daemons: Callable[[], Mapping[_ids.DaemonId, Any]],
-        take: Take,
+        on_records: ReceiveRecords,
     ) -> None:
         self._daemon = daemon
         self._links = links
         self._daemons = daemons
-        self._take = take
-        links.handle(messages.CrashNotes, self._on_notes)
+        self._on_records = on_records
+        links.handle(messages.CrashNotes, self._on_message)
 
-    def tell(self, notes: Iterable[_notes.Note]) -> None:
+    def send(self, records: Iterable[_crash_records.CrashRecord]) -> None:
         """Tell notes to who should hear of them."""
         decisions = []
-        notes_by_daemon: dict[_ids.DaemonId, list[_notes.Note]] = {}
-        for note in notes:
-            if not isinstance(note, _notes.Crash):
-                decisions.append(note)
+        records_by_daemon: dict[
+            _ids.DaemonId, list[_crash_records.CrashRecord]
+        ] = {}
+        for record in records:
+            if not isinstance(record, _crash_records.Crash):
+                decisions.append(record)
                 continue
-            for daemon in self._collectors_of(note):
-                notes_by_daemon.setdefault(daemon, []).append(note)
-        for daemon, told in notes_by_daemon.items():
+            for daemon in self._collectors_of(record):
+                records_by_daemon.setdefault(daemon, []).append(record)
+        for daemon, batch in records_by_daemon.items():
             if daemon != self._daemon:
-                self._send(daemon, _rows_of(told))
+                self._send(daemon, _encode_rows(batch))
         if decisions:
-            self._tell_all(_rows_of(decisions))
+            self._broadcast(_encode_rows(decisions))
 
-    def _collectors_of(self, crash: _notes.Crash) -> set[_ids.DaemonId]:
+    def _collectors_of(
+        self, crash: _crash_records.Crash
+    ) -> set[_ids.DaemonId]:
         daemons = list(self._daemons())
         return {
             _ids.DaemonId(name)
@@ -105,11 +111,11 @@
             )
         }
 
-    def _tell_all(self, rows: list[messages.TableRow]) -> None:
+    def _broadcast(self, rows: list[messages.TableRow]) -> None:
         others = [one for one in self._daemons() if one != self._daemon]
         random.shuffle(others)
         stand_ins = others[:_STAND_INS]
-        for daemon, rest in _first_told(others):
+        for daemon, rest in _relay_plan(others):
             self._send(
                 daemon, rows, pass_on=rest, stand_in=daemon in stand_ins
             )
@@ -135,42 +141,46 @@
                 why=error.message,
             )
 
-    def _on_notes(
+    def _on_message(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        notes = []
-        rows = message.rows[:_MOST_NOTES]
+        records = []
+        rows = message.rows[:_MAX_RECORDS]
         for row in rows:
             try:
                 data = base64.b64decode(row.data, validate=True)
-                notes.append(_notes.decode(row.key, data))
+                records.append(_crash_records.decode(row.key, data))
             except ValueError as error:
                 _log.warning(
                     "a note of {sender} can't be read: {why}",
                     sender=sender,
                     why=str(error),
                 )
-        self._take(notes, stand_in=message.stand_in)
-        for daemon in message.pass_on[:_MOST_TOLD]:
+        self._on_records(records, stand_in=message.stand_in)
+        for daemon in message.pass_on[:_MAX_RECIPIENTS]:
             self._send(_ids.DaemonId(daemon), rows)
 
 
-def _first_told(
+def _relay_plan(
     daemons: Sequence[_ids.DaemonId],
 ) -> Iterator[tuple[_ids.DaemonId, list[_ids.DaemonId]]]:
     """Give whom to tell, and to whom each of these passes it on."""
-    is_small = len(daemons) <= _MOST_TOLD
-    groups = len(daemons) if is_small else _MOST_TOLD // _TOLD_A_GROUP
+    is_small = len(daemons) <= _MAX_RECIPIENTS
+    groups = (
+        len(daemons) if is_small else _MAX_RECIPIENTS // _RECIPIENTS_PER_GROUP
+    )
     for number in range(groups):
         group = daemons[number::groups]
-        for first in group[:_TOLD_A_GROUP]:
+        for first in group[:_RECIPIENTS_PER_GROUP]:
             yield first, [one for one in group if one != first]
 
 
-def _rows_of(notes: Sequence[_notes.Note]) -> list[messages.TableRow]:
-    return [_row_of(note) for note in notes[-_MOST_NOTES:]]
+def _encode_rows(
+    records: Sequence[_crash_records.CrashRecord],
+) -> list[messages.TableRow]:
+    return [_encode_row(record) for record in records[-_MAX_RECORDS:]]
 
 
-def _row_of(note: _notes.Note) -> messages.TableRow:
-    data = base64.b64encode(_notes.encode(note)).decode()
-    return messages.TableRow(key=_notes.key_of(note), data=data)
+def _encode_row(record: _crash_records.CrashRecord) -> messages.TableRow:
+    data = base64.b64encode(_crash_records.encode(record)).decode()
+    return messages.TableRow(key=_crash_records.record_key(record), data=data)
--- a/src/topazlug/crashes/_kept_notes.py
+++ b/src/topazlug/crashes/_record_sync.py
@@ -14,31 +14,31 @@
 from topazlug import _clock
 from topazlug import _errors
 from topazlug import _logs
-from topazlug.crashes import _notes
-from topazlug.crashes import _stored_notes
-from topazlug.crashes import _told_notes
+from topazlug.crashes import _crash_records
+from topazlug.crashes import _record_distributor
+from topazlug.crashes import _record_writer
 from topazlug.store import _table_client
 
 _log = _logs.logger("crashes")
 # 880 daemons together read the table fifteen times a second, of some two
 # thousand reads that the service does.
-_READ_SECONDS = 60.0
+_READ_INTERVAL_SECONDS = 60.0
 # A daemon that starts must know before callers reach it.
 _RETRY_SECONDS = 1.0
-_PAGE = 500
+_PAGE_ROWS = 500
 
 
 @final
-class KeptNotes:
+class RecordSync:
     """Tells notes, writes them, and reads what others wrote.
 
     Parameters
     ----------
     store : TableStore
         The table service.
-    told : ToldNotes
+    distributor : RecordDistributor
         Tells other daemons.
-    take : callable
+    on_records : callable
         Gets all notes of the table.
     clock : Clock
         Time.
@@ -48,57 +48,62 @@
         self,
         *,
         store: _table_client.TableStore,
-        told: _told_notes.ToldNotes,
-        take: Callable[[list[_notes.Note]], None],
+        distributor: _record_distributor.RecordDistributor,
+        on_records: Callable[[list[_crash_records.CrashRecord]], None],
         clock: _clock.Clock,
     ) -> None:
         self._store = store
-        self._told = told
-        self._take = take
+        self._distributor = distributor
+        self._on_records = on_records
         self._clock = clock
-        self._stored = _stored_notes.StoredNotes(
-            write=self._write, tell=_ignore, clock=clock
+        self._writer = _record_writer.RecordWriter(
+            write=self._write, notify=_discard_pending, clock=clock
         )
 
     def publish(
-        self, notes: Sequence[_notes.Note], *, drop: Sequence[str] = ()
+        self,
+        records: Sequence[_crash_records.CrashRecord],
+        *,
+        remove: Sequence[str] = (),
     ) -> None:
         """Tell notes and write them; see `Sharing`."""
-        self._told.tell(notes)
-        self._stored.publish(notes, drop=drop)
+        self._distributor.send(records)
+        self._writer.publish(records, remove=remove)
 
     def tasks(self) -> list[Callable[[], None]]:
         """Give what runs for as long as the daemon does."""
-        return [self._stored.run, self._read_forever]
+        return [self._writer.run, self._read_forever]
 
-    def _write(self, notes: list[_notes.Note], dropped: list[str]) -> None:
+    def _write(
+        self, records: list[_crash_records.CrashRecord], dropped: list[str]
+    ) -> None:
         self._store.transact(
             conditions=[],
             puts=[
                 _table_client.Put(
-                    table=_notes.TABLE,
-                    key=_notes.key_of(note),
-                    value=msgspec.to_builtins(note),
+                    table=_crash_records.TABLE,
+                    key=_crash_records.record_key(record),
+                    value=msgspec.to_builtins(record),
                 )
-                for note in notes
+                for record in records
             ],
             deletes=[
-                _table_client.Delete(table=_notes.TABLE, key=key)
+                _table_client.Delete(table=_crash_records.TABLE, key=key)
                 for key in dropped
             ],
         )
 
     def _read_forever(self) -> None:
         while True:
-            pause = random.uniform(0.8, 1.2) * _READ_SECONDS
+            pause = random.uniform(0.8, 1.2) * _READ_INTERVAL_SECONDS
             try:
-                self._take(self.read())
+                self._on_records(self.read())
             except _errors.StoreUnavailable as error:
                 _log.info("notes are not read: {why}", why=error.message)
                 pause = _RETRY_SECONDS
             self._clock.sleep(pause)
 
-    def read(self) -> list[_notes.Note]:
+    def read(self) -> list[_crash_records.CrashRecord]:
         """Read all notes of the table.
 
         Raises
@@ -106,26 +111,28 @@
         StoreUnavailable
             They can't be read now.
         """
-        notes: list[_notes.Note] = []
+        records: list[_crash_records.CrashRecord] = []
         after = ""
         while True:
-            page = self._store.scan(_notes.TABLE, after=after, limit=_PAGE)
+            page = self._store.scan(
+                _crash_records.TABLE, after=after, limit=_PAGE_ROWS
+            )
             for row in page.rows:
-                note = _note_of(row)
-                if note is not None:
-                    notes.append(note)
+                record = _parse_row(row)
+                if record is not None:
+                    records.append(record)
             if not page.more or not page.rows:
-                return notes
+                return records
             after = page.rows[-1].key
 
 
-def _note_of(row: _table_client.Row) -> _notes.Note | None:
+def _parse_row(row: _table_client.Row) -> _crash_records.CrashRecord | None:
     try:
-        return _notes.decode(row.key, msgspec.json.encode(row.value))
+        return _crash_records.decode(row.key, msgspec.json.encode(row.value))
     except ValueError as error:
         _log.error("row {key} is left out: {why}", key=row.key, why=str(error))
         return None
 
 
-def _ignore(notes: Sequence[_notes.Note]) -> None:
+def _discard_pending(records: Sequence[_crash_records.CrashRecord]) -> None:
     """Have nobody told of what waits: all were told at once."""
--- a/src/topazlug/forwarding/_blocked_requests.py
+++ b/src/topazlug/forwarding/_blocked_requests.py
@@ -3,14 +3,14 @@
 from topazlug import _clock
 from topazlug import _errors
 from topazlug import _ids
-from topazlug.crashes import _notes
+from topazlug.crashes import _crash_records
 from topazlug.fleet import _row_reader
 from topazlug.fleet import _table_source
 
 
 def blocked(
     store: _table_source.TableSource, *, clock: _clock.Clock
-) -> list[_notes.Block]:
+) -> list[_crash_records.Block]:
     """Give the blocks in force, the oldest first.
 
     Raises
@@ -19,15 +19,15 @@
         The table can't be read now.
     """
     reader = _row_reader.RowReader(
-        name=_notes.TABLE, decode=_notes.decode, clock=clock
+        name=_crash_records.TABLE, decode=_crash_records.decode, clock=clock
     )
-    rows = store.rows(_notes.TABLE).rows
+    rows = store.rows(_crash_records.TABLE).rows
     found = [
         note
         for note in reader.read({row.key: row.data for row in rows})
-        if isinstance(note, _notes.Block)
+        if isinstance(note, _crash_records.Block)
         and not note.released
-        and clock.now() - note.at < _notes.LASTING
+        and clock.now() - note.at < _crash_records.RETENTION
     ]
     return sorted(found, key=lambda block: block.at)
 
@@ -49,8 +49,10 @@
     """
     for block in blocked(store, clock=clock):
         if block.fingerprint == fingerprint:
-            note = _notes.released(block, now=clock.now())
-            row = _table_source.Row(_notes.key_of(note), _notes.encode(note))
-            store.write(_notes.TABLE, [row])
+            note = _crash_records.released_block(block, now=clock.now())
+            row = _table_source.Row(
+                _crash_records.record_key(note), _crash_records.encode(note)
+            )
+            store.write(_crash_records.TABLE, [row])
             return
     raise _errors.NotBlocked(f"no request {fingerprint!r} is blocked")
--- a/src/topazlug/forwarding/_crash_parts.py
+++ b/src/topazlug/forwarding/_crash_parts.py
@@ -8,9 +8,9 @@
 from topazlug import _clock
 from topazlug import _ids
 from topazlug.crashes import _crash_guard
-from topazlug.crashes import _notes
-from topazlug.crashes import _stored_notes
-from topazlug.crashes import _told_notes
+from topazlug.crashes import _crash_records
+from topazlug.crashes import _record_distributor
+from topazlug.crashes import _record_writer
 from topazlug.fleet import _row_reader
 from topazlug.fleet import _table_feed
 from topazlug.fleet import _table_source
@@ -18,7 +18,7 @@
 from topazlug.targets import _target_runs
 from topazlug.targets import _targets
 
-TABLE = _notes.TABLE
+TABLE = _crash_records.TABLE
 # Rows are few and come together, and each moment without them may cost one
 # more replica: a caller that repeats at once is back after 0.1 s. While the
 # store is away daemons tell each other, and its return need not be seen at
@@ -73,42 +73,46 @@
             daemon=daemon,
             runs=runs,
             targets=targets,
-            refuses=refuses,
+            rejects=refuses,
             clock=clock,
         )
-        self._told: _told_notes.ToldNotes | None = None
+        self._told: _record_distributor.RecordDistributor | None = None
         self._store = new_store()
-        self._stored = _stored_notes.StoredNotes(
-            write=self._write, tell=self._tell, clock=clock
+        self._stored = _record_writer.RecordWriter(
+            write=self._write, notify=self._tell, clock=clock
         )
-        self.guard.sharing = self._stored
+        self.guard.publisher = self._stored
         self._reader = _row_reader.RowReader(
-            name=TABLE, decode=_notes.decode, clock=clock
+            name=TABLE, decode=_crash_records.decode, clock=clock
         )
         self.follower = _table_feed.TableFollower(changed=self._take_rows)
 
-    def _write(self, notes: list[_notes.Note], dropped: list[str]) -> None:
+    def _write(
+        self, notes: list[_crash_records.CrashRecord], dropped: list[str]
+    ) -> None:
         rows = [
-            _table_source.Row(_notes.key_of(note), _notes.encode(note))
+            _table_source.Row(
+                _crash_records.record_key(note), _crash_records.encode(note)
+            )
             for note in notes
         ]
         rows += [_table_source.Row(key, deleted=True) for key in dropped]
         self._store.write(TABLE, rows)
 
     def _take_rows(self, data_by_key: dict[str, bytes]) -> None:
-        self.guard.take_shared(self._reader.read(data_by_key))
+        self.guard.set_shared_records(self._reader.read(data_by_key))
 
-    def _tell(self, notes: list[_notes.Note]) -> None:
+    def _tell(self, notes: list[_crash_records.CrashRecord]) -> None:
         if self._told is not None:
-            self._told.tell(notes)
+            self._told.send(notes)
 
     def join(self, links: _peers.PeerLinks) -> None:
         """Tell and hear notes on streams to peers from now on."""
-        self._told = _told_notes.ToldNotes(
+        self._told = _record_distributor.RecordDistributor(
             daemon=self._daemon,
             links=links,
             daemons=self._daemons,
-            take=self.guard.take_told,
+            on_records=self.guard.add_peer_records,
         )
 
     def tasks(self) -> list[Callable[[], None]]:
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -234,7 +234,7 @@
         before = self.targets.target_by_replica
         _replica_list.log_changes(before, targets)
         self._end_starts(targets)
-        self._crashes.guard.take_list(before, targets)
+        self._crashes.guard.handle_list_change(before, targets)
         self.views.take_list(targets)
         self.contexts.take_list(targets)
         self.targets.take_list(targets)
--- a/tests/topazlug/administration_fakes.py
+++ b/tests/topazlug/administration_fakes.py
@@ -11,7 +11,7 @@
 from topazlug.administration import _administration_blocked
 from topazlug.administration import _administration_status
 from topazlug.administration import _tokens
-from topazlug.crashes import _notes
+from topazlug.crashes import _crash_records
 
 BOOTSTRAP = "bootstrap-token"
 
@@ -82,10 +82,10 @@
     def __init__(self) -> None:
         self._blocks = [crash_fixtures.block("f1", "i-1@1", "i-2@1")]
 
-    def blocks(self) -> list[_notes.Block]:
+    def blocks(self) -> list[_crash_records.Block]:
         return list(self._blocks)
 
-    def release(self, fingerprint: str) -> _notes.Block | None:
+    def release(self, fingerprint: str) -> _crash_records.Block | None:
         for block in self._blocks:
             if block.fingerprint == fingerprint:
                 self._blocks.remove(block)
--- a/tests/topazlug/calls/test_blocked_calls.py
+++ b/tests/topazlug/calls/test_blocked_calls.py
@@ -6,7 +6,7 @@
 
 from tests.topazlug import routing_fixtures as fixtures
 from tests.topazlug import wire_fixtures
-from topazlug.crashes import _evidence
+from topazlug.crashes import _cause_analysis
 
 QUESTION = "the one that crashes"
 # Three attempts show it; the first of them may end a second target.
@@ -54,11 +54,11 @@
             self.rig.listed.remove(target)
             self.start()
         listed = self.rig.entry.targets.target_by_replica.values()
-        self.rig.guard.take_list(before, listed)
+        self.rig.guard.handle_list_change(before, listed)
         fixtures.wait_until(self._are_noted)
 
     def _are_noted(self):
-        notes = self.rig.guard._notebook._own
+        notes = self.rig.guard._history._own_by_key
         return len(notes) >= len(self.ended)
 
 
@@ -137,7 +137,7 @@
             )
 
         answers = ask(rig, targets, call, 8)
-        assert len(targets.ended) <= _evidence.CRASHES
+        assert len(targets.ended) <= _cause_analysis.MIN_CRASHES
         assert answers[-1].code == "request_blocked"
         assert answers[-1].outcome == "not-run"
         last = rig.send(
--- a/tests/topazlug/crashes/crash_fixtures.py
+++ b/tests/topazlug/crashes/crash_fixtures.py
@@ -3,7 +3,7 @@
 import datetime
 
 from topazlug import _ids
-from topazlug.crashes import _notes
+from topazlug.crashes import _crash_records
 
 GROUP = _ids.GroupName("engines")
 NOW = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
@@ -21,16 +21,16 @@
 
 def crash(start, *suspects, daemon="d1", at=NOW, seconds=0.1, replicas=5):
     """Give a note of a crash; a suspect is (fingerprint, attempt)."""
-    return _notes.Crash(
-        start=_notes.StartName(start),
+    return _crash_records.Crash(
+        start=_crash_records.IncarnationName(start),
         daemon=_ids.DaemonId(daemon),
         at=at,
         group=GROUP,
         replicas=replicas,
         suspects=[
-            _notes.Suspect(
+            _crash_records.Suspect(
                 _ids.Fingerprint(fingerprint),
-                _notes.AttemptTag(attempt),
+                _crash_records.AttemptTag(attempt),
                 seconds,
             )
             for fingerprint, attempt in suspects
@@ -40,18 +40,18 @@
 
 def answered(fingerprint, *starts, at=NOW):
     """Give a note that clears a request of crashes."""
-    return _notes.Answered(
+    return _crash_records.Answered(
         fingerprint=_ids.Fingerprint(fingerprint),
-        starts=[_notes.StartName(start) for start in starts],
+        starts=[_crash_records.IncarnationName(start) for start in starts],
         at=at,
     )
 
 
 def block(fingerprint, *starts, at=NOW, released=False):
     """Give a note that blocks a request."""
-    return _notes.Block(
+    return _crash_records.Block(
         fingerprint=_ids.Fingerprint(fingerprint),
-        starts=[_notes.StartName(start) for start in starts],
+        starts=[_crash_records.IncarnationName(start) for start in starts],
         at=at,
         group=GROUP,
         released=released,
--- a/tests/topazlug/crashes/test_evidence.py
+++ b/tests/topazlug/crashes/test_cause_analysis.py
@@ -6,13 +6,13 @@
 import pytest
 
 from tests.topazlug.crashes import crash_fixtures as fixtures
-from topazlug.crashes import _evidence
+from topazlug.crashes import _cause_analysis
 
 crash = fixtures.crash
 
 
-def causes(*notes):
-    return set(_evidence.Evidence(notes).causes())
+def causes(*records):
+    return set(_cause_analysis.CauseAnalysis(records).causes())
 
 
 def crashes_of(name, *numbers, at=fixtures.NOW):
@@ -26,10 +26,10 @@
         assert causes(*crashes_of("f", 1, 2, 3)) == {"f"}
 
     def test_crashes_are_seen_by_different_daemons(self):
-        notes = [
+        records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), daemon=f"d{n}") for n in range(3)
         ]
-        assert causes(*notes) == {"f"}
+        assert causes(*records) == {"f"}
 
     def test_one_attempt_that_meets_many_crashes(self):
         """A request that may be repeated failed at three replicas.
@@ -38,8 +38,8 @@
         request went from one to the next. It was sent once by its caller;
         what ends replicas comes again.
         """
-        notes = [crash(f"i-{n}@1", ("f", "a1")) for n in range(5)]
-        assert causes(*notes) == set()
+        records = [crash(f"i-{n}@1", ("f", "a1")) for n in range(5)]
+        assert causes(*records) == set()
 
     def test_many_attempts_at_one_crash(self):
         suspects = [("f", f"a{n}") for n in range(9)]
@@ -47,14 +47,14 @@
 
     def test_starts_of_one_replica_count_each(self):
         """Replicas come back under the id that they had."""
-        notes = [crash(f"i-1@{n}", ("f", f"a{n}")) for n in range(3)]
-        assert causes(*notes) == {"f"}
+        records = [crash(f"i-1@{n}", ("f", f"a{n}")) for n in range(3)]
+        assert causes(*records) == {"f"}
 
 
 class TestBeside:
     def test_those_beside_are_not_blamed(self):
         """Each crash ends a dozen other requests, some of them twice."""
-        notes = [
+        records = [
             crash(
                 f"i-{n}@1",
                 ("f", f"a{n}"),
@@ -63,14 +63,14 @@
             )
             for n in range(4)
         ]
-        assert causes(*notes) == {"f"}
+        assert causes(*records) == {"f"}
 
     def test_who_was_there_each_time_is_not_told_apart_yet(self):
-        notes = [
+        records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), ("g", f"b{n}")) for n in range(3)
         ]
-        assert causes(*notes) == set()
-        assert causes(*notes, *crashes_of("f", 7)) == {"f"}
+        assert causes(*records) == set()
+        assert causes(*records, *crashes_of("f", 7)) == {"f"}
 
     def test_two_that_always_come_together(self):
         """One of two requests ended replicas, and nobody could say which.
@@ -79,31 +79,31 @@
         replica. Waiting for what tells them apart would end replicas without
         end; so both are refused after three crashes more.
         """
-        notes = [
+        records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), ("g", f"b{n}")) for n in range(6)
         ]
-        assert causes(*notes[:5]) == set()
-        assert causes(*notes) == {"f", "g"}
+        assert causes(*records[:5]) == set()
+        assert causes(*records) == {"f", "g"}
 
     def test_blocked_request_explains_its_crashes(self):
         """What ran beside a blocked request is not blamed afterwards."""
-        notes = [
+        records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), ("g", f"b{n}")) for n in range(4)
         ]
         blocked = fixtures.block("f", "i-0@1", "i-1@1", "i-2@1")
-        assert causes(*notes, *crashes_of("g", 8), blocked) == set()
-        evidence = _evidence.Evidence([*notes, blocked])
-        assert evidence.count_of("g") == 0
-        assert evidence.is_blocked("f")
+        assert causes(*records, *crashes_of("g", 8), blocked) == set()
+        analysis = _cause_analysis.CauseAnalysis([*records, blocked])
+        assert analysis.crash_count_of("g") == 0
+        assert analysis.is_blocked("f")
 
     def test_second_cause_is_found_after_the_first(self):
-        notes = [
+        records = [
             *crashes_of("f", 1, 2, 3, 4),
             *crashes_of("g", 5, 6, 7),
         ]
-        assert causes(*notes) == {"f"}
+        assert causes(*records) == {"f"}
         blocked = fixtures.block("f", "i-1@1", "i-2@1", "i-3@1", "i-4@1")
-        assert causes(*notes, blocked) == {"g"}
+        assert causes(*records, blocked) == {"g"}
 
     @pytest.mark.parametrize("seed", range(40))
     def test_random_company(self, seed):
@@ -113,22 +113,25 @@
         at each of six crashes may be taken for it as well.
         """
         source = random.Random(seed)
-        notes = []
-        while not causes(*notes):
-            n = len(notes)
+        records = []
+        while not causes(*records):
+            n = len(records)
             suspects = [("f", f"a{n}")]
             suspects += [
                 (f"g{m}", f"b{n}-{m}")
                 for m in range(9)
                 if source.random() < 1 / 3
             ]
-            notes.append(crash(f"i-{n}@1", *suspects))
+            records.append(crash(f"i-{n}@1", *suspects))
         always = set.intersection(
-            *({one.fingerprint for one in note.suspects} for note in notes)
+            *(
+                {one.fingerprint for one in record.suspects}
+                for record in records
+            )
         )
-        assert "f" in causes(*notes) <= always
-        assert len(notes) <= 6
-        assert len(notes) == 6 or causes(*notes) == {"f"}
+        assert "f" in causes(*records) <= always
+        assert len(records) <= 6
+        assert len(records) == 6 or causes(*records) == {"f"}
 
 
 class TestChance:
@@ -183,37 +186,37 @@
 
     def test_crashes_of_another_group_say_nothing(self):
         others = [
-            msgspec.structs.replace(note, group="plain")
-            for note in self.others(6, every=1.0)
+            msgspec.structs.replace(record, group="plain")
+            for record in self.others(6, every=1.0)
         ]
         assert causes(*others, *self.under("f", seconds=1.0)) == {"f"}
 
     def test_among_many_replicas_chance_does_less(self):
-        notes = [
-            msgspec.structs.replace(note, replicas=400)
-            for note in (
+        records = [
+            msgspec.structs.replace(record, replicas=400)
+            for record in (
                 *self.others(6, every=1.0),
                 *self.under("f", seconds=0.2),
             )
         ]
-        assert causes(*notes) == {"f"}
+        assert causes(*records) == {"f"}
 
 
 class TestAnswered:
     def test_answered_request_is_cleared_of_what_was_before(self):
-        notes = crashes_of("f", 1, 2, 3)
+        records = crashes_of("f", 1, 2, 3)
         cleared = fixtures.answered("f", "i-1@1", "i-2@1")
-        assert causes(*notes, cleared) == set()
+        assert causes(*records, cleared) == set()
         later = crashes_of("f", 4, 5, at=fixtures.later(60))
-        assert causes(*notes, cleared, *later[:1]) == set()
-        assert causes(*notes, cleared, *later) == {"f"}
+        assert causes(*records, cleared, *later[:1]) == set()
+        assert causes(*records, cleared, *later) == {"f"}
 
     def test_crashes_stay_for_others(self):
-        notes = [
+        records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), ("g", f"b{n}")) for n in range(3)
         ]
         cleared = fixtures.answered("g", "i-1@1", "i-2@1", "i-0@1")
-        assert causes(*notes, cleared) == {"f"}
+        assert causes(*records, cleared) == {"f"}
 
 
 class TestReleased:
@@ -222,7 +225,7 @@
         released = fixtures.block(
             "f", "i-1@1", "i-2@1", "i-3@1", released=True
         )
-        evidence = _evidence.Evidence([*old, released])
-        assert not evidence.is_blocked("f")
+        analysis = _cause_analysis.CauseAnalysis([*old, released])
+        assert not analysis.is_blocked("f")
         assert causes(*old, released, *crashes_of("f", 4, 5)) == set()
         assert causes(*old, released, *crashes_of("f", 4, 5, 6)) == {"f"}
--- a/tests/topazlug/crashes/test_crash_watch.py
+++ b/tests/topazlug/crashes/test_crash_detector.py
@@ -9,7 +9,7 @@
 from tests.topazlug.forwarding import forwarding_fixtures as fixtures
 from topazlug import _clock
 from topazlug import _ids
-from topazlug.crashes import _crash_watch
+from topazlug.crashes import _crash_detector
 from topazlug.targets import _target
 from topazlug.targets import _target_runs
 
@@ -27,7 +27,7 @@
         self.closing = set()
         self.leaving = set()
         self._servers = {}
-        self.watch = _crash_watch.CrashWatch(
+        self.watch = _crash_detector.CrashDetector(
             runs=self.book,
             listed=lambda: self.listed,
             is_leaving=lambda target: (
@@ -70,13 +70,13 @@
         before = dict(self.listed)
         for target in targets:
             del self.listed[target.replica]
-        self.watch.take_list(before, list(self.listed.values()))
+        self.watch.handle_list_change(before, list(self.listed.values()))
 
-    def wait_checked(self, target):
+    def wait_for_check(self, target):
         """Wait until the watch has looked at a target."""
         start = _target.start_of(target)
         routing_fixtures.wait_until(
-            lambda: start not in self.watch._check_by_start
+            lambda: start not in self.watch._check_by_incarnation
         )
 
     def crashed(self):
@@ -105,7 +105,7 @@
         one, other = rig.run(target, "f"), rig.run(target, "g")
         rig.end(target)
         rig.book.finish(one, ENDS.LOST)
-        rig.wait_checked(target)
+        rig.wait_for_check(target)
         assert rig.crashed() == ["i-1"]
         assert set(
             rig.crashes[0][1],
@@ -114,7 +114,7 @@
     def test_target_that_takes_connections_has_not(self, rig):
         target = rig.start("i-1")
         rig.book.finish(rig.run(target), ENDS.LOST)
-        rig.wait_checked(target)
+        rig.wait_for_check(target)
         assert rig.crashed() == []
 
     def test_target_behind_a_relay_that_closes_connections(self, rig):
@@ -127,7 +127,7 @@
         run = rig.run(target)
         rig.end_behind_relay(target)
         rig.book.finish(run, ENDS.LOST)
-        rig.wait_checked(target)
+        rig.wait_for_check(target)
         assert rig.crashed() == ["i-1"]
 
     def test_crash_is_told_once(self, rig):
@@ -136,7 +136,7 @@
         rig.end(target)
         for run in runs:
             rig.book.finish(run, ENDS.LOST)
-            rig.wait_checked(target)
+            rig.wait_for_check(target)
         rig.unlist(target)
         settle()
         assert rig.crashed() == ["i-1"]
@@ -148,7 +148,7 @@
         """
         target = rig.start("i-1")
         rig.book.finish(rig.run(target, "broken"), ENDS.LOST)
-        rig.wait_checked(target)
+        rig.wait_for_check(target)
         rig.end(target)
         run = rig.run(target, "f")
         rig.book.finish(run, ENDS.LOST)
@@ -161,7 +161,7 @@
         rig.book.finish(left, ENDS.LEFT)
         rig.end(target)
         rig.book.finish(rig.run(target, "f"), ENDS.LOST)
-        rig.wait_checked(target)
+        rig.wait_for_check(target)
         assert left in rig.crashes[0][1]
 
     def test_target_that_said_that_it_leaves_ends_as_planned(self, rig):
@@ -205,7 +205,7 @@
         for run in runs:
             rig.book.finish(run, ENDS.LOST)
         for target in targets:
-            rig.wait_checked(target)
+            rig.wait_for_check(target)
         assert len(rig.crashes) == 2
 
 
@@ -218,7 +218,7 @@
         for run in runs:
             rig.book.finish(run, ENDS.LOST)
         for target in targets:
-            rig.wait_checked(target)
+            rig.wait_for_check(target)
         rig.unlist(*targets)
         routing_fixtures.wait_until(lambda: len(rig.crashes) == 5)
 
@@ -236,11 +236,11 @@
         target = rig.start("i-1")
         run = rig.run(target)
         rig.book.finish(run, ENDS.LOST)
-        rig.wait_checked(target)
+        rig.wait_for_check(target)
         before = dict(rig.listed)
         new = msgspec.structs.replace(target, replica=_ids.ReplicaId("i-2"))
         rig.listed = {"i-2": new}
-        rig.watch.take_list(before, [new])
+        rig.watch.handle_list_change(before, [new])
         routing_fixtures.wait_until(lambda: rig.crashes)
         assert rig.crashed() == ["i-1"]
 
@@ -250,7 +250,7 @@
         before = dict(rig.listed)
         new = msgspec.structs.replace(target, incarnation=2)
         rig.listed = {"i-1": new}
-        rig.watch.take_list(before, [new])
+        rig.watch.handle_list_change(before, [new])
         routing_fixtures.wait_until(lambda: rig.crashes)
         assert rig.crashes[0][0].incarnation == 1
 
@@ -258,7 +258,7 @@
         """Some replicas leave by dropping their entry, and go on for long."""
         target = rig.start("i-1")
         rig.book.finish(rig.run(target), ENDS.LOST)
-        rig.wait_checked(target)
+        rig.wait_for_check(target)
         rig.unlist(target)
         settle()
         assert rig.crashed() == []
--- a/tests/topazlug/crashes/test_crash_guard.py
+++ b/tests/topazlug/crashes/test_crash_guard.py
@@ -11,7 +11,7 @@
 from topazlug import _errors
 from topazlug import _ids
 from topazlug.crashes import _crash_guard
-from topazlug.crashes import _notes
+from topazlug.crashes import _crash_records
 from topazlug.targets import _target_runs
 from topazlug.targets import _targets
 
@@ -22,16 +22,16 @@
     """Keeps what a guard shares."""
 
     def __init__(self):
-        self.notes = []
+        self.records = []
 
-    def publish(self, notes, *, drop=()):
-        self.notes += notes
+    def publish(self, records, *, remove=()):
+        self.records += records
 
 
 class Rig:
     """A guard, told of crashes by hand."""
 
-    def __init__(self, *, refuses=True):
+    def __init__(self, *, rejects=True):
         self.clock = claim_fakes.FakeClock()
         self.book = _target_runs.RunBook(clock=self.clock)
         self.guard = _crash_guard.CrashGuard(
@@ -40,11 +40,11 @@
             targets=_targets.TargetDirectory(
                 clock=self.clock, flap_window=1.0
             ),
-            refuses=refuses,
+            rejects=rejects,
             clock=self.clock,
         )
         self.shared = Published()
-        self.guard.sharing = self.shared
+        self.guard.publisher = self.shared
 
     def crash(self, number, *names):
         """Have a replica crash under requests of this daemon."""
@@ -57,7 +57,7 @@
             )
             for name in names
         ]
-        self.guard._take_crash(target, runs)
+        self.guard._on_crash(target, runs)
 
     def settle(self):
         """Let the time pass after which it is decided."""
@@ -120,13 +120,13 @@
         for number in range(3):
             rig.crash(number, "f")
         rig.settle()
-        rig.clock.advance(_notes.LASTING.total_seconds() + 10)
+        rig.clock.advance(_crash_records.RETENTION.total_seconds() + 10)
         assert not rig.is_refused()
-        rig.guard.take_told([])
+        rig.guard.add_peer_records([])
         assert rig.guard.blocked == 0
 
     def test_mechanism_that_is_switched_off_refuses_nothing(self):
-        rig = Rig(refuses=False)
+        rig = Rig(rejects=False)
         for number in range(6):
             rig.crash(number, "f")
         rig.settle()
@@ -175,7 +175,7 @@
             rig.crash(number, "f", "g")
         rig.clock.advance(2.0)
         rig.crash(7, "other")
-        rig.guard.take_told([])
+        rig.guard.add_peer_records([])
         assert not rig.is_refused()
 
     def test_request_that_is_sent_all_the_time_is_not_held(self, rig):
@@ -199,22 +199,23 @@
         else had run at the second was told 0.15 s after the third: "requests
         of f3eb35a03d37 are blocked: 3 replicas crashed".
         """
-        notes = [
+        records = [
             crash_fixtures.crash("i-1@1", ("f", "a1"), ("cause", "c1")),
             crash_fixtures.crash("i-2@1", ("f", "a2")),
             crash_fixtures.crash("i-3@1", ("f", "a3"), ("cause", "c3")),
             crash_fixtures.crash("i-4@1", ("cause", "c4")),
         ]
-        notes = [
-            msgspec.structs.replace(note, at=rig.clock.now()) for note in notes
+        records = [
+            msgspec.structs.replace(record, at=rig.clock.now())
+            for record in records
         ]
-        rig.guard.take_shared(notes)
+        rig.guard.set_shared_records(records)
         rig.guard.decide()
         rig.clock.advance(0.5)
         late = crash_fixtures.crash(
             "i-2@1", ("cause", "c2"), daemon="d3", at=rig.clock.now()
         )
-        rig.guard.take_shared([*notes, late])
+        rig.guard.set_shared_records([*records, late])
         rig.settle()
         assert [block.fingerprint for block in rig.guard.blocks()] == ["cause"]
 
@@ -222,12 +223,12 @@
         """What was answered a moment ago ends no replica."""
         rig.answer("f")
         before = rig.others(1, 2, 3)
-        rig.guard.take_shared(before)
+        rig.guard.set_shared_records(before)
         assert not rig.is_refused()
         rig.settle()
         assert not rig.guard.blocked
         rig.clock.advance(120.0)
-        rig.guard.take_shared([*before, *rig.others(4, 5, 6)])
+        rig.guard.set_shared_records([*before, *rig.others(4, 5, 6)])
         rig.settle()
         assert rig.guard.blocked
 
@@ -242,7 +243,7 @@
         assert not rig.guard.may_repeat(F, target)
 
     def test_blocked_request_is_not_repeated(self, rig):
-        rig.guard.take_shared(
+        rig.guard.set_shared_records(
             [crash_fixtures.block("f", "i-1@1", at=rig.clock.now())]
         )
         assert not rig.guard.may_repeat(F, fixtures.target("i-1"))
@@ -250,70 +251,72 @@
 
 class TestSharing:
     def test_crash_and_block_are_shared_by_who_saw_it(self, rig):
-        rig.guard.take_shared(rig.others(1, 2))
+        rig.guard.set_shared_records(rig.others(1, 2))
         rig.crash(3, "f")
         rig.settle()
-        kinds = [type(note) for note in rig.shared.notes]
-        assert kinds == [_notes.Crash, _notes.Block]
+        kinds = [type(record) for record in rig.shared.records]
+        assert kinds == [_crash_records.Crash, _crash_records.Block]
 
     def test_who_saw_no_crash_leaves_it_to_others_for_a_while(self, rig):
         """The daemons that saw the crashes may be gone by then."""
-        rig.guard.take_shared(rig.others(1, 2, 3))
+        rig.guard.set_shared_records(rig.others(1, 2, 3))
         rig.settle()
         assert rig.is_refused()
         assert rig.guard.blocked == 1
-        assert rig.shared.notes == []
+        assert rig.shared.records == []
         rig.clock.advance(5.0)
         rig.guard.decide()
-        assert [type(note) for note in rig.shared.notes] == [_notes.Block]
+        assert [type(record) for record in rig.shared.records] == [
+            _crash_records.Block
+        ]
 
     def test_block_that_another_has_written_is_not_written_again(self, rig):
         crashes = rig.others(1, 2, 3)
-        rig.guard.take_shared(crashes)
+        rig.guard.set_shared_records(crashes)
         rig.settle()
         written = crash_fixtures.block("f", "i-1@1", at=rig.clock.now())
-        rig.guard.take_shared([*crashes, written])
+        rig.guard.set_shared_records([*crashes, written])
         rig.clock.advance(5.0)
         rig.settle()
-        assert rig.shared.notes == []
+        assert rig.shared.records == []
 
     def test_who_is_asked_to_writes_what_it_was_told(self, rig):
         """Whoever decided it may be kept from the store for long."""
         block = crash_fixtures.block("f", "i-1@1", at=rig.clock.now())
-        rig.guard.take_told([block], stand_in=True)
+        rig.guard.add_peer_records([block], stand_in=True)
         rig.guard.decide()
-        assert rig.shared.notes == []
+        assert rig.shared.records == []
         rig.clock.advance(5.0)
-        rig.guard.take_told([block], stand_in=True)
+        rig.guard.add_peer_records([block], stand_in=True)
         rig.guard.decide()
-        assert rig.shared.notes == [block]
+        assert rig.shared.records == [block]
         # It tells the others that it wrote it, and hears that back.
-        rig.guard.take_told([block], stand_in=True)
+        rig.guard.add_peer_records([block], stand_in=True)
         rig.clock.advance(5.0)
         rig.guard.decide()
-        assert rig.shared.notes == [block]
+        assert rig.shared.records == [block]
 
     def test_who_is_told_and_not_asked_to_writes_nothing(self, rig):
         block = crash_fixtures.block("f", "i-1@1", at=rig.clock.now())
-        rig.guard.take_told([block])
+        rig.guard.add_peer_records([block])
         rig.clock.advance(5.0)
         rig.guard.decide()
-        assert rig.shared.notes == []
+        assert rig.shared.records == []
 
     def test_what_the_teller_has_written_since_is_not_written(self, rig):
         block = crash_fixtures.block("f", "i-1@1", at=rig.clock.now())
-        rig.guard.take_told([block], stand_in=True)
-        rig.guard.take_shared([block])
+        rig.guard.add_peer_records([block], stand_in=True)
+        rig.guard.set_shared_records([block])
         rig.clock.advance(5.0)
         rig.guard.decide()
-        assert rig.shared.notes == []
+        assert rig.shared.records == []
 
     def test_answer_of_a_suspected_request_is_shared(self, rig):
-        rig.guard.take_shared(rig.others(1, 2))
+        rig.guard.set_shared_records(rig.others(1, 2))
         rig.answer()
         rig.settle()
-        (note,) = rig.shared.notes
-        assert note.starts == ["i-1@1", "i-2@1"]
+        (record,) = rig.shared.records
+        assert record.starts == ["i-1@1", "i-2@1"]
         rig.crash(3, "f")
         rig.settle()
         assert not rig.guard.blocked
@@ -339,7 +342,7 @@
         assert rig.guard.release(F).fingerprint == block.fingerprint
         assert not rig.is_refused()
         assert rig.guard.blocks() == []
-        assert rig.shared.notes[-1].released
+        assert rig.shared.records[-1].released
 
     def test_release_holds_against_the_row_of_the_block(self, rig):
         """A daemon wrote its release, and read the block's row once more."""
@@ -347,19 +350,19 @@
         block = crash_fixtures.block(
             "f", "i-1@1", "i-2@1", "i-3@1", at=rig.clock.now()
         )
-        rig.guard.take_shared([*crashes, block])
+        rig.guard.set_shared_records([*crashes, block])
         released = rig.guard.release(F)
-        rig.guard.take_shared([*crashes, block])
+        rig.guard.set_shared_records([*crashes, block])
         assert not rig.is_refused()
-        rig.guard.take_shared([*crashes, released])
+        rig.guard.set_shared_records([*crashes, released])
         rig.settle()
         assert not rig.is_refused()
 
     def test_other_daemons_are_told(self, rig):
         block = crash_fixtures.block("f", "i-1@1", at=rig.clock.now())
-        rig.guard.take_shared([block])
-        released = _notes.released(block, now=rig.clock.now())
-        rig.guard.take_told([released])
+        rig.guard.set_shared_records([block])
+        released = _crash_records.released_block(block, now=rig.clock.now())
+        rig.guard.add_peer_records([released])
         assert not rig.is_refused()
 
     def test_it_is_blocked_again_after_three_crashes(self, rig):
@@ -375,4 +378,4 @@
 
     def test_nothing_to_release(self, rig):
         assert rig.guard.release(F) is None
-        assert rig.shared.notes == []
+        assert rig.shared.records == []
--- a/tests/topazlug/crashes/test_notes.py
+++ b/tests/topazlug/crashes/test_crash_records.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.topazlug.crashes import crash_fixtures as fixtures
-from topazlug.crashes import _notes
+from topazlug.crashes import _crash_records
 
 NOTES = [
     fixtures.crash("i-1@7", ("f", "a1"), ("g", "b1")),
@@ -14,13 +14,15 @@
 
 
 class TestRows:
-    @pytest.mark.parametrize("note", NOTES)
-    def test_note_comes_back_as_it_was(self, note):
-        key = _notes.key_of(note)
-        assert _notes.decode(key, _notes.encode(note)) == note
+    @pytest.mark.parametrize("record", NOTES)
+    def test_note_comes_back_as_it_was(self, record):
+        key = _crash_records.record_key(record)
+        assert (
+            _crash_records.decode(key, _crash_records.encode(record)) == record
+        )
 
     def test_keys(self):
-        assert [_notes.key_of(note) for note in NOTES] == [
+        assert [_crash_records.record_key(record) for record in NOTES] == [
             "crash/i-1@7/d1",
             "answered/f",
             "block/f",
@@ -34,15 +36,15 @@
             b"{}",
             b"\xff",
             b'{"type": "other"}',
-            _notes.encode(fixtures.block("g", "i-1@7")),
-            _notes.encode(NOTES[2]).replace(b"Z", b""),
+            _crash_records.encode(fixtures.block("g", "i-1@7")),
+            _crash_records.encode(NOTES[2]).replace(b"Z", b""),
         ],
     )
     def test_row_that_is_no_note(self, data):
         with pytest.raises(ValueError):
-            _notes.decode("block/f", data)
+            _crash_records.decode("block/f", data)
 
     def test_attempts_have_short_names(self):
-        one, other = map(_notes.attempt_tag, ("a" * 32, "b" * 32))
+        one, other = map(_crash_records.attempt_tag, ("a" * 32, "b" * 32))
         assert one != other
         assert len(one) == 8
--- a/tests/topazlug/crashes/test_kept_notes.py
+++ b/tests/topazlug/crashes/test_record_sync.py
@@ -8,8 +8,8 @@
 from tests.topazlug import routing_fixtures
 from tests.topazlug.crashes import crash_fixtures as fixtures
 from topazlug import _clock
-from topazlug.crashes import _kept_notes
-from topazlug.crashes import _notes
+from topazlug.crashes import _crash_records
+from topazlug.crashes import _record_sync
 from topazlug.store import _table_client
 
 CRASH = fixtures.crash("i-1@1", ("f", "a1"))
@@ -20,10 +20,10 @@
     """Keeps what is told."""
 
     def __init__(self):
-        self.notes = []
+        self.records = []
 
-    def tell(self, notes):
-        self.notes += notes
+    def send(self, records):
+        self.records += records
 
 
 class Rig:
@@ -31,12 +31,12 @@
 
     def __init__(self, store=None):
         self.store = store or claim_fakes.FakeStore()
-        self.told = Told()
+        self.distributor = Told()
         self.taken = []
-        self.kept = _kept_notes.KeptNotes(
+        self.kept = _record_sync.RecordSync(
             store=self.store,
-            told=self.told,
-            take=self.taken.append,
+            distributor=self.distributor,
+            on_records=self.taken.append,
             clock=_clock.SystemClock(),
         )
         self._tasks = [gevent.spawn(task) for task in self.kept.tasks()]
@@ -55,7 +55,7 @@
 class TestNotes:
     def test_they_are_told_and_written(self, rig):
         rig.kept.publish([CRASH, BLOCK])
-        assert rig.told.notes == [CRASH, BLOCK]
+        assert rig.distributor.records == [CRASH, BLOCK]
         routing_fixtures.wait_until(lambda: len(rig.store.row_by_key) == 2)
         assert rig.kept.read() == [BLOCK, CRASH]
 
@@ -78,18 +78,21 @@
         rig.kept.publish([BLOCK])
         routing_fixtures.wait_until(lambda: rig.store.row_by_key)
         rig.store.row_by_key["crash/x"] = _table_client.Row(
-            table=_notes.TABLE, key="crash/x", version=1, value={"a": 1}
+            table=_crash_records.TABLE,
+            key="crash/x",
+            version=1,
+            value={"a": 1},
         )
         assert rig.kept.read() == [BLOCK]
 
     def test_many_rows_are_read_page_by_page(self, rig):
-        notes = [
+        records = [
             fixtures.crash(f"i-{n:04}@1", ("f", "a")) for n in range(1100)
         ]
-        for note in notes:
-            key = _notes.key_of(note)
-            value = msgspec.to_builtins(note)
+        for record in records:
+            key = _crash_records.record_key(record)
+            value = msgspec.to_builtins(record)
             rig.store.row_by_key[key] = _table_client.Row(
-                table=_notes.TABLE, key=key, version=1, value=value
+                table=_crash_records.TABLE, key=key, version=1, value=value
             )
-        assert rig.kept.read() == notes
+        assert rig.kept.read() == records
--- a/tests/topazlug/crashes/test_stored_notes.py
+++ b/tests/topazlug/crashes/test_record_writer.py
@@ -8,8 +8,8 @@
 from tests.topazlug.fleet import store_fakes
 from topazlug import _clock
 from topazlug import _errors
-from topazlug.crashes import _notes
-from topazlug.crashes import _stored_notes
+from topazlug.crashes import _crash_records
+from topazlug.crashes import _record_writer
 from topazlug.fleet import _table_source
 
 CRASH = fixtures.crash("i-1@1", ("f", "a1"))
@@ -21,24 +21,27 @@
     def __init__(self):
         self.store = store_fakes.FakeTables()
         self.told = []
-        self.notes = _stored_notes.StoredNotes(
+        self.records = _record_writer.RecordWriter(
             write=self._write,
-            tell=self.told.append,
+            notify=self.told.append,
             clock=_clock.SystemClock(),
         )
-        self._writer = gevent.spawn(self.notes.run)
+        self._writer = gevent.spawn(self.records.run)
 
-    def _write(self, notes, dropped):
+    def _write(self, records, dropped):
         rows = [
-            _table_source.Row(_notes.key_of(note), _notes.encode(note))
-            for note in notes
+            _table_source.Row(
+                _crash_records.record_key(record),
+                _crash_records.encode(record),
+            )
+            for record in records
         ]
         rows += [_table_source.Row(key, deleted=True) for key in dropped]
-        self.store.write(_notes.TABLE, rows)
+        self.store.write(_crash_records.TABLE, rows)
 
     def keys(self):
         """Give the keys of all rows, whether the store is away or not."""
-        return sorted(self.store._held(_notes.TABLE))
+        return sorted(self.store._held(_crash_records.TABLE))
 
     def stop(self):
         self._writer.kill()
@@ -46,7 +49,7 @@
 
 @pytest.fixture
 def rig(monkeypatch):
-    monkeypatch.setattr(_stored_notes, "_DROP_CHANCE", 1.0)
+    monkeypatch.setattr(_record_writer, "_REMOVE_PROBABILITY", 1.0)
     made = Rig()
     yield made
     made.stop()
@@ -58,21 +61,21 @@
 
 class TestWriting:
     def test_note_becomes_a_row(self, rig):
-        rig.notes.publish([CRASH])
+        rig.records.publish([CRASH])
         wait_until(rig.keys)
         assert rig.keys() == ["crash/i-1@1/d1"]
         assert rig.told == []
 
     def test_notes_of_one_moment_take_one_call(self, rig):
-        rig.notes.publish([CRASH])
-        rig.notes.publish([fixtures.block("f", "i-1@1")])
+        rig.records.publish([CRASH])
+        rig.records.publish([fixtures.block("f", "i-1@1")])
         wait_until(rig.keys)
         assert len(rig.keys()) == 2
         assert rig.store.calls == 1
 
     def test_rows_without_use_are_dropped(self, rig):
-        rig.store.put(_notes.TABLE, "crash/i-0@1/d1", b"{}")
-        rig.notes.publish([CRASH], drop=["crash/i-0@1/d1"])
+        rig.store.put(_crash_records.TABLE, "crash/i-0@1/d1", b"{}")
+        rig.records.publish([CRASH], remove=["crash/i-0@1/d1"])
         wait_until(lambda: rig.keys() == ["crash/i-1@1/d1"])
 
 
@@ -83,7 +86,7 @@
         Nine daemons then needed three crashes each to know one request.
         """
         rig.store.is_away = True
-        rig.notes.publish([CRASH])
+        rig.records.publish([CRASH])
         wait_until(lambda: rig.store.calls > 2)
         assert rig.told == [[CRASH]]
         rig.store.is_away = False
@@ -92,10 +95,10 @@
 
     def test_each_further_note_is_told(self, rig):
         rig.store.is_away = True
-        rig.notes.publish([CRASH])
+        rig.records.publish([CRASH])
         wait_until(lambda: rig.told)
         block = fixtures.block("f", "i-1@1")
-        rig.notes.publish([block])
+        rig.records.publish([block])
         wait_until(lambda: len(rig.told) == 2)
         assert rig.told == [[CRASH], [block]]
 
@@ -113,15 +116,15 @@
 
         plain_write = rig.store.write
         rig.store.write = write
-        rig.notes.publish([CRASH], drop=["crash/i-0@1/d1"])
+        rig.records.publish([CRASH], remove=["crash/i-0@1/d1"])
         wait_until(rig.keys)
-        rig.notes.publish([fixtures.block("f", "i-1@1")])
+        rig.records.publish([fixtures.block("f", "i-1@1")])
         wait_until(lambda: len(rig.keys()) == 2)
 
     def test_what_waits_is_bounded(self, rig):
         rig.store.is_away = True
         for number in range(400):
-            rig.notes.publish([fixtures.crash(f"i-{number}@1", ("f", "a"))])
+            rig.records.publish([fixtures.crash(f"i-{number}@1", ("f", "a"))])
         rig.store.is_away = False
         wait_until(lambda: "crash/i-399@1/d1" in rig.keys())
         wait_until(lambda: len(rig.keys()) == 256)
@@ -130,21 +133,21 @@
         """The store did the write and its answer never came."""
         lost = []
 
-        def write(notes, dropped):
-            plain_write(notes, dropped)
+        def write(records, dropped):
+            plain_write(records, dropped)
             if not lost:
                 lost.append(True)
                 raise _errors.StoreAmbiguous("no answer")
 
-        plain_write = rig.notes._write_rows
-        rig.notes._write_rows = write
-        rig.notes.publish([CRASH])
+        plain_write = rig.records._write_rows
+        rig.records._write_rows = write
+        rig.records.publish([CRASH])
         wait_until(lambda: rig.store.calls == 2)
         assert rig.keys() == ["crash/i-1@1/d1"]
 
     def test_few_daemons_drop_rows(self, rig, monkeypatch):
         """Each daemon that notes one crash finds the same rows too many."""
-        monkeypatch.setattr(_stored_notes, "_DROP_CHANCE", 0.0)
-        rig.notes.publish([CRASH], drop=["crash/i-0@1/d1"])
+        monkeypatch.setattr(_record_writer, "_REMOVE_PROBABILITY", 0.0)
+        rig.records.publish([CRASH], remove=["crash/i-0@1/d1"])
         wait_until(rig.keys)
         assert rig.store.calls == 1
--- a/tests/topazlug/forwarding/test_blocked_requests.py
+++ b/tests/topazlug/forwarding/test_blocked_requests.py
@@ -6,7 +6,7 @@
 from tests.topazlug.crashes import crash_fixtures
 from tests.topazlug.fleet import store_fakes
 from topazlug import _errors
-from topazlug.crashes import _notes
+from topazlug.crashes import _crash_records
 from topazlug.forwarding import _blocked_requests
 
 
@@ -23,8 +23,12 @@
         crash_fixtures.block("f", "i-1@1", at=clock.now()),
         crash_fixtures.block("g", "i-2@1", at=clock.now(), released=True),
     ):
-        made.put(_notes.TABLE, _notes.key_of(note), _notes.encode(note))
-    made.put(_notes.TABLE, "block/spoilt", b"{")
+        made.put(
+            _crash_records.TABLE,
+            _crash_records.record_key(note),
+            _crash_records.encode(note),
+        )
+    made.put(_crash_records.TABLE, "block/spoilt", b"{")
     return made
 
 
@@ -36,7 +40,7 @@
 class TestBlocked:
     def test_those_in_force(self, store, clock):
         assert names(store, clock) == ["f"]
-        clock.advance(_notes.LASTING.total_seconds())
+        clock.advance(_crash_records.RETENTION.total_seconds())
         assert names(store, clock) == []
 
     def test_release(self, store, clock):
