--- a/src/topazlug/crashes/__init__.py
+++ b/src/topazlug/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which replicas crash, and how they are kept from others."""
+"""Detection and blocking of requests that crash replicas."""
--- a/src/topazlug/crashes/_cause_analysis.py
+++ b/src/topazlug/crashes/_cause_analysis.py
@@ -1,22 +1,25 @@
-"""Decides which request crashes replicas, from what ran when they crashed.
-
-Load pattern: a request ends each replica that begins to run it, is repeated
-by its caller, and comes to any daemon. A dozen others run beside it each
-time, and replicas also crash for reasons of their own. So a request counts
-as the cause only if
-
-- three attempts of it had replicas crash under them, three of these in all:
-  one attempt may meet two crashes, as it is sent to a second replica;
-- none of its attempts was answered since, as it would end each replica;
-- it met so many in so short a time on replicas that chance does not do it,
-  where others crash without it;
-- no other request was there each time, and more often. What runs beside is
-  there some of the times, and then the other one explains it.
-
-A blocked request explains the crashes that it was at: they count for no
-other.
-
-Nothing here reads, waits or knows a connection.
+"""Finds the requests that crash replicas, from what ran during crashes.
+
+A request that crashes each replica that runs it is repeated by its caller and
+arrives at any daemon. Each time a dozen other requests run beside it, and
+replicas also crash for other reasons. So a request is regarded as the cause
+only if
+
+- three of its attempts ran on replicas that crashed, and three incarnations
+  crashed in all: one attempt may be hit by two crashes, as it is sent to a
+  second replica;
+- none of its attempts was answered since, because the cause would crash each
+  replica that runs it;
+- it ran for so short a time on replicas that so many crashes are improbable
+  by chance, given the rate of crashes without it;
+- no other request ran during all of the same crashes and during others too.
+  Requests beside the cause run during some of the crashes only, so the cause
+  explains them.
+
+A blocked request explains the crashes during which it ran; they count against
+no other request.
+
+This module does no I/O and does not block.
 """
 
 from collections.abc import Iterable
@@ -30,36 +33,38 @@
 from topazlug import _ids
 from topazlug.crashes import _crash_records
 
-# Fewer are no proof: an innocent request that may be repeated meets two
+# Fewer prove nothing: an innocent request that may be repeated is hit by two
 # crashes, one at each attempt, if its caller repeats it once.
 MIN_CRASHES = 3
-# Two requests that always come together can't be told apart. After twice as
-# many crashes both are blocked: all others lose by each one more.
+# Two requests that always run together can't be distinguished. Both are
+# blocked after twice as many crashes, as each further crash hits others.
 MIN_CRASHES_TOGETHER = 6
-# A request that met its crashes by chance with this probability or more is
-# not their cause. In a replay of five replicas of which one crashes by itself
-# each second, 21 of 3,600 innocent requests a minute were blocked without
-# this, and 1 with it (means of five plays; the cause ends 4 replicas in both).
+# A request is not regarded as the cause if chance explains its crashes with at
+# least this probability. In a replay of five replicas, of which one crashes by
+# itself each second, 21 of 3,600 innocent requests a minute were blocked
+# without this rule, and 1 with it (means of five replays; the cause crashes 4
+# replicas in both).
 _MAX_CHANCE_PROBABILITY = 1e-6
-# Others' crashes so long before the first one under a request count as well.
+# The rate of crashes without a request is measured from this long before the
+# first crash under it.
 _LEAD_TIME = datetime.timedelta(seconds=5)
 
-# A request that ran on a start of a replica when that crashed.
+# A request that ran on an incarnation of a replica when it crashed.
 _SuspectRun = tuple[_crash_records.IncarnationName, _crash_records.Suspect]
 
 
 @final
 class _CrashedIncarnation(msgspec.Struct):
-    """One start of a replica that crashed.
+    """An incarnation of a replica that crashed.
 
     Attributes
     ----------
     at : datetime
-        When the first daemon noted it.
+        When the first daemon recorded the crash.
     group : GroupName
         Pool or service of the replica.
     replicas : int
-        How many replicas the group had.
+        Number of replicas in the group.
     """
 
     at: datetime.datetime
@@ -69,14 +74,14 @@
 
 @final
 class _RequestCrashes(msgspec.Struct):
-    """What counts against one request.
+    """The crashes that count against one request.
 
     Attributes
     ----------
     seconds_by_incarnation : dict
-        How long it had run on each replica that crashed under it.
+        How long it had run on each incarnation that crashed under it.
     attempts : set of AttemptTag
-        Attempts of its callers that were there.
+        Its attempts that were running then.
     """
 
     seconds_by_incarnation: dict[_crash_records.IncarnationName, float] = (
@@ -88,26 +93,27 @@
 
     @property
     def incarnations(self) -> frozenset[_crash_records.IncarnationName]:
-        """Give the starts of replicas that crashed under it."""
+        """Return the incarnations that crashed under the request."""
         return frozenset(self.seconds_by_incarnation)
 
     @property
     def count(self) -> int:
-        """Give the crashes that no two share an attempt or a replica."""
+        """Return the number of crashes, each at an attempt of its own."""
         return min(len(self.seconds_by_incarnation), len(self.attempts))
 
 
 @final
 class CauseAnalysis:
-    """What all notes together say.
+    """The causes of crashes that follow from the records of all daemons.
 
-    It is made anew with each news, from some thousand suspects most of which
-    were seen once: cases are made of those only that are asked for.
+    An analysis is built anew whenever records change, from some thousand
+    suspects most of which occur once. So crashes are collected only for the
+    requests that are looked up.
 
     Parameters
     ----------
-    records : iterable of Note
-        Of all daemons.
+    records : iterable of CrashRecord
+        Records of all daemons.
     """
 
     def __init__(
@@ -143,7 +149,7 @@
     def _explained_incarnations(
         self, crashes: Iterable[_crash_records.Crash]
     ) -> set[_crash_records.IncarnationName]:
-        """Give the crashes whose cause is known."""
+        """Return the incarnations whose crash is explained by a block."""
         blocks = self._block_by_fingerprint.values()
         explained = {
             incarnation for block in blocks for incarnation in block.starts
@@ -196,40 +202,41 @@
 
     @property
     def blocks(self) -> Mapping[_ids.Fingerprint, _crash_records.Block]:
-        """Give all blocks, also those that were released."""
+        """Return all blocks, including released ones."""
         return self._block_by_fingerprint
 
     def incarnations_of(
         self, fingerprint: _ids.Fingerprint
     ) -> frozenset[_crash_records.IncarnationName]:
-        """Give the crashes that a request may be the cause of."""
+        """Return the incarnations that a request may have crashed."""
         if fingerprint not in self._runs_by_fingerprint:
             return frozenset()
         return self._crashes_of(fingerprint).incarnations
 
     def crash_count_of(self, fingerprint: _ids.Fingerprint) -> int:
-        """Give how many crashes count against a request."""
+        """Return how many crashes count against a request."""
         if fingerprint not in self._runs_by_fingerprint:
             return 0
         return self._crashes_of(fingerprint).count
 
     def is_blocked(self, fingerprint: _ids.Fingerprint) -> bool:
-        """Say whether a note blocks a request."""
+        """Return whether a request is blocked."""
         block = self._block_by_fingerprint.get(fingerprint)
         return block is not None and not block.released
 
     def likely_causes(self) -> dict[_ids.Fingerprint, int]:
-        """Give how many crashes count against each request that may be one."""
+        """Return the likely causes and how many crashes count against each."""
         return {
             fingerprint: crashes.count
             for fingerprint, crashes in self._likely_causes.items()
         }
 
     def causes(self) -> dict[_ids.Fingerprint, _ids.GroupName]:
-        """Give the request that most crashes speak against, if it is a cause.
+        """Return the cause with the most crashes.
 
-        Once it is blocked these crashes count for no other, and another may
-        follow. More than one are given only if they were at the same ones.
+        Once it is blocked, its crashes count against no other request, and
+        a further call may return another cause. More than one request is
+        returned only if they ran during the same crashes.
 
         Returns
         -------
@@ -254,10 +261,10 @@
         }
 
     def _chance_probability(self, crashes: _RequestCrashes) -> float:
-        """Give how likely a request meets so many crashes by chance.
+        """Return the probability that so many crashes hit it by chance.
 
-        While it ran it met those that come anyway: as many a second as there
-        were without it, spread over the replicas of the group.
+        The expected number follows from the time that the request ran and
+        the rate of crashes without it, spread over the replicas of the group.
         """
         own = [
             self._crash_by_incarnation[incarnation]
@@ -279,7 +286,7 @@
     def _is_explained(
         self, fingerprint: _ids.Fingerprint, own: _RequestCrashes
     ) -> bool:
-        """Say whether another request is as likely the cause, or likelier."""
+        """Return whether another request is at least as likely the cause."""
         return any(
             _explains(self._crashes_of(other), own)
             for other, suspect_runs in self._runs_by_fingerprint.items()
--- a/src/topazlug/crashes/_crash_detector.py
+++ b/src/topazlug/crashes/_crash_detector.py
@@ -1,9 +1,9 @@
-"""Finds out whether a replica has crashed, when a connection to it ends.
+"""Detects crashes of replicas, by a check after a connection to one is lost.
 
-A connection that ends in the middle of an answer shows little: replicas cut
-off answers, reset connections that are too many, and links break. A replica
-that has crashed refuses new connections, or a relay before it closes them,
-and its entry lapses.
+A connection that ends in the middle of an answer proves little: replicas
+truncate answers and reset connections above their limit, and links break. A
+replica that has crashed refuses new connections, or a relay in front of it
+closes them, and its entry expires.
 """
 
 import collections
@@ -26,22 +26,22 @@
 from topazlug.targets import _targets
 
 _log = _logs.logger("crashes")
-# A replica in the same region refuses a connection in a few milliseconds; one
-# that says nothing for so long is dark or cut off.
+# A replica in the same region refuses a connection in a few milliseconds. If
+# there is no response for this long, it is down or unreachable.
 _CONNECT_TIMEOUT_SECONDS = 0.25
-# A relay between takes connections for a replica that has ended, and closes
-# them when it can't connect further; that takes a few milliseconds.
+# A relay accepts connections for a replica that has crashed, and closes them
+# when it can't connect to the replica; that takes a few milliseconds.
 _RELAY_CLOSE_SECONDS = 0.05
-# One that takes connections is not asked again sooner, however many answers
-# it breaks off.
+# Minimum time between checks of a replica that accepts connections, however
+# many answers it truncates.
 _RECHECK_SECONDS = 1.0
-# Requests that ended this long before the crash was seen may have been what
-# crashed it: callers that left, and what was lost while no check was due.
+# Requests that ended within this time before a crash was detected may have
+# caused it: their callers left, or they were lost while no check was due.
 _RECENT_RUN_SECONDS = 2.0
-# Where more replicas than this refuse connections within half a second, this
-# daemon may be cut off from all of them, or a rack has lost its power. Then
-# only the lapse of an entry counts as a crash. Requests that crash replicas
-# may come several at once, more so in larger groups.
+# If more replicas than this refuse connections within half a second, this
+# daemon may be cut off from all of them, or a rack may have lost power. Then
+# only the expiry of an entry counts as a crash. Several requests that crash
+# replicas may arrive together, so the limit grows with the group.
 _MAX_SIMULTANEOUS = 2
 _MAX_SIMULTANEOUS_FRACTION = 0.125
 _SIMULTANEOUS_SECONDS = 0.5
@@ -51,7 +51,7 @@
 
 
 class _ConnectResult(enum.Enum):
-    """What became of an attempt to connect."""
+    """Result of an attempt to connect."""
 
     TAKEN = "taken"
     REFUSED = "refused"
@@ -60,20 +60,21 @@
 
 @final
 class CrashDetector:
-    """Tells of crashes, with what this daemon had running there.
+    """Reports crashes, with the requests that this daemon ran there.
 
     Parameters
     ----------
     runs : RunBook
-        What runs where.
+        Running and recent requests by target.
     listed : callable
-        Gives the platform's list of targets by replica.
+        Returns the platform's list of targets by replica.
     is_leaving : callable
-        Says whether a target leaves as planned.
+        Returns whether a target leaves as planned.
     crashed : callable
-        Gets the target and this daemon's runs there, once for each start.
+        Called once for each incarnation that crashed, with the target and
+        this daemon's runs there.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -93,13 +94,13 @@
         self._check_by_incarnation: dict[_target.Start, event.Event] = {}
         self._checked_at: dict[_target.Start, float] = {}
         self._refused_at: collections.deque[float] = collections.deque()
-        # Starts whose crash was told, the oldest first.
+        # Incarnations whose crash was reported, oldest first.
         self._reported: collections.OrderedDict[_target.Start, None]
         self._reported = collections.OrderedDict()
         runs.on_end(self._on_run_end)
 
     def wait_for_check(self, target: _targets.Target) -> None:
-        """Wait until it is known whether a target takes connections."""
+        """Wait for a running check of a target, if there is one."""
         incarnation = _target.start_of(target)
         check = self._check_by_incarnation.get(incarnation)
         if check is not None and not self._recheck_delay(incarnation):
@@ -108,7 +109,7 @@
     def wait_for_other_checks(
         self, fingerprint: _ids.Fingerprint, target: _targets.Target
     ) -> None:
-        """Wait for the checks of other targets that lost such a request."""
+        """Wait for checks of other targets where the request was lost."""
         for incarnation in list(self._check_by_incarnation):
             if incarnation == _target.start_of(target) or self._recheck_delay(
                 incarnation
@@ -131,7 +132,8 @@
             or incarnation in self._check_by_incarnation
         ):
             return
-        # One that leaves as planned ends too, and cuts off what still runs.
+        # A target that leaves as planned ends too, and cuts off running
+        # requests.
         if not self._is_serving(run.target):
             return
         self._check_by_incarnation[incarnation] = event.Event()
@@ -140,7 +142,7 @@
         )
 
     def _recheck_delay(self, incarnation: _target.Start) -> float:
-        """Give the seconds until a start may be asked again."""
+        """Return the seconds until an incarnation may be checked again."""
         now = self._clock.monotonic()
         again_at = (
             self._checked_at.get(incarnation, -math.inf) + _RECHECK_SECONDS
@@ -177,7 +179,7 @@
         self._checked_at[incarnation] = now
 
     def _few_refuse(self, target: _targets.Target) -> bool:
-        """Say whether few replicas refuse connections at this moment."""
+        """Return whether few enough replicas refuse connections now."""
         group = sum(
             other.group == target.group for other in self._listed().values()
         )
@@ -195,14 +197,14 @@
         before: Mapping[_ids.ReplicaId, _targets.Target],
         listed: Iterable[_targets.Target],
     ) -> None:
-        """Look into starts that are off the list without having left.
+        """Check incarnations that disappeared from the list unplanned.
 
         Parameters
         ----------
         before : mapping
-            The list as it was.
+            The previous list.
         listed : iterable of Target
-            The list as it is.
+            The current list.
         """
         incarnations = {_target.start_of(target) for target in listed}
         for target in before.values():
@@ -227,10 +229,11 @@
     def _check_expired(
         self, target: _targets.Target, broken: list[_target_runs.Run]
     ) -> None:
-        """Tell of a lapsed replica, unless it goes on taking connections.
+        """Report a replica whose entry expired, unless it still serves.
 
-        Some leave without saying so: their entry goes and they serve on for
-        a while. An address that another has taken over says nothing of it.
+        Some replicas leave unannounced: their entry is removed and they go on
+        accepting connections for a while. If another target now has the
+        address, connections to it prove nothing about the replica.
         """
         is_replaced = any(
             other.host == target.host and other.port == target.port
@@ -249,7 +252,7 @@
         while len(self._reported) > _MAX_REPORTED:
             self._reported.popitem(last=False)
         _log.warning(
-            "{replica} has crashed with {n} requests of this daemon",
+            "{replica} crashed while running {n} requests of this daemon",
             replica=target.replica,
             start=target.incarnation,
             group=target.group,
@@ -273,7 +276,7 @@
         return _ConnectResult.REFUSED
     except OSError as error:
         _log.debug(
-            "no word of {replica}: {why}",
+            "connecting to {replica} failed: {why}",
             replica=target.replica,
             why=str(error),
         )
--- a/src/topazlug/crashes/_crash_guard.py
+++ b/src/topazlug/crashes/_crash_guard.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash replicas from further replicas."""
+"""Rejects requests that crash replicas, to protect further replicas."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -24,17 +24,18 @@
 from topazlug.targets import _targets
 
 _log = _logs.logger("crashes")
-# Many daemons may have answered a request; the first ones clear it for all.
+# Random delay before a decision. Many daemons may have answered a request; the
+# first ones publish that for all.
 _SPREAD_SECONDS = 0.3
-# Daemons that saw no crash themselves leave it to those to write the block
-# down, and do it in their place if they are gone.
+# A daemon that recorded no crash itself leaves the writing of the block to the
+# daemons that did. It writes the block after this delay if they have not.
 _FALLBACK_WRITE_SECONDS = (1.5, 3.0)
-# One attempt of a caller ends so many replicas at most.
+# A caller's attempt is not sent to another replica after this many crashes.
 _MAX_CRASHES_PER_ATTEMPT = 2
 
 
 class RecordPublisher(Protocol):
-    """Has all daemons know what one has noted."""
+    """Publishes crash records to all daemons."""
 
     def publish(
         self,
@@ -42,31 +43,31 @@
         *,
         remove: Sequence[str] = (),
     ) -> None:
-        """Write notes, and drop rows by their keys; does not block."""
+        """Write records and remove rows by their keys; does not block."""
 
 
 @final
 class CrashGuard:
-    """Learns which requests crash replicas, and refuses those.
+    """Finds the requests that crash replicas, and rejects them.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     runs : RunBook
-        What runs where.
+        Running requests by target.
     targets : TargetDirectory
         Known targets.
     rejects : bool
-        Whether what it learns is acted on.
+        Whether requests that crash replicas are rejected.
     clock : Clock
-        Time.
+        Source of time.
 
     Attributes
     ----------
-    publisher : Sharing or None
-        How other daemons hear of it; None until this daemon has joined its
-        fleet.
+    publisher : RecordPublisher or None
+        Publishes records to other daemons; None until this daemon has joined
+        its fleet.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         rejects: bool = True,
         clock: _clock.Clock,
     ) -> None:
-        self._refuses = rejects
+        self._rejects = rejects
         self._targets = targets
         self._clock = clock
         self.publisher: RecordPublisher | None = None
@@ -92,18 +93,18 @@
         )
         runs.on_end(self._on_run_end)
         self._changed = event.Event()
-        # Keys of notes that another daemon should write down, and when this
-        # one does it instead.
+        # When this daemon publishes records that another daemon should have
+        # written by then.
         self._due_by_key: dict[str, float] = {}
         self._likely_causes = _likely_causes.LikelyCauses(clock=clock)
 
     @property
     def blocked(self) -> int:
-        """Give how many requests are blocked."""
+        """Return the number of blocked requests."""
         return len(self.blocks())
 
     def blocks(self) -> list[_crash_records.Block]:
-        """Give the blocks in force, the newest first."""
+        """Return the blocks in force, newest first."""
         blocks = self._history.analysis.blocks.values()
         found = [block for block in blocks if not block.released]
         return sorted(found, key=lambda block: block.at, reverse=True)
@@ -111,7 +112,7 @@
     def release(
         self, fingerprint: _ids.Fingerprint
     ) -> _crash_records.Block | None:
-        """Let a blocked request run again; None if it is not blocked."""
+        """Release a blocked request; return None if it is not blocked."""
         block = self._history.release(fingerprint)
         if block is not None:
             _log.info(
@@ -122,55 +123,56 @@
         return block
 
     def check(self, fingerprint: _ids.Fingerprint) -> None:
-        """Refuse a request that crashes replicas.
+        """Raise if a request is blocked or held back.
 
         Raises
         ------
         RequestBlocked
-            It is not run.
+            The request must not run.
         """
-        if not self._refuses:
+        if not self._rejects:
             return
         analysis = self._history.analysis
         count = analysis.crash_count_of(fingerprint)
-        # An answer of this daemon may have cleared it since.
+        # The count is lower if this daemon has answered the request since.
         if (
             count >= _cause_analysis.MIN_CRASHES
             and self._likely_causes.is_held(fingerprint)
         ):
             raise _errors.RequestBlocked(
-                f"{count} replicas crashed when they ran this request;"
-                " whether it is the cause is not known yet",
+                f"{count} replicas crashed while running this request; it is"
+                " held back until the cause is determined",
                 retry_after=_likely_causes.HOLD_SECONDS,
             )
         if not analysis.is_blocked(fingerprint):
             return
         block = analysis.blocks[fingerprint]
-        left = block.at + _crash_records.RETENTION - self._clock.now()
-        if left > datetime.timedelta():
+        remaining = block.at + _crash_records.RETENTION - self._clock.now()
+        if remaining > datetime.timedelta():
             raise _errors.RequestBlocked(
-                f"{len(block.starts)} replicas of {block.group} crashed when"
-                " they ran this request; it is kept from others",
-                retry_after=left.total_seconds(),
+                f"{len(block.starts)} replicas of {block.group} crashed while"
+                " running this request; it is blocked",
+                retry_after=remaining.total_seconds(),
             )
 
     def may_repeat(
         self, fingerprint: _ids.Fingerprint, target: _targets.Target
     ) -> bool:
-        """Say whether a request may go to another target after one failed.
+        """Return whether a request may be sent on after its target failed.
 
-        One that comes back after a crash is not repeated: it would end two
-        replicas at each of its attempts.
+        A request that already has a crash against it is not sent to a second
+        target, as it would crash two replicas at each of its attempts.
         """
-        if not self._refuses:
+        if not self._rejects:
             return True
         if self._history.analysis.is_blocked(fingerprint):
             return False
-        # A replica that ends at once is the second of the same attempt while
-        # the first one is still being asked.
+        # If replicas crash at once, the second one of an attempt fails while
+        # the first one is still being checked.
         self._detector.wait_for_other_checks(fingerprint, target)
         if not self._history.analysis.incarnations_of(fingerprint):
-            # One crash is no reason, so nobody waits for it to be found out.
+            # One crash does not prevent a repeat, so there is no need to wait
+            # for the check of this target.
             return True
         self._detector.wait_for_check(target)
         crashes = self._history.analysis.incarnations_of(fingerprint)
@@ -181,13 +183,13 @@
         before: Mapping[_ids.ReplicaId, _targets.Target],
         listed: Iterable[_targets.Target],
     ) -> None:
-        """Take the platform's list; see `CrashDetector`."""
+        """Handle a change of the platform's list; see `CrashDetector`."""
         self._detector.handle_list_change(before, listed)
 
     def set_shared_records(
         self, records: Iterable[_crash_records.CrashRecord]
     ) -> None:
-        """Take the notes that all daemons see."""
+        """Replace the records that are in the table."""
         self._history.set_shared_records(records)
         self._update()
 
@@ -197,12 +199,13 @@
         *,
         stand_in: bool = False,
     ) -> None:
-        """Take notes of a daemon that can't share them with all.
+        """Add records from a daemon that can't write rows now.
 
         Parameters
         ----------
         stand_in : bool
-            Whether this daemon shares them if the other one still can't.
+            Whether this daemon publishes the records if they are not in the
+            table after a delay.
         """
         added = self._history.add_peer_records(records)
         for record in added if stand_in else ():
@@ -231,7 +234,7 @@
         self._update()
 
     def run(self) -> None:
-        """Decide again after each news, for ever."""
+        """Decide again after each change, forever."""
         while True:
             self._changed.wait(self._seconds_to_due())
             self._changed.clear()
@@ -239,15 +242,15 @@
             self.decide()
 
     def _seconds_to_due(self) -> float | None:
-        """Give when something is to be done without any news."""
-        moments = [*self._due_by_key.values()]
-        moments += self._likely_causes.settle_times()
-        if not moments:
+        """Return the time until the next timed action, or None."""
+        times = [*self._due_by_key.values()]
+        times += self._likely_causes.settle_times()
+        if not times:
             return None
-        return max(0.0, min(moments) - self._clock.monotonic())
+        return max(0.0, min(times) - self._clock.monotonic())
 
     def decide(self) -> None:
-        """Clear requests that were answered, and block those that crash."""
+        """Clear answered requests, and block requests that crash replicas."""
         cleared = self._history.add_clearances()
         if cleared:
             self._publish(cleared)
--- a/src/topazlug/crashes/_crash_history.py
+++ b/src/topazlug/crashes/_crash_history.py
@@ -1,4 +1,4 @@
-"""All that this daemon knows of crashes, and how much of it is kept."""
+"""The crash records that a daemon has, its own and those of others."""
 
 import collections
 from collections.abc import Iterable
@@ -17,18 +17,19 @@
 from topazlug.targets import _target
 from topazlug.targets import _target_runs
 
-# Rows and memory are bounded by what the last crashes leave. A replica that
-# runs 64 requests leaves as many suspects.
+# Only the newest records are retained, which bounds rows and memory. A replica
+# that runs 64 requests adds as many suspects when it crashes.
 MAX_CRASHES = 512
 MAX_SUSPECTS = 2048
-# Blocked requests; and as many suspected ones that were answered.
+# Bounds the blocked requests, and separately the suspected requests that were
+# answered.
 MAX_BLOCKS = 256
 _MAX_SUSPECTS_PER_RECORD = 64
-# Requests answered here though some crash counts against them.
+# Requests answered by this daemon although a crash counts against them.
 _MAX_ANSWERED = 1024
-# A request that was answered so lately ends no replica, whatever news come of
-# crashes. 4,096 take 0.6 MB: what a daemon answers in two minutes at 34 a
-# second.
+# A request that was answered this recently is no cause, whichever crashes are
+# reported afterwards. 4,096 entries take 0.6 MB; a daemon that answers 34
+# requests a second fills them in two minutes.
 _RECENT_ANSWER_SECONDS = 60.0
 _MAX_RECENT_ANSWERS = 4096
 
@@ -43,28 +44,30 @@
 
 @final
 class CrashHistory:
-    """Notes of all daemons, as far as this one has them.
+    """Crash records of all daemons, as far as this daemon has them.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(self, *, daemon: _ids.DaemonId, clock: _clock.Clock) -> None:
         self._daemon = daemon
         self._clock = clock
-        # Rows that all daemons see; notes of this daemon that are no rows
-        # yet; what others told this one because they could not write it.
+        # Rows of the table; records of this daemon that are not in the table
+        # yet; records that other daemons sent because they could not write
+        # them.
         self._shared_by_key: RecordByKey = {}
         self._own_by_key: RecordByKey = {}
         self._received_by_key: RecordByKey = {}
         self._answered_at: collections.OrderedDict[_ids.Fingerprint, float] = (
             collections.OrderedDict()
         )
-        # Suspects that this daemon has answered, and not told of yet.
+        # Clearances of suspects that this daemon has answered and not yet
+        # published.
         self._answered: collections.OrderedDict[
             _ids.Fingerprint, _crash_records.Answered
         ] = collections.OrderedDict()
@@ -72,11 +75,11 @@
 
     @property
     def analysis(self) -> _cause_analysis.CauseAnalysis:
-        """Give what all notes together say, as far as this daemon knows."""
+        """Return the analysis of all records that this daemon has."""
         return self._current_analysis()
 
     def _current_analysis(self) -> _cause_analysis.CauseAnalysis:
-        """Count anew after news, and clear what was answered here lately."""
+        """Return the analysis, made anew if records have changed."""
         if self._analysis is None:
             self._analysis = self._analyze()
         return self._analysis
@@ -97,7 +100,7 @@
     def set_shared_records(
         self, records: Iterable[_crash_records.CrashRecord]
     ) -> None:
-        """Take the rows that all daemons see."""
+        """Replace the records that are in the table."""
         self._shared_by_key = {
             _crash_records.record_key(record): record for record in records
         }
@@ -111,12 +114,12 @@
     def add_peer_records(
         self, records: Iterable[_crash_records.CrashRecord]
     ) -> list[_crash_records.CrashRecord]:
-        """Take what a daemon tells that can't write rows just now.
+        """Add records from a daemon that can't write rows now.
 
         Returns
         -------
-        list of Note
-            What was not known.
+        list of CrashRecord
+            The records that are new to this daemon.
         """
         known = self._merged_records()
         added = []
@@ -130,7 +133,7 @@
         return added
 
     def get(self, key: str) -> _crash_records.CrashRecord | None:
-        """Give the note that would stand at a key."""
+        """Return the current record for a key, or None."""
         return self._merged_records().get(key)
 
     def add_crash(
@@ -141,12 +144,12 @@
         *,
         replicas: int,
     ) -> _crash_records.Crash:
-        """Note what this daemon had running on a replica that crashed.
+        """Record which requests this daemon ran on a replica that crashed.
 
         Parameters
         ----------
         replicas : int
-            How many replicas the group has.
+            Number of replicas in the group.
         """
         now = self._clock.monotonic()
         suspects = [
@@ -187,7 +190,7 @@
     def release(
         self, fingerprint: _ids.Fingerprint
     ) -> _crash_records.Block | None:
-        """Let a blocked request run again; None if it is not blocked."""
+        """Release a blocked request; return None if it is not blocked."""
         if not self.analysis.is_blocked(fingerprint):
             return None
         released = _crash_records.released_block(
@@ -197,10 +200,11 @@
         return released
 
     def add_answered(self, fingerprint: _ids.Fingerprint) -> None:
-        """Note that a request was answered whole.
+        """Record that a request got a complete answer.
 
-        Here that counts at once: of requests that a team sends all the time
-        some run at each crash, and would be held back with it.
+        It takes effect at this daemon at once. If a team sends a request all
+        the time, some are running at each crash, and would be held back as
+        likely causes.
         """
         self._answered_at[fingerprint] = self._clock.monotonic()
         self._answered_at.move_to_end(fingerprint)
@@ -212,7 +216,7 @@
     def _clear_answered(
         self, records: Iterable[_crash_records.CrashRecord]
     ) -> None:
-        """Clear of their crashes what was answered here lately."""
+        """Discount crashes of requests that were answered here recently."""
         oldest = self._clock.monotonic() - _RECENT_ANSWER_SECONDS
         for record in records:
             if not isinstance(record, _crash_records.Crash):
@@ -239,11 +243,12 @@
             )
 
     def add_clearances(self) -> list[_crash_records.Answered]:
-        """Give what to tell of answered requests that others may block.
+        """Add and return clearances of requests that others may block.
 
-        Those that one more crash would block, where nobody had seen an
-        answer. Most requests that were beside a crash never come again, and
-        each row costs a call.
+        These are the requests that one more crash would block at a daemon
+        that has seen no answer. Other clearances are not published, because
+        most requests that ran during a crash are never repeated, and each
+        row costs a call.
         """
         self._current_analysis()
         if not self._answered:
@@ -263,7 +268,7 @@
     def _merge_shared(
         self, record: _crash_records.Answered
     ) -> _crash_records.Answered:
-        """Add what others have cleared: one row holds it all."""
+        """Add the crashes that others have cleared, which share the row."""
         previous = self._merged_records().get(
             _crash_records.record_key(record)
         )
@@ -273,7 +278,7 @@
         return msgspec.structs.replace(record, starts=sorted(starts))
 
     def has_own_crash(self, fingerprint: _ids.Fingerprint) -> bool:
-        """Say whether this daemon itself saw a crash under a request."""
+        """Return whether this daemon recorded a crash under a request."""
         return any(
             record.daemon == self._daemon
             and any(one.fingerprint == fingerprint for one in record.suspects)
@@ -282,12 +287,12 @@
         )
 
     def is_in_table(self, record: _crash_records.CrashRecord) -> bool:
-        """Say whether all daemons see what a note says."""
+        """Return whether the table contains the information of a record."""
         shared = self._shared_by_key.get(_crash_records.record_key(record))
         return shared is not None and _covers(shared, record)
 
     def obsolete_keys(self) -> list[str]:
-        """Give the keys of rows that nobody counts any more."""
+        """Return the keys of rows that are expired or over the limits."""
         retained = _retained(self._shared_by_key, self._clock.now())
         return [key for key in self._shared_by_key if key not in retained]
 
@@ -309,7 +314,7 @@
 def _covers(
     shared: _crash_records.CrashRecord, record: _crash_records.CrashRecord
 ) -> bool:
-    """Say whether a row says all that a note with the same key does."""
+    """Return whether a row covers a record with the same key."""
     return True
 
 
@@ -317,8 +322,9 @@
 def _block_covers(
     shared: _crash_records.Block, record: _crash_records.Block
 ) -> bool:
-    # Of two blocks by two daemons one is enough; what an operator has
-    # released since, or what crashes replicas again, is news.
+    # Two daemons may block the same request; one row is enough. A record is
+    # not covered if an operator has released the request since, or if it has
+    # crashed replicas again.
     is_same = shared.released == record.released
     return is_same or shared.at >= record.at
 
@@ -334,7 +340,7 @@
     note_by_key: Mapping[str, _crash_records.CrashRecord],
     now: datetime.datetime,
 ) -> RecordByKey:
-    """Give the newest notes that still count, as far as there is room."""
+    """Return the newest records that are not expired, within the limits."""
     newest = sorted(
         note_by_key.items(), key=lambda item: item[1].at, reverse=True
     )
--- a/src/topazlug/crashes/_crash_records.py
+++ b/src/topazlug/crashes/_crash_records.py
@@ -1,8 +1,9 @@
-"""What daemons tell each other of replicas that crashed, as rows of a table.
+"""Records of replica crashes that daemons share as rows of a table.
 
-Each row is written by one daemon and never changed, but for what is said of
-one fingerprint as a whole: that its requests are blocked, or that one of them
-was answered. So no two daemons have to agree on a row.
+The row of a crash is written by one daemon and never changes. Only a row
+that concerns one fingerprint as a whole (its requests are blocked, or one of
+them was answered) may be written by several. So no two daemons have to agree
+on a row.
 """
 
 import datetime
@@ -17,40 +18,40 @@
 from topazlug.targets import _target
 
 TABLE = "crashes"
-# A block ends after a day, and so does what led to it. The request is then
-# tried once more on each day on which it still comes.
+# A block and the crashes that led to it expire after a day. A request that
+# is still being sent is then tried again.
 RETENTION = datetime.timedelta(days=1)
 _CRASH_PREFIX = "crash/"
 _ANSWERED_PREFIX = "answered/"
 _BLOCK_PREFIX = "block/"
 
 IncarnationName = NewType("IncarnationName", str)
-# Tells apart the attempts of callers.
+# Distinguishes the attempts of callers.
 AttemptTag = NewType("AttemptTag", str)
 
 
 def incarnation_name(incarnation: _target.Start) -> IncarnationName:
-    """Give a start of a replica its name in rows."""
+    """Return the name of a replica's incarnation in rows."""
     return IncarnationName(f"{incarnation.replica}@{incarnation.incarnation}")
 
 
 def attempt_tag(attempt: str) -> AttemptTag:
-    """Give a short name of a caller's attempt."""
+    """Return a short name of a caller's attempt."""
     return AttemptTag(xxhash.xxh3_64_hexdigest(attempt.encode())[:8])
 
 
 @final
 class Suspect(msgspec.Struct, frozen=True, array_like=True):
-    """A request that ran on a replica when that crashed.
+    """A request that ran on a replica when the replica crashed.
 
     Attributes
     ----------
     fingerprint : Fingerprint
         The request.
     attempt : AttemptTag
-        The attempt of its caller.
+        The caller's attempt.
     seconds : float
-        How long it had been there.
+        How long it had been running on the replica.
     """
 
     fingerprint: _ids.Fingerprint
@@ -60,22 +61,22 @@
 
 @final
 class Crash(msgspec.Struct, frozen=True, kw_only=True, tag="crash"):
-    """A replica has crashed; what one daemon had running there.
+    """A crash of a replica, with the requests that one daemon ran on it.
 
     Attributes
     ----------
     start : IncarnationName
-        Which start of which replica.
+        The incarnation of the replica that crashed.
     daemon : DaemonId
-        Whose requests these are.
+        The daemon that sent the requests.
     at : datetime
-        When it was written, by that daemon's clock.
+        When the record was written, by that daemon's clock.
     group : GroupName
         Pool or service of the replica.
     replicas : int
-        How many replicas the group had.
+        Number of replicas in the group.
     suspects : list of Suspect
-        The daemon's requests there.
+        The daemon's requests on the replica.
     """
 
     start: IncarnationName
@@ -88,16 +89,17 @@
 
 @final
 class Answered(msgspec.Struct, frozen=True, kw_only=True, tag="answered"):
-    """A suspected request was answered whole: it ends no replica.
+    """A suspected request got a complete answer, so it crashes no replica.
 
     Attributes
     ----------
     fingerprint : Fingerprint
         The request.
     starts : list of IncarnationName
-        Crashes before its answer, which are no evidence against it.
+        Incarnations that crashed before the answer. These crashes no longer
+        count against the request.
     at : datetime
-        When it was written.
+        When the record was written.
     """
 
     fingerprint: _ids.Fingerprint
@@ -114,14 +116,14 @@
     fingerprint : Fingerprint
         The request.
     starts : list of IncarnationName
-        Crashes that it is the cause of.
+        Incarnations that the request crashed.
     at : datetime
-        When it was written.
+        When the record was written.
     group : GroupName
         Pool or service of the replicas.
     released : bool
-        Whether an operator lets it run again. Its crashes stay explained, so
-        that it takes as many new ones to block it once more.
+        Whether an operator has unblocked the request. Its earlier crashes
+        remain explained, so blocking it again takes as many new ones.
     """
 
     fingerprint: _ids.Fingerprint
@@ -137,14 +139,14 @@
 
 @functools.singledispatch
 def record_key(record: CrashRecord) -> str:
-    """Give the key of a note's row.
+    """Return the key of a record's row.
 
     Raises
     ------
     TypeError
-        It is no note.
+        The argument is not a crash record.
     """
-    raise TypeError(f"{type(record).__name__} is no note of a crash")
+    raise TypeError(f"{type(record).__name__} is not a crash record")
 
 
 @record_key.register
@@ -163,32 +165,33 @@
 
 
 def released_block(block: Block, *, now: datetime.datetime) -> Block:
-    """Give a block that lets its request run again, later than the block.
+    """Return a copy of a block that is released.
 
-    The clock of whoever releases it may be behind.
+    Its time is later than that of the block even if the clock of the daemon
+    that releases it is behind.
     """
     later = block.at + datetime.timedelta(milliseconds=1)
     return msgspec.structs.replace(block, at=max(now, later), released=True)
 
 
 def encode(record: CrashRecord) -> bytes:
-    """Give the data of a note's row."""
+    """Return the data of a record's row."""
     return msgspec.json.encode(record)
 
 
 def decode(key: str, data: bytes) -> CrashRecord:
-    """Read a row; one whose key is not its note's is refused.
+    """Return the record in a row.
 
     Raises
     ------
     ValueError
-        The row is no note.
+        The data is not a crash record, or the key is not that of the record.
     """
     record = _DECODER.decode(data)
     if record_key(record) != key:
         raise ValueError(
-            f"the note of {record_key(record)!r} stands at {key!r}"
+            f"row {key!r} holds the record of {record_key(record)!r}"
         )
     if record.at.tzinfo is None:
-        raise ValueError(f"{record.at} has no time zone")
+        raise ValueError(f"timestamp {record.at} has no time zone")
     return record
--- a/src/topazlug/crashes/_fingerprint.py
+++ b/src/topazlug/crashes/_fingerprint.py
@@ -1,30 +1,30 @@
-"""Tells that two requests are the same one, sent again."""
+"""Fingerprints, by which a repeated request is recognized."""
 
 import hashlib
 
 from topazlug import _ids
 
-# 96 bits, 24 characters: no two requests of a fleet come to the same by
-# chance, and nobody can make one that comes to another's.
+# 96 bits, 24 characters: accidental collisions within a fleet are negligible,
+# and nobody can construct a request with the fingerprint of another.
 _DIGEST_BYTES = 12
 
 
 def fingerprint(
     *, method: str, host: str, path: str, team: _ids.TeamName, body: bytes
 ) -> _ids.Fingerprint:
-    """Give what a request has in common with its repeats.
+    """Return the fingerprint that a request shares with its repeats.
 
-    A repeat comes under an id of its own and at any daemon; who sends it,
-    where to and what it says stay the same.
+    A repeat has its own request id and may arrive at any daemon. Its team,
+    method, host, path and body are the same.
 
     Parameters
     ----------
     method, host, path : str
-        As the caller sent them, the path with its query.
+        As sent by the caller; the path includes the query.
     team : TeamName
-        Who calls, empty where no key is asked for.
+        Team of the caller; empty where no API key is required.
     body : bytes
-        Whole body.
+        Complete body.
     """
     head = "\n".join((method, host.lower(), path, team))
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
--- a/src/topazlug/crashes/_likely_causes.py
+++ b/src/topazlug/crashes/_likely_causes.py
@@ -1,4 +1,4 @@
-"""How long a request that may crash replicas is held back, and watched."""
+"""Temporary holds on requests that are likely to crash replicas."""
 
 from collections.abc import Mapping
 import math
@@ -7,28 +7,29 @@
 from topazlug import _clock
 from topazlug import _ids
 
-# Between the third crash that counts against a request and the decision: what
-# ran there is told by several daemons, and a part of it shows the wrong one.
-# Meanwhile daemons that have answered the request say so. In a soak a read
-# that ran all the time was blocked 0.04 s after the note of a third crash; the
-# note that showed another request came 0.15 s later.
+# Time between the third crash that counts against a request and the decision.
+# Several daemons report what ran on the replica, and a part of their records
+# may point to the wrong request. Daemons that have answered the request also
+# report that in this time. In a soak test a read that was sent continuously
+# was blocked 0.04 s after the record of the third crash; the record that
+# pointed to another request arrived 0.15 s later.
 _SETTLE_SECONDS = 1.0
-# So long it is held back, as each further run of it may end one more replica:
-# callers that repeat at once bring ten in this time.
+# A likely cause is held back this long, as each further run may crash another
+# replica: callers that retry at once send ten in this time.
 HOLD_SECONDS = 1.5
 
 
 @final
 class LikelyCauses:
-    """Requests that are held back until it is decided who is the cause.
+    """Requests that are held back until the cause of the crashes is decided.
 
-    One that turns out not to be is held again only when one more crash
-    counts against it.
+    A request that turns out not to be the cause is held again only when one
+    more crash counts against it.
 
     Parameters
     ----------
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(self, *, clock: _clock.Clock) -> None:
@@ -41,7 +42,7 @@
     def update(
         self, count_by_fingerprint: Mapping[_ids.Fingerprint, int]
     ) -> None:
-        """Take how many crashes count against each likely cause."""
+        """Set how many crashes count against each likely cause."""
         now = self._clock.monotonic()
         likely_since, held_until = self._likely_since, self._held_until
         before = self._count_by_fingerprint
@@ -60,17 +61,17 @@
         self._count_by_fingerprint = dict(count_by_fingerprint)
 
     def is_held(self, fingerprint: _ids.Fingerprint) -> bool:
-        """Say whether a request is held back just now."""
+        """Return whether a request is held back now."""
         until = self._held_until.get(fingerprint, -math.inf)
         return self._clock.monotonic() < until
 
     def is_settled(self, fingerprint: _ids.Fingerprint) -> bool:
-        """Say whether a request has been a likely cause for long enough."""
+        """Return whether a likely cause may be decided on by now."""
         likely_since = self._likely_since.get(fingerprint, math.inf)
         return self._clock.monotonic() >= likely_since + _SETTLE_SECONDS
 
     def settle_times(self) -> list[float]:
-        """Give the moments at which requests will be settled."""
+        """Return the monotonic times at which requests will be settled."""
         now = self._clock.monotonic()
-        moments = [at + _SETTLE_SECONDS for at in self._likely_since.values()]
-        return [at for at in moments if at > now]
+        times = [at + _SETTLE_SECONDS for at in self._likely_since.values()]
+        return [at for at in times if at > now]
--- a/src/topazlug/crashes/_record_distributor.py
+++ b/src/topazlug/crashes/_record_distributor.py
@@ -1,9 +1,10 @@
-"""Notes from daemon to daemon, where they can't be written for all.
+"""Crash records sent from daemon to daemon, without the store.
 
-A note of a crash goes to the two daemons that come first for each of its
-suspects. They hear of all crashes under one request, whichever daemons saw
-them, and a crash takes some dozen messages instead of one to each daemon.
-What they decide is rare, and all daemons are told.
+The record of a crash goes to the two collectors of each of its suspects: the
+daemons that rank first for it. So a collector receives all crashes that hit
+one request, whichever daemons reported them, and a crash takes some dozen
+messages instead of one to each daemon. Decisions of the collectors are rare
+and go to all daemons.
 """
 
 import base64
@@ -26,32 +27,33 @@
 from topazlug.routing import _ranking
 
 _log = _logs.logger("crashes")
-# One may be gone.
+# Two, as one may have failed.
 _COLLECTORS = 2
-# Each takes a stream. In larger fleets two of each group are told, as one may
-# be gone, and pass it on to all of it: of 880 daemons each sends 200 messages
-# at most and gets each decision twice.
+# Each recipient takes a stream. Larger fleets are split into groups. Two
+# daemons of each group receive the message, as one may have failed, and pass
+# it on to the rest of the group. In a fleet of 880 daemons each daemon sends
+# at most 200 messages and receives each decision twice.
 _MAX_RECIPIENTS = 200
 _RECIPIENTS_PER_GROUP = 2
-# The store may turn away those that decide, and serve others. Where it turns
-# away a third of the daemons, all of four with a chance of one in eighty.
+# The store may reject the daemons that decide and serve others. If it rejects
+# a third of the daemons, it rejects all four with a probability of 1/80.
 _STAND_INS = 4
-# What one message may hold: a crash of a replica with 64 requests takes 4 KB.
+# Records in one message. The record of a crash with 64 requests takes 4 KB.
 _MAX_RECORDS = 64
 
 
 class ReceiveRecords(Protocol):
-    """Gets notes that were told."""
+    """Callback for records received from a peer."""
 
     def __call__(
         self, records: list[_crash_records.CrashRecord], *, stand_in: bool
     ) -> None:
-        """Take notes; `stand_in` as in the message."""
+        """Process records; `stand_in` is as in the message."""
 
 
 @final
 class RecordDistributor:
-    """Tells other daemons notes, and takes theirs.
+    """Sends crash records to other daemons and receives theirs.
 
     Parameters
     ----------
@@ -60,9 +62,9 @@
     links : PeerLinks
         Streams to peers.
     daemons : callable
-        Gives the daemons of the fleet by their ids.
-    on_records : Take
-        Gets notes that were told.
+        Returns the daemons of the fleet by their ids.
+    on_records : ReceiveRecords
+        Called with records that a peer has sent.
     """
 
     def __init__(
@@ -80,7 +82,7 @@
         links.handle(messages.CrashNotes, self._on_message)
 
     def send(self, records: Iterable[_crash_records.CrashRecord]) -> None:
-        """Tell notes to who should hear of them."""
+        """Send crashes to their collectors and decisions to all daemons."""
         decisions = []
         records_by_daemon: dict[
             _ids.DaemonId, list[_crash_records.CrashRecord]
@@ -128,7 +130,7 @@
         pass_on: Sequence[_ids.DaemonId] = (),
         stand_in: bool = False,
     ) -> None:
-        """Send rows to one daemon, if it can be reached."""
+        """Send rows to one daemon; log it if the daemon is unreachable."""
         message = messages.CrashNotes(
             rows=rows, pass_on=[*pass_on], stand_in=stand_in
         )
@@ -136,7 +138,7 @@
             self._links.send(daemon, message)
         except _errors.PeerUnreachable as error:
             _log.info(
-                "{daemon} was not told of crashes: {why}",
+                "sending crash records to {daemon} failed: {why}",
                 daemon=daemon,
                 why=error.message,
             )
@@ -152,7 +154,7 @@
                 records.append(_crash_records.decode(row.key, data))
             except ValueError as error:
                 _log.warning(
-                    "a note of {sender} can't be read: {why}",
+                    "skipping invalid crash record from {sender}: {why}",
                     sender=sender,
                     why=str(error),
                 )
@@ -164,7 +166,7 @@
 def _relay_plan(
     daemons: Sequence[_ids.DaemonId],
 ) -> Iterator[tuple[_ids.DaemonId, list[_ids.DaemonId]]]:
-    """Give whom to tell, and to whom each of these passes it on."""
+    """Yield each direct recipient with those that it passes rows on to."""
     is_small = len(daemons) <= _MAX_RECIPIENTS
     groups = (
         len(daemons) if is_small else _MAX_RECIPIENTS // _RECIPIENTS_PER_GROUP
--- a/src/topazlug/crashes/_record_sync.py
+++ b/src/topazlug/crashes/_record_sync.py
@@ -1,7 +1,7 @@
-"""Notes in the table service, where daemons read it only now and then.
+"""Crash records in the table service, which daemons read once a minute.
 
-Whoever notes something tells it at once, and writes it down for daemons that
-start later or were not reached.
+A daemon sends its records to other daemons at once. It also writes them to
+the table, for daemons that start later or could not be reached.
 """
 
 from collections.abc import Callable
@@ -20,28 +20,28 @@
 from topazlug.store import _table_client
 
 _log = _logs.logger("crashes")
-# 880 daemons together read the table fifteen times a second, of some two
-# thousand reads that the service does.
+# 880 daemons together read the table fifteen times a second, out of some two
+# thousand reads a second that the service handles.
 _READ_INTERVAL_SECONDS = 60.0
-# A daemon that starts must know before callers reach it.
+# A daemon that starts needs the records before callers reach it.
 _RETRY_SECONDS = 1.0
 _PAGE_ROWS = 500
 
 
 @final
 class RecordSync:
-    """Tells notes, writes them, and reads what others wrote.
+    """Distributes and writes crash records, and reads those of others.
 
     Parameters
     ----------
     store : TableStore
         The table service.
     distributor : RecordDistributor
-        Tells other daemons.
+        Sends records to other daemons.
     on_records : callable
-        Gets all notes of the table.
+        Called with all records of the table after each read.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -66,16 +66,16 @@
         *,
         remove: Sequence[str] = (),
     ) -> None:
-        """Tell notes and write them; see `Sharing`."""
+        """Send and write records; see `RecordPublisher`."""
         self._distributor.send(records)
         self._writer.publish(records, remove=remove)
 
     def tasks(self) -> list[Callable[[], None]]:
-        """Give what runs for as long as the daemon does."""
+        """Return the tasks to run for the lifetime of the daemon."""
         return [self._writer.run, self._read_forever]
 
     def _write(
-        self, records: list[_crash_records.CrashRecord], dropped: list[str]
+        self, records: list[_crash_records.CrashRecord], removed: list[str]
     ) -> None:
         self._store.transact(
             conditions=[],
@@ -89,7 +89,7 @@
             ],
             deletes=[
                 _table_client.Delete(table=_crash_records.TABLE, key=key)
-                for key in dropped
+                for key in removed
             ],
         )
 
@@ -99,17 +99,20 @@
             try:
                 self._on_records(self.read())
             except _errors.StoreUnavailable as error:
-                _log.info("notes are not read: {why}", why=error.message)
+                _log.info(
+                    "reading the crash records failed: {why}",
+                    why=error.message,
+                )
                 pause = _RETRY_SECONDS
             self._clock.sleep(pause)
 
     def read(self) -> list[_crash_records.CrashRecord]:
-        """Read all notes of the table.
+        """Return all records of the table.
 
         Raises
         ------
         StoreUnavailable
-            They can't be read now.
+            The table can't be read now.
         """
         records: list[_crash_records.CrashRecord] = []
         after = ""
@@ -130,9 +133,13 @@
     try:
         return _crash_records.decode(row.key, msgspec.json.encode(row.value))
     except ValueError as error:
-        _log.error("row {key} is left out: {why}", key=row.key, why=str(error))
+        _log.error(
+            "skipping invalid crash record {key}: {why}",
+            key=row.key,
+            why=str(error),
+        )
         return None
 
 
 def _discard_pending(records: Sequence[_crash_records.CrashRecord]) -> None:
-    """Have nobody told of what waits: all were told at once."""
+    """Do nothing: `publish` has sent pending records already."""
--- a/src/topazlug/crashes/_record_writer.py
+++ b/src/topazlug/crashes/_record_writer.py
@@ -1,4 +1,4 @@
-"""Writes notes as rows of the platform's store, however long it is away."""
+"""Writes crash records to the store, retrying through outages."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -13,16 +13,18 @@
 from topazlug.crashes import _crash_records
 
 _log = _logs.logger("crashes")
-# The store refuses calls that are too many and may be away for long. Others
-# must know within seconds of its return, and daemons come back to it spread.
+# The store rejects calls above its rate limit, and outages may be long. Other
+# daemons need the records within seconds of its recovery. The backoff is
+# random so that daemons do not all retry at once.
 _INITIAL_BACKOFF_SECONDS = 0.1
 _MAX_BACKOFF_SECONDS = 0.5
-# Rows that wait for the store; the newest count.
+# Rows that wait to be written; the oldest are discarded.
 _MAX_PENDING = 256
-# Of 100 that one call may hold.
+# The store allows 100 rows in a call.
 _MAX_ROWS_PER_CALL = 90
-# Where rows are too many, each daemon that writes finds the same ones. Of
-# those of a large fleet that note one crash, a few drop them.
+# If there are too many rows, each daemon that writes finds the same obsolete
+# ones. In a large fleet many daemons record one crash, so it is enough if a
+# few of them remove these rows.
 _REMOVE_PROBABILITY = 0.2
 
 WriteRows = Callable[[list[_crash_records.CrashRecord], list[str]], None]
@@ -30,18 +32,18 @@
 
 @final
 class RecordWriter:
-    """Writes notes until the store has taken them.
+    """Writes crash records, retrying until the store accepts them.
 
     Parameters
     ----------
     write : callable
-        Writes notes and drops rows by their keys, in one call; raises
-        StoreUnavailable or StoreAmbiguous. What was perhaps written is
-        written again.
+        Writes records and removes rows by their keys, in one call; raises
+        StoreUnavailable or StoreAmbiguous. Records are written again if it
+        is uncertain whether the call succeeded.
     notify : callable
-        Gets notes that the store did not take at once.
+        Called with records that the store did not accept at once.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -65,7 +67,7 @@
         *,
         remove: Sequence[str] = (),
     ) -> None:
-        """Write notes, and drop rows; see `Sharing`."""
+        """Write records and remove rows; see `RecordPublisher`."""
         if random.random() < _REMOVE_PROBABILITY:
             self._removable = list(remove)
         for record in records:
@@ -74,11 +76,13 @@
         while len(self._pending) > _MAX_PENDING:
             key = next(iter(self._pending))
             del self._pending[key]
-            _log.warning("{key} is not written: too many wait", key=key)
+            _log.warning(
+                "discarding crash record {key}: too many are pending", key=key
+            )
         self._changed.set()
 
     def run(self) -> None:
-        """Write what waits, for ever."""
+        """Write pending records, forever."""
         pause = _INITIAL_BACKOFF_SECONDS
         while True:
             if not self._pending:
@@ -92,7 +96,7 @@
             pause = min(_MAX_BACKOFF_SECONDS, 2 * pause)
 
     def _write(self) -> bool:
-        """Write some rows; say whether the store has taken them."""
+        """Write a batch of rows; return whether the store accepted it."""
         batch = dict(list(self._pending.items())[:_MAX_ROWS_PER_CALL])
         try:
             self._write_rows(list(batch.values()), [])
@@ -100,14 +104,14 @@
             self._notify_of_pending(error)
             return False
         for key, record in batch.items():
-            # It may wait again, with something newer, since the call began.
+            # A newer record may have replaced it during the call.
             if self._pending.get(key) is record:
                 del self._pending[key]
             self._notified.discard(key)
         return True
 
     def _notify_of_pending(self, error: _errors.TopazlugError) -> None:
-        """Tell other daemons, once, what the store did not take."""
+        """Notify other daemons once of records that are not written yet."""
         unsent = [
             record
             for key, record in self._pending.items()
@@ -116,7 +120,7 @@
         if not unsent:
             return
         _log.warning(
-            "{n} notes of crashes are not written yet: {why}",
+            "writing {n} crash records failed, retrying: {why}",
             n=len(unsent),
             why=error.message,
         )
@@ -124,15 +128,19 @@
         self._notify(unsent)
 
     def _remove_rows(self) -> None:
-        """Drop rows that nobody counts; the next who writes tries again.
+        """Remove obsolete rows; if it fails, a later write tries again.
 
-        Apart from what is written: another daemon may have dropped them, and
-        a refusal of that must not keep notes from being written.
+        This is a call of its own. Another daemon may have removed the rows
+        already, and the store's rejection must not prevent the writing of
+        records.
         """
-        dropped, self._removable = self._removable[:_MAX_ROWS_PER_CALL], []
-        if not dropped:
+        removed, self._removable = self._removable[:_MAX_ROWS_PER_CALL], []
+        if not removed:
             return
         try:
-            self._write_rows([], dropped)
+            self._write_rows([], removed)
         except (_errors.StoreUnavailable, _errors.StoreAmbiguous) as error:
-            _log.info("old notes are not dropped: {why}", why=error.message)
+            _log.info(
+                "removing obsolete crash records failed: {why}",
+                why=error.message,
+            )
--- a/tests/topazlug/crashes/test_record_writer.py
+++ b/tests/topazlug/crashes/test_record_writer.py
@@ -28,7 +28,7 @@
         )
         self._writer = gevent.spawn(self.records.run)
 
-    def _write(self, records, dropped):
+    def _write(self, records, removed):
         rows = [
             _table_source.Row(
                 _crash_records.record_key(record),
@@ -36,7 +36,7 @@
             )
             for record in records
         ]
-        rows += [_table_source.Row(key, deleted=True) for key in dropped]
+        rows += [_table_source.Row(key, deleted=True) for key in removed]
         self.store.write(_crash_records.TABLE, rows)
 
     def keys(self):
@@ -133,8 +133,8 @@
         """The store did the write and its answer never came."""
         lost = []
 
-        def write(records, dropped):
-            plain_write(records, dropped)
+        def write(records, removed):
+            plain_write(records, removed)
             if not lost:
                 lost.append(True)
                 raise _errors.StoreAmbiguous("no answer")
