--- a/src/topazlug/crashes/_crash_records.py
+++ b/src/topazlug/crashes/_crash_records.py
@@ -190,7 +190,7 @@
     record = _DECODER.decode(data)
     if record_key(record) != key:
         raise ValueError(
-            f"row {key!r} holds the record of {record_key(record)!r}"
+            f"the record of {record_key(record)!r} is stored at {key!r}"
         )
     if record.at.tzinfo is None:
         raise ValueError(f"timestamp {record.at} has no time zone")
--- a/tests/topazlug/crashes/crash_fixtures.py
+++ b/tests/topazlug/crashes/crash_fixtures.py
@@ -1,4 +1,4 @@
-"""Notes of crashes for tests."""
+"""Crash records for tests."""
 
 import datetime
 
@@ -9,18 +9,18 @@
 NOW = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 
 
-def name_of(number):
-    """Give a fingerprint."""
+def fingerprint_of(number):
+    """Return a fingerprint."""
     return _ids.Fingerprint(f"{number:024x}")
 
 
 def later(seconds):
-    """Give a moment after `NOW`."""
+    """Return a time after `NOW`."""
     return NOW + datetime.timedelta(seconds=seconds)
 
 
 def crash(start, *suspects, daemon="d1", at=NOW, seconds=0.1, replicas=5):
-    """Give a note of a crash; a suspect is (fingerprint, attempt)."""
+    """Return the record of a crash; a suspect is (fingerprint, attempt)."""
     return _crash_records.Crash(
         start=_crash_records.IncarnationName(start),
         daemon=_ids.DaemonId(daemon),
@@ -39,7 +39,7 @@
 
 
 def answered(fingerprint, *starts, at=NOW):
-    """Give a note that clears a request of crashes."""
+    """Return a record that clears a request of crashes."""
     return _crash_records.Answered(
         fingerprint=_ids.Fingerprint(fingerprint),
         starts=[_crash_records.IncarnationName(start) for start in starts],
@@ -48,7 +48,7 @@
 
 
 def block(fingerprint, *starts, at=NOW, released=False):
-    """Give a note that blocks a request."""
+    """Return a record that blocks a request."""
     return _crash_records.Block(
         fingerprint=_ids.Fingerprint(fingerprint),
         starts=[_crash_records.IncarnationName(start) for start in starts],
--- a/tests/topazlug/crashes/test_cause_analysis.py
+++ b/tests/topazlug/crashes/test_cause_analysis.py
@@ -1,4 +1,4 @@
-"""Who is the cause of crashes, and who merely ran beside."""
+"""Which requests cause crashes, and which merely ran beside the cause."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 def crashes_of(name, *numbers, at=fixtures.NOW):
-    """Give crashes under one request, each at an attempt of its own."""
+    """Return crashes under one request, each at an attempt of its own."""
     return [crash(f"i-{n}@1", (name, f"{name}{n}"), at=at) for n in numbers]
 
 
@@ -25,18 +25,18 @@
         assert causes(*crashes_of("f", 1, 2)) == set()
         assert causes(*crashes_of("f", 1, 2, 3)) == {"f"}
 
-    def test_crashes_are_seen_by_different_daemons(self):
+    def test_crashes_reported_by_different_daemons(self):
         records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), daemon=f"d{n}") for n in range(3)
         ]
         assert causes(*records) == {"f"}
 
-    def test_one_attempt_that_meets_many_crashes(self):
-        """A request that may be repeated failed at three replicas.
+    def test_one_attempt_hit_by_many_crashes(self):
+        """An innocent request that may be repeated failed at three replicas.
 
-        They were of a rack that lost its power machine by machine, and the
-        request went from one to the next. It was sent once by its caller;
-        what ends replicas comes again.
+        A rack lost power machine by machine, and the request was sent from
+        one replica to the next. Its caller sent it once, whereas a request
+        that crashes replicas is repeated by its caller.
         """
         records = [crash(f"i-{n}@1", ("f", "a1")) for n in range(5)]
         assert causes(*records) == set()
@@ -45,15 +45,15 @@
         suspects = [("f", f"a{n}") for n in range(9)]
         assert causes(crash("i-1@1", *suspects)) == set()
 
-    def test_starts_of_one_replica_count_each(self):
-        """Replicas come back under the id that they had."""
+    def test_incarnations_of_one_replica_count_separately(self):
+        """Replicas that restart keep their id."""
         records = [crash(f"i-1@{n}", ("f", f"a{n}")) for n in range(3)]
         assert causes(*records) == {"f"}
 
 
 class TestBeside:
-    def test_those_beside_are_not_blamed(self):
-        """Each crash ends a dozen other requests, some of them twice."""
+    def test_other_requests_are_not_causes(self):
+        """Each crash hits a dozen other requests, some of them repeatedly."""
         records = [
             crash(
                 f"i-{n}@1",
@@ -65,19 +65,19 @@
         ]
         assert causes(*records) == {"f"}
 
-    def test_who_was_there_each_time_is_not_told_apart_yet(self):
+    def test_requests_at_the_same_crashes_are_undecided(self):
         records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), ("g", f"b{n}")) for n in range(3)
         ]
         assert causes(*records) == set()
         assert causes(*records, *crashes_of("f", 7)) == {"f"}
 
-    def test_two_that_always_come_together(self):
-        """One of two requests ended replicas, and nobody could say which.
+    def test_two_requests_that_always_run_together(self):
+        """One of two requests crashes replicas, and they always run together.
 
-        Their caller sent both at once each time, and they went to the same
-        replica. Waiting for what tells them apart would end replicas without
-        end; so both are refused after three crashes more.
+        The caller sends both at once each time, and they go to the same
+        replica. Waiting until they can be distinguished would crash replicas
+        without limit, so both are blocked after three more crashes.
         """
         records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), ("g", f"b{n}")) for n in range(6)
@@ -86,7 +86,7 @@
         assert causes(*records) == {"f", "g"}
 
     def test_blocked_request_explains_its_crashes(self):
-        """What ran beside a blocked request is not blamed afterwards."""
+        """Requests beside a blocked request are not suspected afterwards."""
         records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), ("g", f"b{n}")) for n in range(4)
         ]
@@ -106,11 +106,11 @@
         assert causes(*records, blocked) == {"g"}
 
     @pytest.mark.parametrize("seed", range(40))
-    def test_random_company(self, seed):
-        """Nine requests are beside at a third of the crashes each.
+    def test_random_other_requests(self, seed):
+        """Each of nine other requests runs during a third of the crashes.
 
-        The cause is always found. Of those beside, only one that was there
-        at each of six crashes may be taken for it as well.
+        The cause is always found. Another request is regarded as a cause
+        only if it was running during each of six crashes.
         """
         source = random.Random(seed)
         records = []
@@ -135,21 +135,21 @@
 
 
 class TestChance:
-    """Replicas crash for reasons of their own, and callers come back.
+    """Replicas also crash for other reasons, and callers repeat requests.
 
-    In a replay of five replicas of which one crashes each second, 21 of
-    3,600 requests a minute met three crashes at three attempts.
+    In a replay of five replicas, of which one crashes each second, 21 of
+    3,600 requests a minute were hit by three crashes at three attempts.
     """
 
     def others(self, count, *, every):
-        """Give crashes of other replicas, under requests of their own."""
+        """Return crashes of other replicas, under other requests."""
         return [
             crash(f"o-{n}@1", (f"o{n}", "a"), at=fixtures.later(n * every - 4))
             for n in range(count)
         ]
 
     def under(self, name, *, seconds, count=3):
-        """Give crashes under a request, one a second."""
+        """Return crashes under a request, one a second."""
         return [
             crash(
                 f"i-{n}@1",
@@ -160,38 +160,38 @@
             for n in range(count)
         ]
 
-    def test_many_crashes_without_it_speak_for_chance(self):
+    def test_many_crashes_without_it_indicate_chance(self):
         others = self.others(6, every=1.0)
         assert causes(*others, *self.under("f", seconds=1.0)) == set()
 
-    def test_none_without_it(self):
+    def test_no_crashes_without_it(self):
         assert causes(*self.under("f", seconds=5.0)) == {"f"}
 
-    def test_short_runs_meet_few_crashes_by_chance(self):
+    def test_short_runs_are_rarely_hit_by_chance(self):
         others = self.others(1, every=1.0)
         assert causes(*others, *self.under("f", seconds=0.1)) == {"f"}
 
-    def test_cause_is_found_with_some_crashes_more(self):
+    def test_cause_is_found_after_more_crashes(self):
         others = self.others(6, every=1.0)
         assert causes(*others, *self.under("f", seconds=0.2)) == set()
         more = self.under("f", seconds=0.2, count=6)
         assert causes(*others, *more) == {"f"}
 
-    def test_crashes_long_before_say_nothing(self):
+    def test_crashes_long_before_are_ignored(self):
         others = [
             crash(f"o-{n}@1", ("o", "a"), at=fixtures.later(-60 - n))
             for n in range(9)
         ]
         assert causes(*others, *self.under("f", seconds=1.0)) == {"f"}
 
-    def test_crashes_of_another_group_say_nothing(self):
+    def test_crashes_of_another_group_are_ignored(self):
         others = [
             msgspec.structs.replace(record, group="plain")
             for record in self.others(6, every=1.0)
         ]
         assert causes(*others, *self.under("f", seconds=1.0)) == {"f"}
 
-    def test_among_many_replicas_chance_does_less(self):
+    def test_chance_is_less_likely_among_many_replicas(self):
         records = [
             msgspec.structs.replace(record, replicas=400)
             for record in (
@@ -203,7 +203,7 @@
 
 
 class TestAnswered:
-    def test_answered_request_is_cleared_of_what_was_before(self):
+    def test_answered_request_is_cleared_of_earlier_crashes(self):
         records = crashes_of("f", 1, 2, 3)
         cleared = fixtures.answered("f", "i-1@1", "i-2@1")
         assert causes(*records, cleared) == set()
@@ -211,7 +211,7 @@
         assert causes(*records, cleared, *later[:1]) == set()
         assert causes(*records, cleared, *later) == {"f"}
 
-    def test_crashes_stay_for_others(self):
+    def test_cleared_crashes_count_for_others(self):
         records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), ("g", f"b{n}")) for n in range(3)
         ]
--- a/tests/topazlug/crashes/test_crash_detector.py
+++ b/tests/topazlug/crashes/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""What counts as a crash of a replica, and what was running there."""
+"""Which events count as a crash, and which requests ran there."""
 
 import gevent
 from gevent import server
@@ -17,7 +17,7 @@
 
 
 class Rig:
-    """A watch over targets that take connections or refuse them."""
+    """A detector, and targets that accept or refuse connections."""
 
     def __init__(self):
         clock = _clock.SystemClock()
@@ -27,7 +27,7 @@
         self.closing = set()
         self.leaving = set()
         self._servers = {}
-        self.watch = _crash_detector.CrashDetector(
+        self.detector = _crash_detector.CrashDetector(
             runs=self.book,
             listed=lambda: self.listed,
             is_leaving=lambda target: (
@@ -38,7 +38,7 @@
         )
 
     def start(self, name, *, port=0):
-        """List a target that takes connections."""
+        """List a target that accepts connections."""
         one = server.StreamServer(("127.0.0.1", port), self._serve)
         one.start()
         self._servers[name] = one
@@ -51,11 +51,11 @@
             sock.recv(1)
 
     def end(self, target):
-        """Have a target refuse connections."""
+        """Make a target refuse connections."""
         self._servers.pop(target.replica).stop(timeout=0)
 
     def end_behind_relay(self, target):
-        """Have connections to a target be taken, and closed at once."""
+        """Make connections to a target be accepted and closed at once."""
         self.closing.add(target.port)
 
     def run(self, target, name="f"):
@@ -66,17 +66,17 @@
         )
 
     def unlist(self, *targets):
-        """Have the list say that targets are gone."""
+        """Remove targets from the list."""
         before = dict(self.listed)
         for target in targets:
             del self.listed[target.replica]
-        self.watch.handle_list_change(before, list(self.listed.values()))
+        self.detector.handle_list_change(before, list(self.listed.values()))
 
     def wait_for_check(self, target):
-        """Wait until the watch has looked at a target."""
+        """Wait until the check of a target is done."""
         start = _target.start_of(target)
         routing_fixtures.wait_until(
-            lambda: start not in self.watch._check_by_incarnation
+            lambda: start not in self.detector._check_by_incarnation
         )
 
     def crashed(self):
@@ -95,7 +95,7 @@
 
 
 def settle():
-    """Let checks that were begun come to their end."""
+    """Let running checks finish."""
     gevent.sleep(0.05)
 
 
@@ -111,16 +111,16 @@
             rig.crashes[0][1],
         ) == {one, other}
 
-    def test_target_that_takes_connections_has_not(self, rig):
+    def test_target_that_accepts_connections_has_not_crashed(self, rig):
         target = rig.start("i-1")
         rig.book.finish(rig.run(target), ENDS.LOST)
         rig.wait_for_check(target)
         assert rig.crashed() == []
 
     def test_target_behind_a_relay_that_closes_connections(self, rig):
-        """Seventeen replicas ended under one request, and none was noticed.
+        """Seventeen replicas crashed under one request, all undetected.
 
-        A relay before each of them still took connections, and closed them:
+        A relay in front of each still accepted connections and closed them:
         "the target failed: [Errno 104] Connection reset by peer", 707 times.
         """
         target = rig.start("i-1")
@@ -130,7 +130,7 @@
         rig.wait_for_check(target)
         assert rig.crashed() == ["i-1"]
 
-    def test_crash_is_told_once(self, rig):
+    def test_crash_is_reported_once(self, rig):
         target = rig.start("i-1")
         runs = [rig.run(target, f"f{n}") for n in range(3)]
         rig.end(target)
@@ -141,10 +141,10 @@
         settle()
         assert rig.crashed() == ["i-1"]
 
-    def test_crash_soon_after_a_broken_answer_is_seen(self, rig):
-        """A replica broke off an answer, and crashed half a second later.
+    def test_crash_soon_after_a_truncated_answer_is_detected(self, rig):
+        """A replica truncated an answer and crashed half a second later.
 
-        It had just been found to live, and was not asked again so soon.
+        It had just passed a check and is not checked again so soon.
         """
         target = rig.start("i-1")
         rig.book.finish(rig.run(target, "broken"), ENDS.LOST)
@@ -155,7 +155,7 @@
         routing_fixtures.wait_until(lambda: rig.crashes)
         assert run in rig.crashes[0][1]
 
-    def test_what_was_given_up_just_before_is_told_too(self, rig):
+    def test_request_abandoned_just_before_is_reported_too(self, rig):
         target = rig.start("i-1")
         left = rig.run(target, "left")
         rig.book.finish(left, ENDS.LEFT)
@@ -164,8 +164,8 @@
         rig.wait_for_check(target)
         assert left in rig.crashes[0][1]
 
-    def test_target_that_said_that_it_leaves_ends_as_planned(self, rig):
-        """Requests are blamed for the planned end of a replica."""
+    def test_target_that_announced_leaving_has_not_crashed(self, rig):
+        """Requests would be suspected for the planned end of a replica."""
         target = rig.start("i-1")
         rig.leaving.add("i-1")
         run = rig.run(target)
@@ -175,7 +175,7 @@
         settle()
         assert rig.crashed() == []
 
-    def test_target_that_leaves_ends_as_planned(self, rig):
+    def test_target_listed_as_leaving_has_not_crashed(self, rig):
         target = rig.start("i-1")
         rig.listed["i-1"] = msgspec.structs.replace(target, leaving=True)
         run = rig.run(target)
@@ -185,7 +185,7 @@
         assert rig.crashed() == []
 
     @pytest.mark.parametrize("end", [ENDS.SILENT, ENDS.LEFT, ENDS.NOT_RUN])
-    def test_other_ends_are_no_sign(self, rig, end):
+    def test_other_run_ends_trigger_no_check(self, rig, end):
         target = rig.start("i-1")
         run = rig.run(target)
         rig.end(target)
@@ -193,10 +193,10 @@
         settle()
         assert rig.crashed() == []
 
-    def test_a_daemon_that_is_cut_off_tells_of_no_crowd(self, rig):
-        """A cut that resets connections made all replicas seem to crash.
+    def test_daemon_that_is_cut_off_reports_few_crashes(self, rig):
+        """A network failure that resets connections looks like crashes.
 
-        Everything that this daemon had running was then suspected.
+        All requests that this daemon was running were suspected then.
         """
         targets = [rig.start(f"i-{n}") for n in range(8)]
         runs = [rig.run(target) for target in targets]
@@ -209,8 +209,8 @@
         assert len(rig.crashes) == 2
 
 
-class TestLapsedEntry:
-    def test_rack_without_power_is_told_when_its_entries_lapse(self, rig):
+class TestExpiredEntry:
+    def test_rack_without_power_is_reported_on_expiry(self, rig):
         targets = [rig.start(f"i-{n}") for n in range(5)]
         runs = [rig.run(target) for target in targets]
         for target in targets:
@@ -222,7 +222,7 @@
         rig.unlist(*targets)
         routing_fixtures.wait_until(lambda: len(rig.crashes) == 5)
 
-    def test_silent_run_on_a_target_whose_entry_lapses(self, rig):
+    def test_silent_run_on_a_target_whose_entry_expires(self, rig):
         target = rig.start("i-1")
         run = rig.run(target)
         rig.end(target)
@@ -231,8 +231,8 @@
         routing_fixtures.wait_until(lambda: rig.crashes)
         assert rig.crashes[0][1] == [run]
 
-    def test_address_that_another_target_has_taken_over(self, rig):
-        """A replica was back at its address within the time of a check."""
+    def test_address_reused_by_another_target(self, rig):
+        """A replica restarted at its address within the time of a check."""
         target = rig.start("i-1")
         run = rig.run(target)
         rig.book.finish(run, ENDS.LOST)
@@ -240,22 +240,22 @@
         before = dict(rig.listed)
         new = msgspec.structs.replace(target, replica=_ids.ReplicaId("i-2"))
         rig.listed = {"i-2": new}
-        rig.watch.handle_list_change(before, [new])
+        rig.detector.handle_list_change(before, [new])
         routing_fixtures.wait_until(lambda: rig.crashes)
         assert rig.crashed() == ["i-1"]
 
-    def test_new_start_under_the_same_id(self, rig):
+    def test_new_incarnation_under_the_same_id(self, rig):
         target = rig.start("i-1")
         rig.book.finish(rig.run(target), ENDS.SILENT)
         before = dict(rig.listed)
         new = msgspec.structs.replace(target, incarnation=2)
         rig.listed = {"i-1": new}
-        rig.watch.handle_list_change(before, [new])
+        rig.detector.handle_list_change(before, [new])
         routing_fixtures.wait_until(lambda: rig.crashes)
         assert rig.crashes[0][0].incarnation == 1
 
-    def test_target_that_leaves_without_a_word_serves_on(self, rig):
-        """Some replicas leave by dropping their entry, and go on for long."""
+    def test_target_that_leaves_unannounced_still_serves(self, rig):
+        """Some replicas only remove their entry, and serve on for long."""
         target = rig.start("i-1")
         rig.book.finish(rig.run(target), ENDS.LOST)
         rig.wait_for_check(target)
@@ -263,7 +263,7 @@
         settle()
         assert rig.crashed() == []
 
-    def test_nothing_ran_there(self, rig):
+    def test_no_request_ran_there(self, rig):
         target = rig.start("i-1")
         rig.end(target)
         rig.unlist(target)
--- a/tests/topazlug/crashes/test_crash_guard.py
+++ b/tests/topazlug/crashes/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""Refusing what crashes replicas, and what must be refused no longer."""
+"""Rejection of requests that crash replicas, and its end."""
 
 import gevent
 import msgspec
@@ -18,8 +18,8 @@
 F = _ids.Fingerprint("f")
 
 
-class Published:
-    """Keeps what a guard shares."""
+class FakePublisher:
+    """Collects the records that a guard publishes."""
 
     def __init__(self):
         self.records = []
@@ -29,7 +29,7 @@
 
 
 class Rig:
-    """A guard, told of crashes by hand."""
+    """A guard whose crashes the test reports directly."""
 
     def __init__(self, *, rejects=True):
         self.clock = claim_fakes.FakeClock()
@@ -43,11 +43,11 @@
             rejects=rejects,
             clock=self.clock,
         )
-        self.shared = Published()
-        self.guard.publisher = self.shared
+        self.publisher = FakePublisher()
+        self.guard.publisher = self.publisher
 
     def crash(self, number, *names):
-        """Have a replica crash under requests of this daemon."""
+        """Report a crash under requests of this daemon."""
         target = fixtures.target(f"i-{number}")
         runs = [
             self.book.begin(
@@ -60,13 +60,13 @@
         self.guard._on_crash(target, runs)
 
     def settle(self):
-        """Let the time pass after which it is decided."""
+        """Advance the clock until the guard decides."""
         self.guard.decide()
         self.clock.advance(1.01)
         self.guard.decide()
 
-    def others(self, *numbers, name="f"):
-        """Give crashes that another daemon saw."""
+    def peer_crashes(self, *numbers, name="f"):
+        """Return crashes recorded by another daemon."""
         return [
             crash_fixtures.crash(
                 f"i-{n}@1", (name, f"a{n}"), daemon="d2", at=self.clock.now()
@@ -75,7 +75,7 @@
         ]
 
     def answer(self, name="f"):
-        """Have a request be answered whole."""
+        """Let a request get a complete answer."""
         run = self.book.begin(
             fixtures.target("i-9"),
             fingerprint=_ids.Fingerprint(name),
@@ -83,7 +83,7 @@
         )
         self.book.finish(run, _target_runs.RunEnd.WHOLE, status=200)
 
-    def is_refused(self, name=F):
+    def is_rejected(self, name=F):
         try:
             self.guard.check(name)
         except _errors.RequestBlocked:
@@ -96,17 +96,17 @@
     return Rig()
 
 
-class TestRefusal:
-    def test_request_that_crashed_three_replicas_is_refused(self, rig):
+class TestRejection:
+    def test_request_that_crashed_three_replicas_is_rejected(self, rig):
         for number in range(3):
-            assert not rig.is_refused()
+            assert not rig.is_rejected()
             rig.crash(number, "f")
         rig.settle()
-        assert rig.is_refused()
-        assert not rig.is_refused(_ids.Fingerprint("g"))
+        assert rig.is_rejected()
+        assert not rig.is_rejected(_ids.Fingerprint("g"))
         assert rig.guard.blocked == 1
 
-    def test_error_is_certain_and_says_when_to_come_back(self, rig):
+    def test_error_has_outcome_and_retry_after(self, rig):
         for number in range(3):
             rig.crash(number, "f")
         rig.settle()
@@ -116,27 +116,27 @@
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
         assert caught.value.retry_after == 86400.0 - 600.0
 
-    def test_it_ends_after_a_day(self, rig):
+    def test_block_expires_after_a_day(self, rig):
         for number in range(3):
             rig.crash(number, "f")
         rig.settle()
         rig.clock.advance(_crash_records.RETENTION.total_seconds() + 10)
-        assert not rig.is_refused()
+        assert not rig.is_rejected()
         rig.guard.add_peer_records([])
         assert rig.guard.blocked == 0
 
-    def test_mechanism_that_is_switched_off_refuses_nothing(self):
+    def test_disabled_guard_rejects_nothing(self):
         rig = Rig(rejects=False)
         for number in range(6):
             rig.crash(number, "f")
         rig.settle()
-        assert not rig.is_refused()
+        assert not rig.is_rejected()
         assert rig.guard.may_repeat(F, fixtures.target("i-1"))
 
 
 class TestAttempt:
-    def test_two_crashes_in_one_moment_are_enough(self, rig):
-        """One attempt ends a third replica as two end within a millisecond."""
+    def test_two_simultaneous_crashes_prevent_a_repeat(self, rig):
+        """An attempt crashed a third replica as two crashed within 1 ms."""
         targets = [
             fixtures.target(f"i-{n}", port=processes.free_port())
             for n in range(2)
@@ -151,14 +151,14 @@
 
 
 class TestHold:
-    def test_request_is_held_back_before_it_is_decided(self, rig):
-        """Between the third crash and the decision more replicas ended.
+    def test_request_is_held_back_before_the_decision(self, rig):
+        """More replicas crashed between the third crash and the decision.
 
-        Its caller repeats at once: five attempts came in that time.
+        The caller repeats at once: five attempts arrived in that time.
         """
         for number in range(3):
             rig.crash(number, "f")
-        assert rig.is_refused()
+        assert rig.is_rejected()
         assert rig.guard.blocked == 0
 
     def test_hold_ends_if_another_is_the_cause(self, rig):
@@ -167,37 +167,38 @@
             rig.crash(number, *names)
         rig.settle()
         rig.clock.advance(1.0)
-        assert not rig.is_refused()
-        assert rig.is_refused(_ids.Fingerprint("g"))
+        assert not rig.is_rejected()
+        assert rig.is_rejected(_ids.Fingerprint("g"))
 
-    def test_hold_does_not_begin_anew_with_other_news(self, rig):
+    def test_hold_is_not_extended_by_other_crashes(self, rig):
         for number in range(3):
             rig.crash(number, "f", "g")
         rig.clock.advance(2.0)
         rig.crash(7, "other")
         rig.guard.add_peer_records([])
-        assert not rig.is_refused()
+        assert not rig.is_rejected()
 
     def test_request_that_is_sent_all_the_time_is_not_held(self, rig):
-        """Reads of one team were refused for half a second at each crash.
+        """Reads of one team were rejected for half a second at each crash.
 
-        The same read ran all the time, so that some were at each crash; the
-        daemon had answered dozens in between.
+        The same read was sent all the time, so some were running at each
+        crash; the daemon had answered dozens in between.
         """
         for number in range(6):
             rig.crash(number, "f", "cause")
-            assert not rig.is_refused()
+            assert not rig.is_rejected()
             rig.answer("f")
         rig.settle()
-        assert not rig.is_refused()
-        assert rig.is_refused(_ids.Fingerprint("cause"))
+        assert not rig.is_rejected()
+        assert rig.is_rejected(_ids.Fingerprint("cause"))
 
-    def test_note_that_comes_late_shows_the_cause(self, rig):
-        """A read of one team was blocked for a day, and was no cause.
+    def test_late_record_reveals_the_cause(self, rig):
+        """A read of one team was blocked for a day without being the cause.
 
-        It ran all the time, so that some were at each of three crashes. What
-        else had run at the second was told 0.15 s after the third: "requests
-        of f3eb35a03d37 are blocked: 3 replicas crashed".
+        It was sent all the time, so some were running at each of three
+        crashes. The record of the other requests at the second crash arrived
+        0.15 s after the third: "requests of f3eb35a03d37 are blocked: 3
+        replicas crashed".
         """
         records = [
             crash_fixtures.crash("i-1@1", ("f", "a1"), ("cause", "c1")),
@@ -219,22 +220,22 @@
         rig.settle()
         assert [block.fingerprint for block in rig.guard.blocks()] == ["cause"]
 
-    def test_request_that_was_answered_just_before_the_news(self, rig):
-        """What was answered a moment ago ends no replica."""
+    def test_request_answered_just_before_the_records_arrive(self, rig):
+        """A request that was just answered crashes no replica."""
         rig.answer("f")
-        before = rig.others(1, 2, 3)
+        before = rig.peer_crashes(1, 2, 3)
         rig.guard.set_shared_records(before)
-        assert not rig.is_refused()
+        assert not rig.is_rejected()
         rig.settle()
         assert not rig.guard.blocked
         rig.clock.advance(120.0)
-        rig.guard.set_shared_records([*before, *rig.others(4, 5, 6)])
+        rig.guard.set_shared_records([*before, *rig.peer_crashes(4, 5, 6)])
         rig.settle()
         assert rig.guard.blocked
 
 
-class TestRepeats:
-    def test_one_attempt_may_meet_one_crash(self, rig):
+class TestMayRepeat:
+    def test_attempt_is_repeated_after_one_crash_only(self, rig):
         target = fixtures.target("i-1")
         assert rig.guard.may_repeat(F, target)
         rig.crash(1, "f")
@@ -249,79 +250,79 @@
         assert not rig.guard.may_repeat(F, fixtures.target("i-1"))
 
 
-class TestSharing:
-    def test_crash_and_block_are_shared_by_who_saw_it(self, rig):
-        rig.guard.set_shared_records(rig.others(1, 2))
+class TestPublishing:
+    def test_daemon_that_recorded_a_crash_publishes_the_block(self, rig):
+        rig.guard.set_shared_records(rig.peer_crashes(1, 2))
         rig.crash(3, "f")
         rig.settle()
-        kinds = [type(record) for record in rig.shared.records]
+        kinds = [type(record) for record in rig.publisher.records]
         assert kinds == [_crash_records.Crash, _crash_records.Block]
 
-    def test_who_saw_no_crash_leaves_it_to_others_for_a_while(self, rig):
-        """The daemons that saw the crashes may be gone by then."""
-        rig.guard.set_shared_records(rig.others(1, 2, 3))
+    def test_daemon_without_own_crash_publishes_after_a_delay(self, rig):
+        """The daemons that recorded the crashes may have failed by then."""
+        rig.guard.set_shared_records(rig.peer_crashes(1, 2, 3))
         rig.settle()
-        assert rig.is_refused()
+        assert rig.is_rejected()
         assert rig.guard.blocked == 1
-        assert rig.shared.records == []
+        assert rig.publisher.records == []
         rig.clock.advance(5.0)
         rig.guard.decide()
-        assert [type(record) for record in rig.shared.records] == [
+        assert [type(record) for record in rig.publisher.records] == [
             _crash_records.Block
         ]
 
-    def test_block_that_another_has_written_is_not_written_again(self, rig):
-        crashes = rig.others(1, 2, 3)
+    def test_block_written_by_a_peer_is_not_published(self, rig):
+        crashes = rig.peer_crashes(1, 2, 3)
         rig.guard.set_shared_records(crashes)
         rig.settle()
         written = crash_fixtures.block("f", "i-1@1", at=rig.clock.now())
         rig.guard.set_shared_records([*crashes, written])
         rig.clock.advance(5.0)
         rig.settle()
-        assert rig.shared.records == []
+        assert rig.publisher.records == []
 
-    def test_who_is_asked_to_writes_what_it_was_told(self, rig):
-        """Whoever decided it may be kept from the store for long."""
+    def test_stand_in_publishes_after_a_delay(self, rig):
+        """The store may reject the daemon that decided for a long time."""
         block = crash_fixtures.block("f", "i-1@1", at=rig.clock.now())
         rig.guard.add_peer_records([block], stand_in=True)
         rig.guard.decide()
-        assert rig.shared.records == []
+        assert rig.publisher.records == []
         rig.clock.advance(5.0)
         rig.guard.add_peer_records([block], stand_in=True)
         rig.guard.decide()
-        assert rig.shared.records == [block]
-        # It tells the others that it wrote it, and hears that back.
+        assert rig.publisher.records == [block]
+        # Its own record may come back from a peer; it is not published again.
         rig.guard.add_peer_records([block], stand_in=True)
         rig.clock.advance(5.0)
         rig.guard.decide()
-        assert rig.shared.records == [block]
+        assert rig.publisher.records == [block]
 
-    def test_who_is_told_and_not_asked_to_writes_nothing(self, rig):
+    def test_other_recipients_publish_nothing(self, rig):
         block = crash_fixtures.block("f", "i-1@1", at=rig.clock.now())
         rig.guard.add_peer_records([block])
         rig.clock.advance(5.0)
         rig.guard.decide()
-        assert rig.shared.records == []
+        assert rig.publisher.records == []
 
-    def test_what_the_teller_has_written_since_is_not_written(self, rig):
+    def test_stand_in_does_not_publish_what_is_in_the_table(self, rig):
         block = crash_fixtures.block("f", "i-1@1", at=rig.clock.now())
         rig.guard.add_peer_records([block], stand_in=True)
         rig.guard.set_shared_records([block])
         rig.clock.advance(5.0)
         rig.guard.decide()
-        assert rig.shared.records == []
+        assert rig.publisher.records == []
 
-    def test_answer_of_a_suspected_request_is_shared(self, rig):
-        rig.guard.set_shared_records(rig.others(1, 2))
+    def test_answer_of_a_suspected_request_is_published(self, rig):
+        rig.guard.set_shared_records(rig.peer_crashes(1, 2))
         rig.answer()
         rig.settle()
-        (record,) = rig.shared.records
+        (record,) = rig.publisher.records
         assert record.starts == ["i-1@1", "i-2@1"]
         rig.crash(3, "f")
         rig.settle()
         assert not rig.guard.blocked
 
-    def test_task_decides_after_news(self, rig):
+    def test_task_decides_after_a_change(self, rig):
         task = gevent.spawn(rig.guard.run)
         for number in range(3):
             rig.crash(number, "f")
@@ -340,32 +341,32 @@
         rig.clock.advance(5.0)
         (block,) = rig.guard.blocks()
         assert rig.guard.release(F).fingerprint == block.fingerprint
-        assert not rig.is_refused()
+        assert not rig.is_rejected()
         assert rig.guard.blocks() == []
-        assert rig.shared.records[-1].released
+        assert rig.publisher.records[-1].released
 
-    def test_release_holds_against_the_row_of_the_block(self, rig):
-        """A daemon wrote its release, and read the block's row once more."""
-        crashes = rig.others(1, 2, 3)
+    def test_release_survives_the_old_row_of_the_block(self, rig):
+        """A daemon wrote a release and then read the old row of the block."""
+        crashes = rig.peer_crashes(1, 2, 3)
         block = crash_fixtures.block(
             "f", "i-1@1", "i-2@1", "i-3@1", at=rig.clock.now()
         )
         rig.guard.set_shared_records([*crashes, block])
         released = rig.guard.release(F)
         rig.guard.set_shared_records([*crashes, block])
-        assert not rig.is_refused()
+        assert not rig.is_rejected()
         rig.guard.set_shared_records([*crashes, released])
         rig.settle()
-        assert not rig.is_refused()
+        assert not rig.is_rejected()
 
-    def test_other_daemons_are_told(self, rig):
+    def test_release_from_a_peer_is_applied(self, rig):
         block = crash_fixtures.block("f", "i-1@1", at=rig.clock.now())
         rig.guard.set_shared_records([block])
         released = _crash_records.released_block(block, now=rig.clock.now())
         rig.guard.add_peer_records([released])
-        assert not rig.is_refused()
+        assert not rig.is_rejected()
 
-    def test_it_is_blocked_again_after_three_crashes(self, rig):
+    def test_request_is_blocked_again_after_three_crashes(self, rig):
         for number in range(3):
             rig.crash(number, "f")
         rig.settle()
@@ -374,8 +375,8 @@
         for number in range(3, 6):
             rig.crash(number, "f")
         rig.settle()
-        assert rig.is_refused()
+        assert rig.is_rejected()
 
     def test_nothing_to_release(self, rig):
         assert rig.guard.release(F) is None
-        assert rig.shared.records == []
+        assert rig.publisher.records == []
--- a/tests/topazlug/crashes/test_crash_history.py
+++ b/tests/topazlug/crashes/test_crash_history.py
@@ -1,4 +1,4 @@
-"""What a daemon keeps of notes, its own and those of others."""
+"""Crash records that a daemon retains, its own and those of others."""
 
 import datetime
 
@@ -19,7 +19,7 @@
 
 
 @pytest.fixture
-def book(clock):
+def history(clock):
     return _crash_history.CrashHistory(daemon=_ids.DaemonId("d1"), clock=clock)
 
 
@@ -32,7 +32,7 @@
     ]
 
 
-def own_crash(book, number, name="f"):
+def add_own_crash(history, number, name="f"):
     runs = [
         _target_runs.Run(
             target=None,
@@ -42,148 +42,148 @@
         )
     ]
     start = _target.Start(_ids.ReplicaId(f"i-{number}"), 1)
-    return book.add_crash(start, fixtures.GROUP, runs, replicas=5)
+    return history.add_crash(start, fixtures.GROUP, runs, replicas=5)
 
 
 class TestSources:
-    def test_own_shared_and_told_notes_count_together(self, book, clock):
-        own_crash(book, 1)
-        book.set_shared_records(crashes(clock, 2))
-        book.add_peer_records(crashes(clock, 3))
-        assert book.analysis.crash_count_of("f") == 3
-        assert set(book.analysis.causes()) == {"f"}
-
-    def test_note_counts_once_wherever_it_is_from(self, book, clock):
-        crash = own_crash(book, 1)
-        book.add_peer_records([crash])
-        book.set_shared_records([crash])
-        assert book.analysis.crash_count_of("f") == 1
-
-    def test_own_note_counts_until_its_row_is_seen(self, book, clock):
-        """A daemon wrote that a replica crashed, and forgot it again.
-
-        A read of the table that had begun before the row was written came
-        back after it. What waits to be written must outlast such a read.
+    def test_own_shared_and_peer_records_are_combined(self, history, clock):
+        add_own_crash(history, 1)
+        history.set_shared_records(crashes(clock, 2))
+        history.add_peer_records(crashes(clock, 3))
+        assert history.analysis.crash_count_of("f") == 3
+        assert set(history.analysis.causes()) == {"f"}
+
+    def test_record_from_several_sources_counts_once(self, history, clock):
+        crash = add_own_crash(history, 1)
+        history.add_peer_records([crash])
+        history.set_shared_records([crash])
+        assert history.analysis.crash_count_of("f") == 1
+
+    def test_own_record_counts_until_its_row_is_read(self, history, clock):
+        """A daemon lost its own record while the row was being written.
+
+        A read of the table that began before the write may return after it.
+        Records that are not in the table yet must survive such a read.
         """
-        crash = own_crash(book, 1)
-        book.set_shared_records([])
-        assert book.analysis.crash_count_of("f") == 1
-        book.set_shared_records([crash])
-        book.set_shared_records([])
-        assert book.analysis.crash_count_of("f") == 0
+        crash = add_own_crash(history, 1)
+        history.set_shared_records([])
+        assert history.analysis.crash_count_of("f") == 1
+        history.set_shared_records([crash])
+        history.set_shared_records([])
+        assert history.analysis.crash_count_of("f") == 0
 
-    def test_witness_is_who_had_the_request_there(self, book, clock):
-        book.set_shared_records(crashes(clock, 1, daemon="d2"))
-        assert not book.has_own_crash("f")
-        own_crash(book, 2)
-        assert book.has_own_crash("f")
+    def test_has_own_crash_only_if_it_recorded_one(self, history, clock):
+        history.set_shared_records(crashes(clock, 1, daemon="d2"))
+        assert not history.has_own_crash("f")
+        add_own_crash(history, 2)
+        assert history.has_own_crash("f")
 
 
 class TestBlock:
-    def test_block_holds_what_led_to_it(self, book, clock):
-        book.set_shared_records(crashes(clock, 1, 2, 3))
-        (block,) = book.block(book.analysis.causes())
+    def test_block_lists_the_crashes_that_led_to_it(self, history, clock):
+        history.set_shared_records(crashes(clock, 1, 2, 3))
+        (block,) = history.block(history.analysis.causes())
         assert block.starts == ["i-1@1", "i-2@1", "i-3@1"]
-        assert book.analysis.is_blocked("f")
-        assert not book.analysis.causes()
+        assert history.analysis.is_blocked("f")
+        assert not history.analysis.causes()
 
-    def test_block_of_another_daemon_is_enough(self, book, clock):
-        book.set_shared_records(crashes(clock, 1, 2, 3))
-        (own,) = book.block(book.analysis.causes())
-        assert not book.is_in_table(own)
+    def test_block_of_another_daemon_covers_own_block(self, history, clock):
+        history.set_shared_records(crashes(clock, 1, 2, 3))
+        (own,) = history.block(history.analysis.causes())
+        assert not history.is_in_table(own)
         others = fixtures.block("f", "i-1@1", "i-2@1", at=clock.now())
-        book.set_shared_records([*crashes(clock, 1, 2, 3), others])
-        assert book.is_in_table(own)
+        history.set_shared_records([*crashes(clock, 1, 2, 3), others])
+        assert history.is_in_table(own)
 
-    def test_release_goes_before_the_own_block(self, book, clock):
+    def test_release_overrides_own_block(self, history, clock):
         records = crashes(clock, 1, 2, 3)
-        book.set_shared_records(records)
-        (own,) = book.block(book.analysis.causes())
-        book.set_shared_records([*records, own])
+        history.set_shared_records(records)
+        (own,) = history.block(history.analysis.causes())
+        history.set_shared_records([*records, own])
         released = fixtures.block(
             "f", *own.starts, at=clock.now(), released=True
         )
-        book.set_shared_records([*records, released])
-        assert not book.analysis.is_blocked("f")
-        assert not book.analysis.causes()
+        history.set_shared_records([*records, released])
+        assert not history.analysis.is_blocked("f")
+        assert not history.analysis.causes()
 
-    def test_released_request_is_blocked_anew(self, book, clock):
+    def test_released_request_is_blocked_again(self, history, clock):
         old = fixtures.block("f", "i-1@1", at=clock.now(), released=True)
         clock.advance(10.0)
-        book.set_shared_records([old, *crashes(clock, 4, 5, 6)])
-        (block,) = book.block(book.analysis.causes())
-        book.set_shared_records([old, *crashes(clock, 4, 5, 6)])
-        assert book.analysis.is_blocked("f")
-        assert not book.is_in_table(block)
+        history.set_shared_records([old, *crashes(clock, 4, 5, 6)])
+        (block,) = history.block(history.analysis.causes())
+        history.set_shared_records([old, *crashes(clock, 4, 5, 6)])
+        assert history.analysis.is_blocked("f")
+        assert not history.is_in_table(block)
 
 
 class TestAnswered:
-    def test_request_that_nothing_counts_against_is_not_noted(self, book):
-        book.add_answered(_ids.Fingerprint("f"))
-        assert book.add_clearances() == []
+    def test_answer_of_unsuspected_request_is_not_recorded(self, history):
+        history.add_answered(_ids.Fingerprint("f"))
+        assert history.add_clearances() == []
 
-    def test_answer_is_told_before_one_more_crash_would_block(
-        self, book, clock
+    def test_answer_is_published_before_one_more_crash_would_block(
+        self, history, clock
     ):
-        """A read that succeeds most of the time was refused for a day.
+        """A read that usually succeeds was blocked for a day.
 
-        It ran on three replicas when they crashed, hours apart, and was
-        answered thousands of times in between. Each daemon knew of answers
-        of its own only.
+        It was running on three replicas when they crashed, hours apart, and
+        was answered thousands of times in between. Each daemon had only its
+        own answers.
         """
-        book.set_shared_records(crashes(clock, 1))
-        book.add_answered(_ids.Fingerprint("f"))
-        assert book.add_clearances() == []
-        book.set_shared_records(crashes(clock, 1, 2))
-        (record,) = book.add_clearances()
+        history.set_shared_records(crashes(clock, 1))
+        history.add_answered(_ids.Fingerprint("f"))
+        assert history.add_clearances() == []
+        history.set_shared_records(crashes(clock, 1, 2))
+        (record,) = history.add_clearances()
         assert record.starts == ["i-1@1", "i-2@1"]
-        assert book.analysis.crash_count_of("f") == 0
-        assert book.add_clearances() == []
+        assert history.analysis.crash_count_of("f") == 0
+        assert history.add_clearances() == []
 
-    def test_answer_long_ago_says_nothing_of_later_crashes(self, book, clock):
+    def test_old_answer_does_not_clear_later_crashes(self, history, clock):
         before = crashes(clock, 1)
-        book.set_shared_records(before)
-        book.add_answered(_ids.Fingerprint("f"))
+        history.set_shared_records(before)
+        history.add_answered(_ids.Fingerprint("f"))
         clock.advance(61.0)
-        book.set_shared_records([*before, *crashes(clock, 2)])
-        (record,) = book.add_clearances()
+        history.set_shared_records([*before, *crashes(clock, 2)])
+        (record,) = history.add_clearances()
         assert record.starts == ["i-1@1"]
-        assert book.analysis.crash_count_of("f") == 1
+        assert history.analysis.crash_count_of("f") == 1
 
-    def test_clearing_keeps_what_was_cleared_before(self, book, clock):
-        book.set_shared_records(
+    def test_clearance_keeps_earlier_clearances(self, history, clock):
+        history.set_shared_records(
             [*crashes(clock, 1, 2, 3), fixtures.answered("f", "i-1@1")]
         )
-        book.add_answered(_ids.Fingerprint("f"))
-        (record,) = book.add_clearances()
+        history.add_answered(_ids.Fingerprint("f"))
+        (record,) = history.add_clearances()
         assert record.starts == ["i-1@1", "i-2@1", "i-3@1"]
 
 
 class TestBounds:
-    def test_notes_lapse_after_a_day(self, book, clock):
-        book.set_shared_records(crashes(clock, 1, 2, 3))
+    def test_records_expire_after_a_day(self, history, clock):
+        history.set_shared_records(crashes(clock, 1, 2, 3))
         clock.advance(
             _crash_records.RETENTION / datetime.timedelta(seconds=1) + 1
         )
-        book.add_peer_records([])
-        assert book.analysis.crash_count_of("f") == 0
-        assert sorted(book.obsolete_keys()) == [
+        history.add_peer_records([])
+        assert history.analysis.crash_count_of("f") == 0
+        assert sorted(history.obsolete_keys()) == [
             "crash/i-1@1/d2",
             "crash/i-2@1/d2",
             "crash/i-3@1/d2",
         ]
 
-    def test_oldest_notes_go_first(self, book, clock):
+    def test_oldest_records_are_discarded_first(self, history, clock):
         records = []
         for number in range(_crash_history.MAX_CRASHES + 50):
             clock.advance(1.0)
             records += crashes(clock, number, name=f"f{number}")
-        book.set_shared_records(records)
-        assert book.analysis.crash_count_of("f0") == 0
-        assert book.analysis.crash_count_of("f60") == 1
-        assert len(book.obsolete_keys()) == 50
+        history.set_shared_records(records)
+        assert history.analysis.crash_count_of("f0") == 0
+        assert history.analysis.crash_count_of("f60") == 1
+        assert len(history.obsolete_keys()) == 50
 
-    def test_suspects_are_bounded(self, book, clock):
+    def test_suspects_are_bounded(self, history, clock):
         records = []
         for number in range(200):
             clock.advance(1.0)
@@ -191,27 +191,29 @@
             records.append(
                 fixtures.crash(f"i-{number}@1", *suspects, at=clock.now())
             )
-        book.set_shared_records(records)
+        history.set_shared_records(records)
         kept = [
-            n for n in range(200) if book.analysis.crash_count_of(f"f{n}-0")
+            n for n in range(200) if history.analysis.crash_count_of(f"f{n}-0")
         ]
         assert len(kept) * 64 == _crash_history.MAX_SUSPECTS
         assert kept[-1] == 199
 
-    def test_own_notes_are_bounded_while_the_store_is_away(self, book, clock):
+    def test_own_records_are_bounded_during_a_store_outage(
+        self, history, clock
+    ):
         for number in range(_crash_history.MAX_CRASHES + 50):
             clock.advance(1.0)
-            own_crash(book, number, name=f"f{number}")
-        assert book.analysis.crash_count_of("f10") == 0
-        assert book.analysis.crash_count_of("f299") == 1
+            add_own_crash(history, number, name=f"f{number}")
+        assert history.analysis.crash_count_of("f10") == 0
+        assert history.analysis.crash_count_of("f299") == 1
 
-    def test_answered_requests_push_no_block_out(self, book, clock):
+    def test_answered_requests_do_not_evict_blocks(self, history, clock):
         block = fixtures.block("f", "i-1@1", at=clock.now())
         clock.advance(1.0)
         answers = [
             fixtures.answered(f"f{n}", "i-1@1", at=clock.now())
             for n in range(_crash_history.MAX_BLOCKS + 50)
         ]
-        book.set_shared_records([block, *answers])
-        assert book.analysis.is_blocked("f")
-        assert len(book.obsolete_keys()) == 50
+        history.set_shared_records([block, *answers])
+        assert history.analysis.is_blocked("f")
+        assert len(history.obsolete_keys()) == 50
--- a/tests/topazlug/crashes/test_crash_records.py
+++ b/tests/topazlug/crashes/test_crash_records.py
@@ -1,4 +1,4 @@
-"""Rows that notes are written as, and rows that are none."""
+"""Encoding of crash records as rows, and invalid rows."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 class TestRows:
     @pytest.mark.parametrize("record", NOTES)
-    def test_note_comes_back_as_it_was(self, record):
+    def test_encoded_record_is_decoded_unchanged(self, record):
         key = _crash_records.record_key(record)
         assert (
             _crash_records.decode(key, _crash_records.encode(record)) == record
@@ -40,11 +40,11 @@
             _crash_records.encode(NOTES[2]).replace(b"Z", b""),
         ],
     )
-    def test_row_that_is_no_note(self, data):
+    def test_invalid_row_is_rejected(self, data):
         with pytest.raises(ValueError):
             _crash_records.decode("block/f", data)
 
-    def test_attempts_have_short_names(self):
+    def test_attempt_tags_are_short_and_distinct(self):
         one, other = map(_crash_records.attempt_tag, ("a" * 32, "b" * 32))
         assert one != other
         assert len(one) == 8
--- a/tests/topazlug/crashes/test_fingerprint.py
+++ b/tests/topazlug/crashes/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Repeats of a request have its fingerprint, others don't."""
+"""Repeats of a request have its fingerprint, other requests do not."""
 
 import pytest
 
@@ -19,11 +19,11 @@
 
 
 class TestFingerprint:
-    def test_repeat_has_the_same(self):
+    def test_repeat_has_same_fingerprint(self):
         assert fingerprint() == fingerprint()
         assert len(fingerprint()) == 24
 
-    def test_host_is_the_same_in_any_case(self):
+    def test_host_is_case_insensitive(self):
         assert fingerprint(host="Chat.Example") == fingerprint()
 
     @pytest.mark.parametrize(
@@ -38,5 +38,5 @@
             {"team": _ids.TeamName("udelarb"), "body": b"ody"},
         ],
     )
-    def test_another_request_has_another(self, changes):
+    def test_other_request_has_other_fingerprint(self, changes):
         assert fingerprint(**changes) != fingerprint()
--- a/tests/topazlug/crashes/test_record_distributor.py
+++ b/tests/topazlug/crashes/test_record_distributor.py
@@ -1,4 +1,4 @@
-"""Who is told of a crash that can't be written for all."""
+"""Which daemons receive the record of a crash or a decision."""
 
 import functools
 
@@ -33,17 +33,17 @@
 
 
 class Fleet:
-    """Daemons that tell each other."""
+    """Daemons that send each other crash records."""
 
     def __init__(self, count):
         names = [_ids.DaemonId(f"d{n}") for n in range(count)]
         self.links = {}
-        self.heard = {name: [] for name in names}
-        self.told = {}
+        self.received = {name: [] for name in names}
+        self.distributors = {}
         self.stand_ins = set()
         for name in names:
             self.links[name] = Links(name, self.links)
-            self.told[name] = _record_distributor.RecordDistributor(
+            self.distributors[name] = _record_distributor.RecordDistributor(
                 daemon=name,
                 links=self.links[name],
                 daemons=lambda: dict.fromkeys(names),
@@ -51,12 +51,12 @@
             )
 
     def _on_records(self, name, records, *, stand_in):
-        self.heard[name] += records
+        self.received[name] += records
         if stand_in:
             self.stand_ins.add(name)
 
-    def hearers(self):
-        return {name for name, records in self.heard.items() if records}
+    def receivers(self):
+        return {name for name, records in self.received.items() if records}
 
 
 @pytest.fixture
@@ -65,74 +65,76 @@
 
 
 class TestCrash:
-    def test_two_daemons_hear_of_all_crashes_under_a_request(self, fleet):
+    def test_two_collectors_receive_all_crashes_of_a_request(self, fleet):
         for number in range(6):
             daemon = f"d{number}"
             crash = fixtures.crash(f"i-{number}@1", ("f", "a"), daemon=daemon)
-            fleet.told[daemon].send([crash])
-        told = {name: len(records) for name, records in fleet.heard.items()}
-        assert len(fleet.hearers()) == 2
-        # A collector that saw a crash itself is not told of that one.
-        assert all(told[name] >= 5 for name in fleet.hearers())
-
-    def test_a_daemon_that_is_gone_keeps_nobody_from_hearing(self, fleet):
+            fleet.distributors[daemon].send([crash])
+        counts = {
+            name: len(records) for name, records in fleet.received.items()
+        }
+        assert len(fleet.receivers()) == 2
+        # A collector is not sent the crashes that it reported itself.
+        assert all(counts[name] >= 5 for name in fleet.receivers())
+
+    def test_unreachable_collector_does_not_affect_the_other(self, fleet):
         crash = fixtures.crash("i-1@1", ("f", "a"), ("g", "b"))
-        fleet.told["d9"].send([crash])
-        first = sorted(fleet.hearers())[0]
-        fleet.heard[first].clear()
+        fleet.distributors["d9"].send([crash])
+        first = sorted(fleet.receivers())[0]
+        fleet.received[first].clear()
         fleet.links["d9"].refusing.add(first)
-        fleet.told["d9"].send([crash])
-        assert fleet.hearers() and first not in fleet.hearers()
+        fleet.distributors["d9"].send([crash])
+        assert fleet.receivers() and first not in fleet.receivers()
 
 
 class TestBlock:
-    def test_all_daemons_hear(self, fleet):
+    def test_all_daemons_receive_block(self, fleet):
         block = fixtures.block("f", "i-1@1")
-        fleet.told["d0"].send([block])
-        assert len(fleet.hearers()) == 29
-        assert fleet.heard["d7"] == [block]
+        fleet.distributors["d0"].send([block])
+        assert len(fleet.receivers()) == 29
+        assert fleet.received["d7"] == [block]
 
-    def test_all_daemons_of_a_large_fleet_hear(self):
-        """A daemon that does not hear of a block ends one more replica.
+    def test_all_daemons_of_a_large_fleet_receive_block(self):
+        """A daemon that does not receive a block loses one more replica.
 
-        Of 880 daemons 200 were told at once, and the others not at all while
-        the store was away.
+        Of 880 daemons 200 received it at once, and the others not at all
+        while the store was unavailable.
         """
         fleet = Fleet(880)
-        fleet.told["d0"].send([fixtures.block("f", "i-1@1")])
-        assert len(fleet.hearers()) == 879
+        fleet.distributors["d0"].send([fixtures.block("f", "i-1@1")])
+        assert len(fleet.receivers()) == 879
 
     @pytest.mark.parametrize("count", [3, 30, 880])
-    def test_a_few_are_asked_to_write_it(self, count):
+    def test_few_stand_ins_are_chosen(self, count):
         fleet = Fleet(count)
-        fleet.told["d0"].send([fixtures.block("f", "i-1@1")])
+        fleet.distributors["d0"].send([fixtures.block("f", "i-1@1")])
         assert len(fleet.stand_ins) == min(4, count - 1)
 
-    def test_daemons_that_are_gone_keep_none_from_hearing(self):
-        """Which daemons pass a note on is drawn; a tenth of them are gone."""
+    def test_failed_relays_do_not_keep_a_block_from_others(self):
+        """A tenth of the daemons are down, some of those that relay too."""
         fleet = Fleet(880)
         gone = {f"d{n}" for n in range(1, 880, 10)}
         for name in gone:
             fleet.links[name].handler = lambda *args: None
-        fleet.told["d0"].send([fixtures.block("f", "i-1@1")])
-        fleet.told["d2"].send([fixtures.block("f", "i-1@1")])
-        assert len(fleet.hearers()) >= 880 - len(gone) - 8
+        fleet.distributors["d0"].send([fixtures.block("f", "i-1@1")])
+        fleet.distributors["d2"].send([fixtures.block("f", "i-1@1")])
+        assert len(fleet.receivers()) >= 880 - len(gone) - 8
 
     def test_no_daemon_sends_many_messages(self):
-        """The streams of a daemon carry its asks as well."""
+        """The streams of a daemon also carry its admission requests."""
         fleet = Fleet(880)
-        fleet.told["d0"].send([fixtures.block("f", "i-1@1")])
+        fleet.distributors["d0"].send([fixtures.block("f", "i-1@1")])
         assert max(link.sent for link in fleet.links.values()) <= 200
-        assert max(map(len, fleet.heard.values())) <= 2
+        assert max(map(len, fleet.received.values())) <= 2
 
 
 class TestMessage:
-    def test_row_that_is_no_note_is_passed_over(self, fleet):
+    def test_invalid_row_is_skipped(self, fleet):
         block = fixtures.block("f", "i-1@1")
         good = _record_distributor._encode_row(block)
         for data in ("", "%%%", "e30="):
             bad = messages.TableRow(key="block/f", data=data)
             message = messages.CrashNotes(rows=[bad, good])
-            fleet.heard["d1"].clear()
+            fleet.received["d1"].clear()
             fleet.links["d1"].handler("d0", message, None)
-            assert fleet.heard["d1"] == [block]
+            assert fleet.received["d1"] == [block]
--- a/tests/topazlug/crashes/test_record_sync.py
+++ b/tests/topazlug/crashes/test_record_sync.py
@@ -1,4 +1,4 @@
-"""Notes in the table service: told at once, and kept for who comes later."""
+"""Crash records are sent to peers at once and kept in the table."""
 
 import gevent
 import msgspec
@@ -16,8 +16,8 @@
 BLOCK = fixtures.block("f", "i-1@1")
 
 
-class Told:
-    """Keeps what is told."""
+class FakeDistributor:
+    """Collects the records that are sent."""
 
     def __init__(self):
         self.records = []
@@ -27,16 +27,16 @@
 
 
 class Rig:
-    """Notes of one daemon; several may share a store."""
+    """The record sync of one daemon; several may share a store."""
 
     def __init__(self, store=None):
         self.store = store or claim_fakes.FakeStore()
-        self.distributor = Told()
-        self.taken = []
+        self.distributor = FakeDistributor()
+        self.received = []
         self.kept = _record_sync.RecordSync(
             store=self.store,
             distributor=self.distributor,
-            on_records=self.taken.append,
+            on_records=self.received.append,
             clock=_clock.SystemClock(),
         )
         self._tasks = [gevent.spawn(task) for task in self.kept.tasks()]
@@ -52,29 +52,29 @@
     made.stop()
 
 
-class TestNotes:
-    def test_they_are_told_and_written(self, rig):
+class TestRecords:
+    def test_records_are_sent_and_written(self, rig):
         rig.kept.publish([CRASH, BLOCK])
         assert rig.distributor.records == [CRASH, BLOCK]
         routing_fixtures.wait_until(lambda: len(rig.store.row_by_key) == 2)
         assert rig.kept.read() == [BLOCK, CRASH]
 
-    def test_daemon_that_starts_later_reads_them(self, rig):
+    def test_daemon_that_starts_later_reads_records(self, rig):
         rig.kept.publish([BLOCK])
         routing_fixtures.wait_until(lambda: rig.store.row_by_key)
         later = Rig(rig.store)
-        routing_fixtures.wait_until(lambda: later.taken)
+        routing_fixtures.wait_until(lambda: later.received)
         later.stop()
-        assert later.taken == [[BLOCK]]
+        assert later.received == [[BLOCK]]
 
-    def test_service_that_is_down_for_a_moment(self, rig):
+    def test_write_is_retried_after_an_outage(self, rig):
         rig.store.transact_faults.append(claim_fakes.Fault.DOWN)
         rig.store.transact_faults.append(claim_fakes.Fault.ANSWER_LOST)
         rig.kept.publish([BLOCK])
         routing_fixtures.wait_until(lambda: rig.store.row_by_key)
         assert rig.kept.read() == [BLOCK]
 
-    def test_row_of_another_writer_is_left_out(self, rig):
+    def test_invalid_row_is_skipped(self, rig):
         rig.kept.publish([BLOCK])
         routing_fixtures.wait_until(lambda: rig.store.row_by_key)
         rig.store.row_by_key["crash/x"] = _table_client.Row(
--- a/tests/topazlug/crashes/test_record_writer.py
+++ b/tests/topazlug/crashes/test_record_writer.py
@@ -1,4 +1,4 @@
-"""Notes are written until the store has them, and told meanwhile."""
+"""Records are written until the store accepts them, and sent meanwhile."""
 
 import gevent
 import pytest
@@ -20,10 +20,10 @@
 
     def __init__(self):
         self.store = store_fakes.FakeTables()
-        self.told = []
+        self.notified = []
         self.records = _record_writer.RecordWriter(
             write=self._write,
-            notify=self.told.append,
+            notify=self.notified.append,
             clock=_clock.SystemClock(),
         )
         self._writer = gevent.spawn(self.records.run)
@@ -40,7 +40,7 @@
         self.store.write(_crash_records.TABLE, rows)
 
     def keys(self):
-        """Give the keys of all rows, whether the store is away or not."""
+        """Return the keys of all rows, even while the store is unavailable."""
         return sorted(self.store._held(_crash_records.TABLE))
 
     def stop(self):
@@ -60,52 +60,53 @@
 
 
 class TestWriting:
-    def test_note_becomes_a_row(self, rig):
+    def test_record_becomes_a_row(self, rig):
         rig.records.publish([CRASH])
         wait_until(rig.keys)
         assert rig.keys() == ["crash/i-1@1/d1"]
-        assert rig.told == []
+        assert rig.notified == []
 
-    def test_notes_of_one_moment_take_one_call(self, rig):
+    def test_simultaneous_records_take_one_call(self, rig):
         rig.records.publish([CRASH])
         rig.records.publish([fixtures.block("f", "i-1@1")])
         wait_until(rig.keys)
         assert len(rig.keys()) == 2
         assert rig.store.calls == 1
 
-    def test_rows_without_use_are_dropped(self, rig):
+    def test_obsolete_rows_are_removed(self, rig):
         rig.store.put(_crash_records.TABLE, "crash/i-0@1/d1", b"{}")
         rig.records.publish([CRASH], remove=["crash/i-0@1/d1"])
         wait_until(lambda: rig.keys() == ["crash/i-1@1/d1"])
 
 
-class TestStoreAway:
-    def test_others_are_told_once_and_the_row_comes_later(self, rig):
-        """While the store was away each daemon learnt for itself.
+class TestStoreUnavailable:
+    def test_peers_are_notified_once_and_the_row_is_written_later(self, rig):
+        """While the store is unavailable, daemons still share crashes.
 
-        Nine daemons then needed three crashes each to know one request.
+        Without that, each of nine daemons needed three crashes to block one
+        request.
         """
         rig.store.is_away = True
         rig.records.publish([CRASH])
         wait_until(lambda: rig.store.calls > 2)
-        assert rig.told == [[CRASH]]
+        assert rig.notified == [[CRASH]]
         rig.store.is_away = False
         wait_until(rig.keys)
         assert rig.keys() == ["crash/i-1@1/d1"]
 
-    def test_each_further_note_is_told(self, rig):
+    def test_peers_are_notified_of_each_further_record(self, rig):
         rig.store.is_away = True
         rig.records.publish([CRASH])
-        wait_until(lambda: rig.told)
+        wait_until(lambda: rig.notified)
         block = fixtures.block("f", "i-1@1")
         rig.records.publish([block])
-        wait_until(lambda: len(rig.told) == 2)
-        assert rig.told == [[CRASH], [block]]
+        wait_until(lambda: len(rig.notified) == 2)
+        assert rig.notified == [[CRASH], [block]]
 
-    def test_refused_drop_keeps_no_note_back(self, rig):
-        """A row was to be dropped that another daemon had dropped already.
+    def test_rejected_removal_does_not_block_records(self, rig):
+        """A row is to be removed that another daemon has removed already.
 
-        If the store refuses that, the notes of the same call would never be
+        If the store rejects that, records in the same call would never be
         written.
         """
 
@@ -121,7 +122,7 @@
         rig.records.publish([fixtures.block("f", "i-1@1")])
         wait_until(lambda: len(rig.keys()) == 2)
 
-    def test_what_waits_is_bounded(self, rig):
+    def test_pending_records_are_bounded(self, rig):
         rig.store.is_away = True
         for number in range(400):
             rig.records.publish([fixtures.crash(f"i-{number}@1", ("f", "a"))])
@@ -129,8 +130,8 @@
         wait_until(lambda: "crash/i-399@1/d1" in rig.keys())
         wait_until(lambda: len(rig.keys()) == 256)
 
-    def test_answer_that_was_lost_is_written_again(self, rig):
-        """The store did the write and its answer never came."""
+    def test_write_is_repeated_if_its_response_is_lost(self, rig):
+        """The store performed the write, but its response was lost."""
         lost = []
 
         def write(records, removed):
@@ -145,8 +146,8 @@
         wait_until(lambda: rig.store.calls == 2)
         assert rig.keys() == ["crash/i-1@1/d1"]
 
-    def test_few_daemons_drop_rows(self, rig, monkeypatch):
-        """Each daemon that notes one crash finds the same rows too many."""
+    def test_few_daemons_remove_rows(self, rig, monkeypatch):
+        """All daemons that record one crash find the same obsolete rows."""
         monkeypatch.setattr(_record_writer, "_REMOVE_PROBABILITY", 0.0)
         rig.records.publish([CRASH], remove=["crash/i-0@1/d1"])
         wait_until(rig.keys)
