--- a/bench/experiments/claims.py
+++ b/bench/experiments/claims.py
@@ -106,7 +106,7 @@
 
 def keeper(
     port: int, name: str, max_batch: int, min_interval: float
-) -> _claims.ClaimKeeper:
+) -> _claims.ClaimManager:
     """Make one daemon's keeper of claims, with its own connections."""
     clock = _clock.SystemClock()
     store = _table_client.TableClient(
@@ -115,7 +115,7 @@
     objects = _object_client.ObjectClient(
         host=HOST, port=port, timeout=2.0, clock=clock
     )
-    return _claims.ClaimKeeper(
+    return _claims.ClaimManager(
         store=store,
         objects=objects,
         daemon_id=_ids.DaemonId(name),
@@ -127,7 +127,7 @@
 
 
 def claimer(
-    keeper_of_daemon: _claims.ClaimKeeper, tally: Tally, until: float
+    keeper_of_daemon: _claims.ClaimManager, tally: Tally, until: float
 ) -> None:
     """Claim and finish one new key after the other."""
     while time.monotonic() < until:
@@ -154,7 +154,7 @@
 
 def run(
     port: int,
-    keepers: list[_claims.ClaimKeeper],
+    keepers: list[_claims.ClaimManager],
     claimers: int,
     seconds: float,
 ) -> str:
@@ -169,7 +169,7 @@
         for n in range(claimers)
     ]
     gevent.joinall(jobs, raise_error=True)
-    left = sum(one.wait_settled(SETTLE_SECONDS) for one in keepers)
+    left = sum(one.wait_finalized(SETTLE_SECONDS) for one in keepers)
     passed = time.monotonic() - started
     after = counters(port)
     writes = after.writes - before.writes
@@ -190,7 +190,7 @@
 @click.option("--writes-per-second", default=300.0, help="0 for no bound.")
 @click.option("--daemons", default=9, help="Keepers of claims.")
 @click.option("--max-batch", default=_claim_commit.MAX_BATCH)
-@click.option("--min-interval", default=_claim_commit.MIN_INTERVAL)
+@click.option("--min-interval", default=_claim_commit.MIN_INTERVAL_SECONDS)
 @click.option("--delay", default=0.0, help="Of each answer, in seconds.")
 @click.option("--seconds", default=4.0, help="For each line.")
 @click.option("--most", default=64, help="Most claimers, by doubling from 1.")
--- a/src/topazlug/_daemon.py
+++ b/src/topazlug/_daemon.py
@@ -119,7 +119,7 @@
             daemon_id=self.fleet.daemon_id,
             usable=self.fleet.membership.usable,
         )
-        self.claims = _claims.ClaimKeeper(
+        self.claims = _claims.ClaimManager(
             store=claim_store,
             objects=self.fleet.objects,
             daemon_id=self.fleet.daemon_id,
@@ -273,7 +273,7 @@
         self.callers.close()
         self.fleet.leave()
         self._wait_for_requests()
-        self.claims.wait_settled(_LEAVE_SECONDS)
+        self.claims.wait_finalized(_LEAVE_SECONDS)
         gevent.sleep(_LEAVE_SECONDS)
         self.halt()
 
--- a/src/topazlug/claims/_claim_commit.py
+++ b/src/topazlug/claims/_claim_commit.py
@@ -22,12 +22,12 @@
 from topazlug.store import _table_client
 
 MAX_BATCH = 64
-MAX_WAITING = 1024
-MIN_INTERVAL = 0.03
-MAX_INTERVAL = 1.0
-RETRY_AFTER = 1.0
-_SLOWER: Final = 2.0
-_FASTER: Final = 0.9
+MAX_QUEUED = 1024
+MIN_INTERVAL_SECONDS = 0.03
+MAX_INTERVAL_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
+_SLOWDOWN_FACTOR: Final = 2.0
+_SPEEDUP_FACTOR: Final = 0.9
 
 _LOG = logbook.Logger("topazlug.claims")
 
@@ -49,23 +49,23 @@
 
 
 @final
-class Refused(msgspec.Struct, frozen=True, kw_only=True):
+class Rejected(msgspec.Struct, frozen=True, kw_only=True):
     """The write had no effect and never will: the row is `current`."""
 
     current: _table_client.Row
 
 
-WriteResult = Written | Refused
+WriteResult = Written | Rejected
 
 
-class _Stage(enum.Enum):
-    WAITING = enum.auto()
+class _WriteStage(enum.Enum):
+    QUEUED = enum.auto()
     SENT = enum.auto()
     CANCELLED = enum.auto()
 
 
 @final
-class Ticket:
+class PendingWrite:
     """A write on its way.
 
     Parameters
@@ -76,14 +76,14 @@
 
     def __init__(self, write: RowWrite) -> None:
         self.write = write
-        self.stage = _Stage.WAITING
+        self.stage = _WriteStage.QUEUED
         self._result = event.AsyncResult()
 
     def cancel(self) -> bool:
         """Take the write back; False if it has been sent already."""
-        if self.stage is _Stage.SENT:
+        if self.stage is _WriteStage.SENT:
             return False
-        self.stage = _Stage.CANCELLED
+        self.stage = _WriteStage.CANCELLED
         return True
 
     def result(self, timeout: float | None = None) -> WriteResult | None:
@@ -101,17 +101,17 @@
             return None
         return self._result.get()
 
-    def set(self, result: WriteResult) -> None:
+    def set_result(self, result: WriteResult) -> None:
         """Say what became of the write."""
         self._result.set(result)
 
-    def fail(self, error: _errors.TopazlugError) -> None:
+    def set_error(self, error: _errors.TopazlugError) -> None:
         """Say why nothing certain, or certainly nothing, became of it."""
         self._result.set_exception(error)
 
 
 @final
-class _Pace:
+class _Pacer:
     """Time between transactions; grows while the store refuses.
 
     Without it each daemon would send as fast as the store answers, and a
@@ -132,13 +132,13 @@
             self._clock.sleep(wait)
         self._last = self._clock.monotonic()
 
-    def taken(self) -> None:
-        faster = self._interval * _FASTER
-        self._interval = max(faster, self._min_interval)
+    def record_success(self) -> None:
+        interval = self._interval * _SPEEDUP_FACTOR
+        self._interval = max(interval, self._min_interval)
 
-    def refused(self) -> None:
-        slower = max(self._interval, MIN_INTERVAL) * _SLOWER
-        self._interval = min(slower, MAX_INTERVAL)
+    def record_rejection(self) -> None:
+        interval = max(self._interval, MIN_INTERVAL_SECONDS) * _SLOWDOWN_FACTOR
+        self._interval = min(interval, MAX_INTERVAL_SECONDS)
 
 
 @final
@@ -153,7 +153,7 @@
         Paces the transactions.
     max_batch : int
         Most rows of one transaction.
-    max_waiting : int
+    max_queued : int
         Most claims that wait; writes that end a claim pass this bound.
     min_interval : float
         Least seconds between the starts of two transactions.
@@ -165,17 +165,19 @@
         store: _table_client.TableStore,
         clock: _clock.Clock,
         max_batch: int = MAX_BATCH,
-        max_waiting: int = MAX_WAITING,
-        min_interval: float = MIN_INTERVAL,
+        max_queued: int = MAX_QUEUED,
+        min_interval: float = MIN_INTERVAL_SECONDS,
     ) -> None:
         self._store = store
-        self._pace = _Pace(clock=clock, min_interval=min_interval)
+        self._pacer = _Pacer(clock=clock, min_interval=min_interval)
         self._max_batch = max_batch
-        self._max_waiting = max_waiting
-        self._waiting: collections.deque[Ticket] = collections.deque()
+        self._max_queued = max_queued
+        self._queue: collections.deque[PendingWrite] = collections.deque()
         self._worker: gevent.Greenlet | None = None
 
-    def submit(self, write: RowWrite, *, ends_claim: bool = False) -> Ticket:
+    def submit(
+        self, write: RowWrite, *, ends_claim: bool = False
+    ) -> PendingWrite:
         """Put a write in line.
 
         Raises
@@ -183,136 +185,139 @@
         StoreUnavailable
             The line is full; nothing was written.
         """
-        if not ends_claim and len(self._waiting) >= self._max_waiting:
+        if not ends_claim and len(self._queue) >= self._max_queued:
             raise _errors.StoreUnavailable(
-                f"{len(self._waiting)} claims wait for the table service",
-                retry_after=RETRY_AFTER,
+                f"{len(self._queue)} claims wait for the table service",
+                retry_after=RETRY_AFTER_SECONDS,
             )
-        ticket = Ticket(write)
-        self._waiting.append(ticket)
+        pending_write = PendingWrite(write)
+        self._queue.append(pending_write)
         if self._worker is None or self._worker.ready():
             self._worker = gevent.spawn(self._run)
-        return ticket
+        return pending_write
 
     def _run(self) -> None:
-        while self._waiting:
-            self._pace.wait()
-            batch = self._take()
+        while self._queue:
+            self._pacer.wait()
+            batch = self._next_batch()
             if batch:
                 self._commit(batch)
 
-    def _take(self) -> list[Ticket]:
-        ticket_by_key: dict[str, Ticket] = {}
-        later: collections.deque[Ticket] = collections.deque()
-        while self._waiting and len(ticket_by_key) < self._max_batch:
-            ticket = self._waiting.popleft()
-            if ticket.stage is _Stage.CANCELLED:
+    def _next_batch(self) -> list[PendingWrite]:
+        write_by_key: dict[str, PendingWrite] = {}
+        deferred: collections.deque[PendingWrite] = collections.deque()
+        while self._queue and len(write_by_key) < self._max_batch:
+            pending_write = self._queue.popleft()
+            if pending_write.stage is _WriteStage.CANCELLED:
                 continue
             # Two writes of one row can't be told apart by versions within
             # one transaction: both would be said to have been written. The
             # second goes in a later one and meets the first there.
-            if ticket.write.key in ticket_by_key:
-                later.append(ticket)
+            if pending_write.write.key in write_by_key:
+                deferred.append(pending_write)
                 continue
-            ticket_by_key[ticket.write.key] = ticket
-        self._waiting.extendleft(reversed(later))
-        return list(ticket_by_key.values())
+            write_by_key[pending_write.write.key] = pending_write
+        self._queue.extendleft(reversed(deferred))
+        return list(write_by_key.values())
 
-    def _commit(self, batch: list[Ticket]) -> None:
-        for ticket in batch:
-            ticket.stage = _Stage.SENT
+    def _commit(self, batch: list[PendingWrite]) -> None:
+        for pending_write in batch:
+            pending_write.stage = _WriteStage.SENT
         try:
             versions = self._transact(batch)
         except _table_client.TransactionConflict as conflict:
-            self._pace.taken()
-            self._answer_conflicts(batch, conflict.failed)
+            self._pacer.record_success()
+            self._complete_conflicts(batch, conflict.failed)
         except _errors.StoreUnavailable as error:
-            self._pace.refused()
-            _fail(batch, error)
+            self._pacer.record_rejection()
+            _fail_all(batch, error)
         except _errors.StoreAmbiguous as error:
-            self._settle_all(batch, error)
+            self._resolve_all(batch, error)
         except Exception as error:
             # A fault of the client that nobody foresaw. Left alone it would
             # end this greenlet with the batch unanswered: claims hang until
             # their deadlines, ends of claims for ever.
             _LOG.exception("batch of {} claims failed", len(batch))
-            self._settle_all(batch, _errors.StoreAmbiguous(repr(error)))
+            self._resolve_all(batch, _errors.StoreAmbiguous(repr(error)))
         else:
-            self._pace.taken()
-            self._answer_written(batch, versions)
+            self._pacer.record_success()
+            self._complete_written(batch, versions)
 
-    def _transact(self, batch: Iterable[Ticket]) -> dict[str, int]:
-        writes = [ticket.write for ticket in batch]
+    def _transact(self, batch: Iterable[PendingWrite]) -> dict[str, int]:
+        writes = [pending_write.write for pending_write in batch]
         return self._store.transact(
             conditions=[_condition(write) for write in writes],
             puts=[_put(write) for write in writes],
         )
 
-    def _answer_written(
-        self, batch: list[Ticket], versions: dict[str, int]
+    def _complete_written(
+        self, batch: list[PendingWrite], versions: dict[str, int]
     ) -> None:
-        for ticket in batch:
-            name = f"{_claim_rows.TABLE}/{ticket.write.key}"
+        for pending_write in batch:
+            name = f"{_claim_rows.TABLE}/{pending_write.write.key}"
             if name in versions:
-                ticket.set(Written(version=versions[name]))
+                pending_write.set_result(Written(version=versions[name]))
             else:
                 error = _errors.StoreAmbiguous(f"no version given for {name}")
-                gevent.spawn(self._settle, ticket, error)
+                gevent.spawn(self._resolve, pending_write, error)
 
-    def _answer_conflicts(
-        self, batch: list[Ticket], failed: list[_table_client.Row]
+    def _complete_conflicts(
+        self, batch: list[PendingWrite], failed: list[_table_client.Row]
     ) -> None:
         current_by_key = {row.key: row for row in failed}
-        left = [
-            ticket
-            for ticket in batch
-            if ticket.write.key not in current_by_key
+        unaffected = [
+            pending_write
+            for pending_write in batch
+            if pending_write.write.key not in current_by_key
         ]
-        if len(left) == len(batch):
+        if len(unaffected) == len(batch):
             why = "the table service refused a batch and named none of it"
-            _fail(
-                batch, _errors.StoreUnavailable(why, retry_after=RETRY_AFTER)
+            _fail_all(
+                batch,
+                _errors.StoreUnavailable(why, retry_after=RETRY_AFTER_SECONDS),
             )
             return
-        for ticket in batch:
-            current = current_by_key.get(ticket.write.key)
+        for pending_write in batch:
+            current = current_by_key.get(pending_write.write.key)
             if current is not None:
-                ticket.set(Refused(current=current))
-        self._put_back(left)
+                pending_write.set_result(Rejected(current=current))
+        self._requeue(unaffected)
 
-    def _put_back(self, left: list[Ticket]) -> None:
-        for ticket in left:
-            ticket.stage = _Stage.WAITING
-        self._waiting.extendleft(reversed(left))
+    def _requeue(self, unaffected: list[PendingWrite]) -> None:
+        for pending_write in unaffected:
+            pending_write.stage = _WriteStage.QUEUED
+        self._queue.extendleft(reversed(unaffected))
 
-    def _settle_all(
-        self, batch: list[Ticket], error: _errors.StoreAmbiguous
+    def _resolve_all(
+        self, batch: list[PendingWrite], error: _errors.StoreAmbiguous
     ) -> None:
         # Side by side and beside the line: a store that is slow to answer
         # reads would otherwise hold up every later claim.
-        for ticket in batch:
-            gevent.spawn(self._settle, ticket, error)
+        for pending_write in batch:
+            gevent.spawn(self._resolve, pending_write, error)
 
     # The answer to a write was lost. Taken for a failure, the caller would
     # be told not-run while the row says claimed; taken for a success, a
     # claim that another holds would send a second time. The row itself
     # tells, as only its own attempt writes an attempt's id.
-    def _settle(self, ticket: Ticket, error: _errors.StoreAmbiguous) -> None:
-        write = ticket.write
+    def _resolve(
+        self, pending_write: PendingWrite, error: _errors.StoreAmbiguous
+    ) -> None:
+        write = pending_write.write
         try:
             current = self._store.read(_claim_rows.TABLE, write.key)
         except _errors.StoreUnavailable:
-            ticket.fail(error)
+            pending_write.set_error(error)
             return
         # The row is as it was before: the write may be lost, or may only
         # be late and land after this read. Nobody can tell, so nobody is
         # told that it had no effect.
         if current is None or current.version <= write.version:
-            ticket.fail(error)
+            pending_write.set_error(error)
         elif _wrote(write, current):
-            ticket.set(Written(version=current.version))
+            pending_write.set_result(Written(version=current.version))
         else:
-            ticket.set(Refused(current=current))
+            pending_write.set_result(Rejected(current=current))
 
 
 def _condition(write: RowWrite) -> _table_client.Condition:
@@ -325,18 +330,20 @@
     return _table_client.Put(
         table=_claim_rows.TABLE,
         key=write.key,
-        value=_claim_rows.value_of(write.row),
+        value=_claim_rows.row_value(write.row),
     )
 
 
 def _wrote(write: RowWrite, current: _table_client.Row) -> bool:
-    row = _claim_rows.row_of(current.value)
+    row = _claim_rows.parse_row(current.value)
     if row is None:
         return False
-    same_attempt = row.attempt == write.row.attempt
-    return same_attempt and row.state is write.row.state
+    is_same_attempt = row.attempt == write.row.attempt
+    return is_same_attempt and row.state is write.row.state
 
 
-def _fail(batch: Iterable[Ticket], error: _errors.StoreUnavailable) -> None:
-    for ticket in batch:
-        ticket.fail(error)
+def _fail_all(
+    batch: Iterable[PendingWrite], error: _errors.StoreUnavailable
+) -> None:
+    for pending_write in batch:
+        pending_write.set_error(error)
--- a/src/topazlug/claims/_claim_settling.py
+++ b/src/topazlug/claims/_claim_finalizer.py
@@ -12,12 +12,12 @@
 from topazlug.claims import _claim_rows
 from topazlug.store import _object_client
 
-SETTLE_SECONDS = 60.0
-OBJECT_SECONDS = 30.0
+FINALIZE_TIMEOUT_SECONDS = 60.0
+OBJECT_TIMEOUT_SECONDS = 30.0
 MAX_PENDING = 1024
 MAX_PENDING_BYTES = 8 * 1024 * 1024
 MAX_ROW_BYTES = 4096
-_FIRST_BACKOFF = 0.1
+_INITIAL_BACKOFF = 0.1
 _MAX_BACKOFF = 5.0
 
 _LOG = logbook.Logger("topazlug.claims")
@@ -44,7 +44,7 @@
 
 
 @final
-class ClaimSettler:
+class ClaimFinalizer:
     """Ends claims without holding up the caller's answer.
 
     Parameters
@@ -89,14 +89,14 @@
     ) -> None:
         """Write the answer of a request that ran; returns at once."""
         size = _size(headers, body)
-        if size > self._max_kept_bytes or not self._has_room(size):
+        if size > self._max_kept_bytes or not self._has_capacity(size):
             headers, body, size = [], b"", self._max_kept_bytes + 1
-        if not self._admits(held):
+        if not self._accepts(held):
             return
         answer = _claim_rows.AnswerRow(
             status=status,
             headers=headers,
-            place=self._place(size),
+            place=self._location_for(size),
             body=body,
         )
         self._pending_bytes += len(body)
@@ -109,34 +109,34 @@
         the insert would go. The insert then finds its condition broken,
         whenever it arrives.
         """
-        if self._admits(held):
+        if self._accepts(held):
             self._jobs.spawn(self._release, held)
 
-    def release_late(
-        self, held: HeldRow, ticket: _claim_commit.Ticket
+    def release_once_written(
+        self, held: HeldRow, pending_write: _claim_commit.PendingWrite
     ) -> None:
         """Free the key once an insert that nobody waits for has landed."""
-        if self._admits(held):
-            self._jobs.spawn(self._release_late, held, ticket)
+        if self._accepts(held):
+            self._jobs.spawn(self._release_once_written, held, pending_write)
 
-    def _has_room(self, size: int) -> bool:
+    def _has_capacity(self, size: int) -> bool:
         return self._pending_bytes + size <= MAX_PENDING_BYTES
 
     # During a long outage of the store the claims that wait for their end
     # would fill the memory. A claim left as it is says unknown, which is
     # true, so dropping its end costs only that.
-    def _admits(self, held: HeldRow) -> bool:
+    def _accepts(self, held: HeldRow) -> bool:
         if len(self._jobs) < MAX_PENDING:
             return True
         _LOG.warning("claim {} stays unknown: too many wait", held.key)
         return False
 
-    def _place(self, size: int) -> _claim_rows.AnswerPlace:
+    def _location_for(self, size: int) -> _claim_rows.AnswerLocation:
         if size > self._max_kept_bytes:
-            return _claim_rows.AnswerPlace.NOWHERE
+            return _claim_rows.AnswerLocation.NOWHERE
         if size > MAX_ROW_BYTES:
-            return _claim_rows.AnswerPlace.OBJECT
-        return _claim_rows.AnswerPlace.ROW
+            return _claim_rows.AnswerLocation.OBJECT
+        return _claim_rows.AnswerLocation.ROW
 
     def _finish(self, held: HeldRow, answer: _claim_rows.AnswerRow) -> None:
         try:
@@ -154,17 +154,17 @@
         answer: _claim_rows.AnswerRow,
     ) -> _claim_rows.AnswerRow:
         """Keep a large body; only then may a row point to it."""
-        if answer.place is not _claim_rows.AnswerPlace.OBJECT:
+        if answer.place is not _claim_rows.AnswerLocation.OBJECT:
             return answer
         if self._put_object(object_key(attempt), answer.body):
             return msgspec.structs.replace(answer, body=b"")
         return msgspec.structs.replace(
-            answer, place=_claim_rows.AnswerPlace.NOWHERE, body=b""
+            answer, place=_claim_rows.AnswerLocation.NOWHERE, body=b""
         )
 
     def _put_object(self, key: str, body: bytes) -> bool:
-        until = self._clock.monotonic() + OBJECT_SECONDS
-        backoff = _FIRST_BACKOFF
+        until = self._clock.monotonic() + OBJECT_TIMEOUT_SECONDS
+        backoff = _INITIAL_BACKOFF
         while True:
             try:
                 self._objects.put(key, body)
@@ -175,11 +175,11 @@
             self._clock.sleep(backoff)
             backoff = min(backoff * 2, _MAX_BACKOFF)
 
-    def _release_late(
-        self, held: HeldRow, ticket: _claim_commit.Ticket
+    def _release_once_written(
+        self, held: HeldRow, pending_write: _claim_commit.PendingWrite
     ) -> None:
         try:
-            result = ticket.result()
+            result = pending_write.result()
         except _errors.StoreUnavailable:
             return
         except _errors.StoreAmbiguous:
@@ -196,14 +196,14 @@
         self._write(held, released)
 
     def _write(self, held: HeldRow, row: _claim_rows.ClaimRow) -> None:
-        until = self._clock.monotonic() + SETTLE_SECONDS
-        backoff = _FIRST_BACKOFF
+        until = self._clock.monotonic() + FINALIZE_TIMEOUT_SECONDS
+        backoff = _INITIAL_BACKOFF
         version = held.version
         while True:
             result = self._try_write(held.key, version, row)
             if isinstance(result, _claim_commit.Written):
                 return
-            if isinstance(result, _claim_commit.Refused):
+            if isinstance(result, _claim_commit.Rejected):
                 if not _still_claimed(row, result):
                     return
                 version = result.current.version
@@ -217,9 +217,9 @@
         self, key: str, version: int, row: _claim_rows.ClaimRow
     ) -> _claim_commit.WriteResult | None:
         write = _claim_commit.RowWrite(key=key, version=version, row=row)
-        ticket = self._committer.submit(write, ends_claim=True)
+        pending_write = self._committer.submit(write, ends_claim=True)
         try:
-            return ticket.result()
+            return pending_write.result()
         except (_errors.StoreUnavailable, _errors.StoreAmbiguous):
             return None
 
@@ -237,9 +237,9 @@
 # insert had landed after all, the row shows the same attempt as claimed, at
 # a later version: that is the one to end.
 def _still_claimed(
-    row: _claim_rows.ClaimRow, refused: _claim_commit.Refused
+    row: _claim_rows.ClaimRow, rejected: _claim_commit.Rejected
 ) -> bool:
-    current = _claim_rows.row_of(refused.current.value)
+    current = _claim_rows.parse_row(rejected.current.value)
     if current is None or current.attempt != row.attempt:
         return False
     return current.state is _claim_rows.ClaimState.CLAIMED
--- a/src/topazlug/claims/_claim_rows.py
+++ b/src/topazlug/claims/_claim_rows.py
@@ -36,7 +36,7 @@
     RELEASED = "released"
 
 
-class AnswerPlace(enum.Enum):
+class AnswerLocation(enum.Enum):
     """Where the body of a finished request's answer is kept."""
 
     ROW = "row"
@@ -54,7 +54,7 @@
         HTTP status code.
     headers : list of (str, str)
         In the order of the answer.
-    place : AnswerPlace
+    place : AnswerLocation
         Where the body is.
     body : bytes
         The body if it is in the row, base64 in JSON; else empty.
@@ -62,7 +62,7 @@
 
     status: int
     headers: list[tuple[str, str]]
-    place: AnswerPlace
+    place: AnswerLocation
     body: bytes = b""
 
 
@@ -120,12 +120,12 @@
     return hashlib.sha256(b"".join(digests)).hexdigest()
 
 
-def value_of(row: ClaimRow) -> dict[str, Any]:
+def row_value(row: ClaimRow) -> dict[str, Any]:
     """Give the JSON object to write."""
     return msgspec.to_builtins(row)
 
 
-def row_of(value: dict[str, Any] | None) -> ClaimRow | None:
+def parse_row(value: dict[str, Any] | None) -> ClaimRow | None:
     """Read a JSON object; None if it is no claim that this version knows."""
     try:
         return msgspec.convert(value, ClaimRow)
--- a/src/topazlug/claims/_claim_sweep.py
+++ b/src/topazlug/claims/_claim_sweep.py
@@ -20,12 +20,12 @@
 from topazlug.store import _table_client
 
 PAGE_ROWS = 500
-PAGE_INTERVAL = 1.0
-BATCH_ROWS = 64
+PAGE_INTERVAL_SECONDS = 1.0
+MAX_BATCH_ROWS = 64
 # Clocks of two daemons differ, and a write sent before `expires` may land
 # late. Deleted too early, a row would let the key be claimed again while
 # its first holder still believes it may send.
-MARGIN = datetime.timedelta(hours=1)
+EXPIRY_MARGIN = datetime.timedelta(hours=1)
 
 _LOG = logbook.Logger("topazlug.claims")
 
@@ -55,7 +55,7 @@
         clock: _clock.Clock,
         daemon_id: _ids.DaemonId,
         usable: Callable[[], Collection[_ids.DaemonId]],
-        page_interval: float = PAGE_INTERVAL,
+        page_interval: float = PAGE_INTERVAL_SECONDS,
     ) -> None:
         self._store = store
         self._clock = clock
@@ -69,7 +69,7 @@
         """Sweep until the greenlet is killed."""
         while True:
             self._clock.sleep(self._page_interval)
-            if sweeper_of(self._usable()) == self._daemon_id:
+            if choose_sweeper(self._usable()) == self._daemon_id:
                 self.sweep_page()
 
     def sweep_page(self) -> None:
@@ -81,22 +81,22 @@
         except _errors.StoreUnavailable:
             return
         expired = [row for row in page.rows if self._has_expired(row)]
-        for start in range(0, len(expired), BATCH_ROWS):
-            self._delete(expired[start : start + BATCH_ROWS])
+        for start in range(0, len(expired), MAX_BATCH_ROWS):
+            self._delete(expired[start : start + MAX_BATCH_ROWS])
         self._after = page.rows[-1].key if page.more else ""
 
     def _has_expired(self, row: _table_client.Row) -> bool:
-        claim = _claim_rows.row_of(row.value)
+        claim = _claim_rows.parse_row(row.value)
         if claim is None:
             return False
-        return claim.expires + MARGIN < self._clock.now()
+        return claim.expires + EXPIRY_MARGIN < self._clock.now()
 
     def _delete(self, rows: list[_table_client.Row]) -> None:
         try:
             self._store.transact(
                 conditions=[_unchanged(row) for row in rows],
                 puts=[],
-                deletes=[_delete_of(row) for row in rows],
+                deletes=[_deletion(row) for row in rows],
             )
         except (
             _table_client.TransactionConflict,
@@ -109,7 +109,7 @@
         self.deleted += len(rows)
 
 
-def sweeper_of(
+def choose_sweeper(
     daemon_ids: Collection[_ids.DaemonId],
 ) -> _ids.DaemonId | None:
     """Choose who sweeps: the highest hash; None if nobody is there."""
@@ -126,5 +126,5 @@
     )
 
 
-def _delete_of(row: _table_client.Row) -> _table_client.Delete:
+def _deletion(row: _table_client.Row) -> _table_client.Delete:
     return _table_client.Delete(table=row.table, key=row.key)
--- a/src/topazlug/claims/_claims.py
+++ b/src/topazlug/claims/_claims.py
@@ -16,16 +16,18 @@
 from topazlug import _errors
 from topazlug import _ids
 from topazlug.claims import _claim_commit
+from topazlug.claims import _claim_finalizer
 from topazlug.claims import _claim_rows
-from topazlug.claims import _claim_settling
 from topazlug.store import _object_client
 from topazlug.store import _table_client
 
 LIFETIME = datetime.timedelta(hours=24)
-IN_USE_RETRY_AFTER = 5.0
-RETRY_AFTER = 1.0
+IN_USE_RETRY_AFTER_SECONDS = 5.0
+RETRY_AFTER_SECONDS = 1.0
 _MAX_ATTEMPTS = 4
-_EARLIER = "; an earlier attempt under this key, if any, is not meant"
+_EARLIER_ATTEMPT_CAVEAT = (
+    "; an earlier attempt under this key, if any, is not meant"
+)
 
 
 @final
@@ -60,7 +62,7 @@
         The row that says so.
     deadline : float
         Monotonic seconds from which on the attempt may not send.
-    settler : ClaimSettler
+    finalizer : ClaimFinalizer
         Writes the end of the claim.
     clock : Clock
         This daemon's own.
@@ -69,15 +71,15 @@
     def __init__(
         self,
         *,
-        held: _claim_settling.HeldRow,
+        held: _claim_finalizer.HeldRow,
         deadline: float,
-        settler: _claim_settling.ClaimSettler,
+        finalizer: _claim_finalizer.ClaimFinalizer,
         clock: _clock.Clock,
     ) -> None:
         self.attempt = held.row.attempt
         self._held = held
         self._deadline = deadline
-        self._settler = settler
+        self._finalizer = finalizer
         self._clock = clock
         self._ended = False
         self._may_have_sent = False
@@ -120,7 +122,7 @@
             The claim was ended before.
         """
         self._end()
-        self._settler.release(self._held)
+        self._finalizer.release(self._held)
 
     def finish(
         self, status: int, headers: list[tuple[str, str]], body: bytes
@@ -133,7 +135,7 @@
             The claim was ended before.
         """
         self._end()
-        self._settler.finish(
+        self._finalizer.finish(
             self._held, status=status, headers=headers, body=body
         )
 
@@ -148,7 +150,7 @@
 
 
 @final
-class ClaimKeeper:
+class ClaimManager:
     """Claims requests for one daemon.
 
     Parameters
@@ -165,7 +167,7 @@
         Largest answer, headers and body, that is kept for repeats.
     lifetime : timedelta
         How long a key is remembered.
-    max_waiting : int
+    max_queued : int
         Most claims that wait for the table service.
     max_batch : int
         Most rows of one transaction.
@@ -182,9 +184,9 @@
         clock: _clock.Clock,
         max_kept_bytes: int,
         lifetime: datetime.timedelta = LIFETIME,
-        max_waiting: int = _claim_commit.MAX_WAITING,
+        max_queued: int = _claim_commit.MAX_QUEUED,
         max_batch: int = _claim_commit.MAX_BATCH,
-        min_interval: float = _claim_commit.MIN_INTERVAL,
+        min_interval: float = _claim_commit.MIN_INTERVAL_SECONDS,
     ) -> None:
         self._objects = objects
         self._daemon_id = daemon_id
@@ -193,11 +195,11 @@
         self._committer = _claim_commit.GroupCommitter(
             store=store,
             clock=clock,
-            max_waiting=max_waiting,
+            max_queued=max_queued,
             max_batch=max_batch,
             min_interval=min_interval,
         )
-        self._settler = _claim_settling.ClaimSettler(
+        self._finalizer = _claim_finalizer.ClaimFinalizer(
             committer=self._committer,
             objects=objects,
             clock=clock,
@@ -245,23 +247,23 @@
             held = self._new_row(row_key, version, fingerprint)
             result = self._write(held, deadline)
             if isinstance(result, _claim_commit.Written):
-                return self._claimed(held, result.version, deadline)
+                return self._make_claim(held, result.version, deadline)
             kept = self._kept_answer(result.current, fingerprint)
             if kept is not None:
                 return kept
             version = result.current.version
         raise _not_claimed("the key changed hands again and again")
 
-    def wait_settled(self, timeout: float) -> int:
+    def wait_finalized(self, timeout: float) -> int:
         """Wait until ended claims are written; return how many are left.
 
         For a planned stop. `timeout` is in seconds.
         """
-        return self._settler.wait(timeout)
+        return self._finalizer.wait(timeout)
 
     def _new_row(
         self, row_key: str, version: int, fingerprint: str
-    ) -> _claim_settling.HeldRow:
+    ) -> _claim_finalizer.HeldRow:
         now = self._clock.now()
         row = _claim_rows.ClaimRow(
             attempt=_claim_rows.AttemptId(uuid.uuid4().hex),
@@ -271,50 +273,52 @@
             claimed_at=now,
             expires=now + self._lifetime,
         )
-        return _claim_settling.HeldRow(key=row_key, version=version, row=row)
+        return _claim_finalizer.HeldRow(key=row_key, version=version, row=row)
 
     def _write(
-        self, held: _claim_settling.HeldRow, deadline: float
+        self, held: _claim_finalizer.HeldRow, deadline: float
     ) -> _claim_commit.WriteResult:
         write = _claim_commit.RowWrite(
             key=held.key, version=held.version, row=held.row
         )
-        ticket = self._committer.submit(write)
+        pending_write = self._committer.submit(write)
         try:
             left = max(deadline - self._clock.monotonic(), 0.0)
-            result = ticket.result(timeout=left)
+            result = pending_write.result(timeout=left)
         except _errors.StoreUnavailable as error:
             raise _not_claimed(error.message, error.retry_after) from error
         except _errors.StoreAmbiguous as error:
-            self._settler.release(held)
+            self._finalizer.release(held)
             raise _not_claimed(error.message) from error
         except BaseException:
             # Killed while waiting: the insert may land with nobody left to
             # send or release, and the key would say unknown for a day.
-            self._give_up(held, ticket)
+            self._abandon_write(held, pending_write)
             raise
         if result is None:
-            self._give_up(held, ticket)
+            self._abandon_write(held, pending_write)
             raise _too_late("deadline passed while the claim waited")
         return result
 
-    def _give_up(
-        self, held: _claim_settling.HeldRow, ticket: _claim_commit.Ticket
+    def _abandon_write(
+        self,
+        held: _claim_finalizer.HeldRow,
+        pending_write: _claim_commit.PendingWrite,
     ) -> None:
-        if not ticket.cancel():
-            self._settler.release_late(held, ticket)
+        if not pending_write.cancel():
+            self._finalizer.release_once_written(held, pending_write)
 
-    def _claimed(
-        self, held: _claim_settling.HeldRow, version: int, deadline: float
+    def _make_claim(
+        self, held: _claim_finalizer.HeldRow, version: int, deadline: float
     ) -> Claim:
         claimed = msgspec.structs.replace(held, version=version)
         if self._clock.monotonic() >= deadline:
-            self._settler.release(claimed)
+            self._finalizer.release(claimed)
             raise _too_late("deadline passed while the claim was written")
         return Claim(
             held=claimed,
             deadline=deadline,
-            settler=self._settler,
+            finalizer=self._finalizer,
             clock=self._clock,
         )
 
@@ -324,7 +328,7 @@
         """Judge the row that stands; None if the key is free."""
         if current.version == _table_client.ABSENT:
             return None
-        row = _claim_rows.row_of(current.value)
+        row = _claim_rows.parse_row(current.value)
         if row is None:
             raise _in_use("its claim was written by another version")
         if row.fingerprint != fingerprint:
@@ -344,9 +348,9 @@
         answer: _claim_rows.AnswerRow,
     ) -> KeptAnswer:
         body: bytes | None = answer.body
-        if answer.place is _claim_rows.AnswerPlace.NOWHERE:
+        if answer.place is _claim_rows.AnswerLocation.NOWHERE:
             body = None
-        if answer.place is _claim_rows.AnswerPlace.OBJECT:
+        if answer.place is _claim_rows.AnswerLocation.OBJECT:
             body = self._object(attempt)
         if body is None:
             raise _not_kept("its answer was not kept")
@@ -358,7 +362,7 @@
     # and false of the request: the caller would send it anew.
     def _object(self, attempt: _claim_rows.AttemptId) -> bytes | None:
         try:
-            return self._objects.get(_claim_settling.object_key(attempt))
+            return self._objects.get(_claim_finalizer.object_key(attempt))
         except _errors.StoreUnavailable as error:
             raise _not_kept(
                 "its answer can't be read now", error.retry_after
@@ -370,15 +374,17 @@
 
 
 def _too_late(why: str) -> _errors.DeadlineExceeded:
-    return _errors.DeadlineExceeded(why + _EARLIER, retry_after=RETRY_AFTER)
+    return _errors.DeadlineExceeded(
+        why + _EARLIER_ATTEMPT_CAVEAT, retry_after=RETRY_AFTER_SECONDS
+    )
 
 
 def _not_claimed(
     why: str, retry_after: float | None = None
 ) -> _errors.StoreUnavailable:
     return _errors.StoreUnavailable(
-        f"request not claimed, so not sent: {why}{_EARLIER}",
-        retry_after=retry_after or RETRY_AFTER,
+        f"request not claimed, so not sent: {why}{_EARLIER_ATTEMPT_CAVEAT}",
+        retry_after=retry_after or RETRY_AFTER_SECONDS,
     )
 
 
@@ -386,7 +392,7 @@
     return _errors.KeyInUse(
         f"this Idempotency-Key is in use: {why}",
         outcome=_errors.Outcome.UNKNOWN,
-        retry_after=IN_USE_RETRY_AFTER,
+        retry_after=IN_USE_RETRY_AFTER_SECONDS,
     )
 
 
--- a/tests/topazlug/claim_fakes.py
+++ b/tests/topazlug/claim_fakes.py
@@ -27,7 +27,7 @@
 
     A lost answer comes after the effect, a lost request has none, and a
     late one has its effect when the test says `land`. A held call waits for
-    the event `go_on`.
+    the event `unblocked`.
     """
 
     NONE = enum.auto()
@@ -36,7 +36,7 @@
     REQUEST_LOST = enum.auto()
     LATE = enum.auto()
     DELAYED = enum.auto()
-    HELD = enum.auto()
+    BLOCKED = enum.auto()
 
 
 @final
@@ -69,7 +69,7 @@
         self.transact_faults: collections.deque[Fault] = collections.deque()
         self.read_faults: collections.deque[Fault] = collections.deque()
         self.batch_sizes: list[int] = []
-        self.go_on = event.Event()
+        self.unblocked = event.Event()
         self._late: list[Callable[[], object]] = []
 
     def read(self, table, key):
@@ -98,15 +98,15 @@
         if fault is Fault.DELAYED:
             for _ in range(10):
                 gevent.sleep(0)
-        if fault is Fault.HELD:
-            self.go_on.wait()
+        if fault is Fault.BLOCKED:
+            self.unblocked.wait()
         versions = self._apply(conditions, puts, deletes)
         gevent.sleep(0)
         if fault is Fault.ANSWER_LOST:
             raise _errors.StoreAmbiguous("answer lost")
         return versions
 
-    def land(self) -> None:
+    def apply_late_writes(self) -> None:
         """Let late writes have their effect, if their conditions hold."""
         late, self._late = self._late, []
         for apply in late:
@@ -118,7 +118,7 @@
     def claim_row(self, key: str = ROW_KEY) -> _claim_rows.ClaimRow | None:
         """Give the claim under a row key."""
         row = self.row_by_key.get(key)
-        return None if row is None else _claim_rows.row_of(row.value)
+        return None if row is None else _claim_rows.parse_row(row.value)
 
     def _apply(self, conditions, puts, deletes):
         current = [self._current(asked) for asked in conditions]
@@ -140,11 +140,11 @@
             self.row_by_key.pop(delete.key, None)
         return versions
 
-    def _current(self, named) -> _table_client.Row:
+    def _current(self, operation) -> _table_client.Row:
         absent = _table_client.Row(
-            table=named.table, key=named.key, version=0, value=None
+            table=operation.table, key=operation.key, version=0, value=None
         )
-        return self.row_by_key.get(named.key, absent)
+        return self.row_by_key.get(operation.key, absent)
 
 
 @final
@@ -166,9 +166,11 @@
         return self.data_by_key.get(key)
 
 
-def make_keeper(store, *, objects=None, clock=None, name="d1", **options):
-    """Make a ClaimKeeper of daemon `name` over fakes."""
-    return _claims.ClaimKeeper(
+def make_claim_manager(
+    store, *, objects=None, clock=None, name="d1", **options
+):
+    """Make a ClaimManager of daemon `name` over fakes."""
+    return _claims.ClaimManager(
         store=store,
         objects=objects or FakeObjects(),
         daemon_id=_ids.DaemonId(name),
@@ -180,10 +182,10 @@
 
 
 def claim(
-    keeper, *, key="k", fingerprint=FINGERPRINT, deadline=1000.0, team=TEAM
+    manager, *, key="k", fingerprint=FINGERPRINT, deadline=1000.0, team=TEAM
 ):
     """Claim with the values that most tests share."""
-    return keeper.claim(
+    return manager.claim(
         team=team,
         service=SERVICE,
         key=key,
@@ -192,13 +194,13 @@
     )
 
 
-def crash(keeper) -> None:
+def crash(manager) -> None:
     """Kill all that a daemon's keeper has running."""
-    worker = keeper._committer._worker
+    worker = manager._committer._worker
     if worker is not None:
         worker.kill()
-    keeper._settler._jobs.kill()
-    keeper._settler._admits = lambda held: False
+    manager._finalizer._jobs.kill()
+    manager._finalizer._accepts = lambda held: False
 
 
 def _next(faults: collections.deque[Fault]) -> Fault:
--- a/tests/topazlug/claims/test_claim_commit.py
+++ b/tests/topazlug/claims/test_claim_commit.py
@@ -53,13 +53,20 @@
         while not store.batch_sizes:
             gevent.sleep(0)
         later = [committer.submit(make_write(str(n))) for n in range(1, 41)]
-        for ticket in (first, *later):
-            assert isinstance(ticket.result(), _claim_commit.Written)
+        for pending_write in (first, *later):
+            assert isinstance(pending_write.result(), _claim_commit.Written)
         assert store.batch_sizes == [1, 40]
 
     def test_batches_are_bounded(self, committer, store):
-        tickets = [committer.submit(make_write(str(n))) for n in range(100)]
-        gevent.joinall([gevent.spawn(ticket.result) for ticket in tickets])
+        pending_writes = [
+            committer.submit(make_write(str(n))) for n in range(100)
+        ]
+        gevent.joinall(
+            [
+                gevent.spawn(pending_write.result)
+                for pending_write in pending_writes
+            ]
+        )
         assert store.batch_sizes == [64, 36]
 
     def test_conflict_spares_the_others(self, committer, store):
@@ -69,10 +76,12 @@
         every claim that shares its batch.
         """
         committer.submit(make_write("3", attempt="b")).result()
-        tickets = [committer.submit(make_write(str(n))) for n in range(5)]
-        results = [ticket.result() for ticket in tickets]
-        refused = [isinstance(r, _claim_commit.Refused) for r in results]
-        assert refused == [False, False, False, True, False]
+        pending_writes = [
+            committer.submit(make_write(str(n))) for n in range(5)
+        ]
+        results = [pending_write.result() for pending_write in pending_writes]
+        rejected = [isinstance(r, _claim_commit.Rejected) for r in results]
+        assert rejected == [False, False, False, True, False]
 
     def test_same_key_twice_waits_for_the_first(self, committer):
         """Both of two requests under one key are told that they hold it.
@@ -82,13 +91,15 @@
         first = committer.submit(make_write("k", attempt="a"))
         second = committer.submit(make_write("k", attempt="b"))
         assert isinstance(first.result(), _claim_commit.Written)
-        assert isinstance(second.result(), _claim_commit.Refused)
+        assert isinstance(second.result(), _claim_commit.Rejected)
 
     def test_lost_answer_is_settled_row_by_row(self, committer, store):
         """A whole batch is called failed although it was committed."""
         store.transact_faults.append(fakes.Fault.ANSWER_LOST)
-        tickets = [committer.submit(make_write(str(n))) for n in range(3)]
-        results = [ticket.result() for ticket in tickets]
+        pending_writes = [
+            committer.submit(make_write(str(n))) for n in range(3)
+        ]
+        results = [pending_write.result() for pending_write in pending_writes]
         assert results == [_claim_commit.Written(version=1)] * 3
 
     def test_absent_after_a_lost_answer_is_not_certain(self, committer, store):
@@ -98,9 +109,9 @@
         without effect.
         """
         store.transact_faults.append(fakes.Fault.LATE)
-        ticket = committer.submit(make_write("k"))
+        pending_write = committer.submit(make_write("k"))
         with pytest.raises(_errors.StoreAmbiguous):
-            ticket.result()
+            pending_write.result()
 
     def test_conflict_that_names_no_row_ends(self, committer, store):
         """The daemon asks for the same transaction for ever."""
@@ -129,7 +140,7 @@
 
 class TestLine:
     def test_is_bounded(self, store, clock):
-        committer = make_committer(store, clock, max_waiting=2)
+        committer = make_committer(store, clock, max_queued=2)
         for number in range(2):
             committer.submit(make_write(str(number)))
         with pytest.raises(_errors.StoreUnavailable):
@@ -137,22 +148,22 @@
 
     def test_ends_of_claims_pass_the_bound(self, store, clock):
         """Answers are lost for repeats just when many claims wait."""
-        committer = make_committer(store, clock, max_waiting=0)
-        ticket = committer.submit(make_write("k"), ends_claim=True)
-        assert isinstance(ticket.result(), _claim_commit.Written)
+        committer = make_committer(store, clock, max_queued=0)
+        pending_write = committer.submit(make_write("k"), ends_claim=True)
+        assert isinstance(pending_write.result(), _claim_commit.Written)
 
     def test_cancelled_write_is_not_sent(self, committer, store):
-        ticket = committer.submit(make_write("k"))
-        assert ticket.cancel()
+        pending_write = committer.submit(make_write("k"))
+        assert pending_write.cancel()
         other = committer.submit(make_write("other"))
         other.result()
         assert list(store.row_by_key) == ["other"]
 
     def test_sent_write_can_not_be_cancelled(self, committer, store):
-        ticket = committer.submit(make_write("k"))
+        pending_write = committer.submit(make_write("k"))
         while not store.batch_sizes:
             gevent.sleep(0)
-        assert not ticket.cancel()
+        assert not pending_write.cancel()
 
 
 class TestPace:
@@ -163,10 +174,10 @@
         for number in range(4):
             gevent.spawn(committer.submit(make_write(str(number))).result)
             gevent.sleep(0)
-            while committer._waiting or not committer._worker.ready():
+            while committer._queue or not committer._worker.ready():
                 gevent.sleep(0)
         slowed = clock.monotonic()
-        assert slowed > _claim_commit.MIN_INTERVAL * 4
+        assert slowed > _claim_commit.MIN_INTERVAL_SECONDS * 4
         for number in range(4, 60):
             committer.submit(make_write(str(number))).result()
         before = clock.monotonic()
@@ -220,6 +231,6 @@
 
     def test_one_daemon_is_chosen(self):
         ids = [_ids.DaemonId(f"d{number}") for number in range(9)]
-        chosen = _claim_sweep.sweeper_of(ids)
-        assert chosen == _claim_sweep.sweeper_of(list(reversed(ids)))
+        chosen = _claim_sweep.choose_sweeper(ids)
+        assert chosen == _claim_sweep.choose_sweeper(list(reversed(ids)))
         assert chosen in ids
--- a/tests/topazlug/claims/test_claims.py
+++ b/tests/topazlug/claims/test_claims.py
@@ -38,19 +38,19 @@
 
 
 @pytest.fixture
-def keeper(store, objects, clock):
-    return fakes.make_keeper(store, objects=objects, clock=clock)
+def manager(store, objects, clock):
+    return fakes.make_claim_manager(store, objects=objects, clock=clock)
 
 
 class TestClaim:
-    def test_first_attempt_holds_the_row(self, keeper, store):
-        claim = fakes.claim(keeper)
+    def test_first_attempt_holds_the_row(self, manager, store):
+        claim = fakes.claim(manager)
         claim.may_send()
         assert store.claim_row().attempt == claim.attempt
 
-    def test_other_teams_have_their_own_keys(self, keeper):
-        fakes.claim(keeper, team="a/b")
-        assert isinstance(fakes.claim(keeper, team="a"), _claims.Claim)
+    def test_other_teams_have_their_own_keys(self, manager):
+        fakes.claim(manager, team="a/b")
+        assert isinstance(fakes.claim(manager, team="a"), _claims.Claim)
 
     def test_names_with_slashes_do_not_meet(self):
         """A team is given another team's answer.
@@ -62,42 +62,42 @@
         other = _claim_rows.row_key(team="a/b", service="c", key="k")
         assert one != other
 
-    def test_running_attempt_makes_the_key_unknown(self, keeper, store):
+    def test_running_attempt_makes_the_key_unknown(self, manager, store):
         """A slip is printed twice after its daemon died.
 
         The first daemon claims, sends and dies; the caller repeats at a
         second one, which takes the claim for abandoned.
         """
-        fakes.claim(keeper).may_send()
+        fakes.claim(manager).may_send()
         with pytest.raises(_errors.KeyInUse) as caught:
-            fakes.claim(fakes.make_keeper(store, name="d2"))
+            fakes.claim(fakes.make_claim_manager(store, name="d2"))
         assert caught.value.outcome is _errors.Outcome.UNKNOWN
         assert caught.value.retry_after
 
-    def test_row_of_another_version_is_unknown(self, keeper, store):
+    def test_row_of_another_version_is_unknown(self, manager, store):
         """A newer daemon's claim is taken for a free key during a rollout."""
         store.row_by_key[fakes.ROW_KEY] = _table_client.Row(
             table="claims", key=fakes.ROW_KEY, version=3, value={"new": 1}
         )
         with pytest.raises(_errors.KeyInUse):
-            fakes.claim(keeper)
+            fakes.claim(manager)
 
     @pytest.mark.parametrize("end", ["abandon", "release", "finish"])
-    def test_other_request_is_refused_in_each_state(self, keeper, end):
-        claim = fakes.claim(keeper)
+    def test_other_request_is_refused_in_each_state(self, manager, end):
+        claim = fakes.claim(manager)
         arguments = (200, HEADERS, b"done") if end == "finish" else ()
         getattr(claim, end)(*arguments)
-        keeper.wait_settled(10.0)
+        manager.wait_finalized(10.0)
         with pytest.raises(_errors.KeyReused):
-            fakes.claim(keeper, fingerprint=OTHER)
+            fakes.claim(manager, fingerprint=OTHER)
 
-    def test_two_at_once_in_one_daemon(self, keeper):
+    def test_two_at_once_in_one_daemon(self, manager):
         """A double click registers a student twice.
 
         Both requests reach one daemon in the same moment and go into the
         same batch, where each is told that its row was written.
         """
-        jobs = [gevent.spawn(fakes.claim, keeper) for _ in range(2)]
+        jobs = [gevent.spawn(fakes.claim, manager) for _ in range(2)]
         gevent.joinall(jobs)
         results = [job.value or job.exception for job in jobs]
         kinds = sorted(type(result).__name__ for result in results)
@@ -105,33 +105,33 @@
 
 
 class TestStoreFaults:
-    def test_down_is_not_run(self, keeper, store):
+    def test_down_is_not_run(self, manager, store):
         store.transact_faults.append(fakes.Fault.DOWN)
         with pytest.raises(_errors.StoreUnavailable) as caught:
-            fakes.claim(keeper)
+            fakes.claim(manager)
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
         assert caught.value.retry_after == 3
 
-    def test_lost_answer_is_settled_by_reading_back(self, keeper, store):
+    def test_lost_answer_is_settled_by_reading_back(self, manager, store):
         """A request is refused for good although its own claim stands.
 
         The store commits the claim and its answer is lost. Without a read
         back the daemon refuses, and each repeat meets the claim.
         """
         store.transact_faults.append(fakes.Fault.ANSWER_LOST)
-        claim = fakes.claim(keeper)
+        claim = fakes.claim(manager)
         claim.may_send()
         assert store.claim_row().attempt == claim.attempt
 
-    def test_lost_answer_of_a_conflict(self, keeper, store):
+    def test_lost_answer_of_a_conflict(self, manager, store):
         """Two daemons send: one took a lost conflict for its own commit."""
-        holder = fakes.claim(fakes.make_keeper(store, name="d2"))
+        holder = fakes.claim(fakes.make_claim_manager(store, name="d2"))
         store.transact_faults.append(fakes.Fault.REQUEST_LOST)
         with pytest.raises(_errors.KeyInUse):
-            fakes.claim(keeper)
+            fakes.claim(manager)
         assert store.claim_row().attempt == holder.attempt
 
-    def test_late_insert_never_sends(self, keeper, store):
+    def test_late_insert_never_sends(self, manager, store):
         """A claim lands after its caller was told not-run, and blocks.
 
         The insert is ambiguous and the row absent when read back; the
@@ -140,153 +140,155 @@
         """
         store.transact_faults.append(fakes.Fault.LATE)
         with pytest.raises(_errors.StoreUnavailable) as caught:
-            fakes.claim(keeper)
+            fakes.claim(manager)
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
-        keeper.wait_settled(10.0)
-        store.land()
+        manager.wait_finalized(10.0)
+        store.apply_late_writes()
         assert store.claim_row().state is RELEASED
-        assert isinstance(fakes.claim(keeper), _claims.Claim)
+        assert isinstance(fakes.claim(manager), _claims.Claim)
 
     def test_insert_that_lands_before_its_fence_is_released(
-        self, keeper, store
+        self, manager, store
     ):
         """As above, but the insert lands before the released row does."""
         store.transact_faults.append(fakes.Fault.LATE)
         with pytest.raises(_errors.StoreUnavailable):
-            fakes.claim(keeper)
-        store.land()
+            fakes.claim(manager)
+        store.apply_late_writes()
         assert store.claim_row().state is CLAIMED
-        keeper.wait_settled(10.0)
+        manager.wait_finalized(10.0)
         assert store.claim_row().state is RELEASED
 
-    def test_unreadable_after_a_lost_answer(self, keeper, store):
+    def test_unreadable_after_a_lost_answer(self, manager, store):
         """A claim that can't be settled in time is not sent, and is freed."""
         store.transact_faults.append(fakes.Fault.ANSWER_LOST)
         store.read_faults.append(fakes.Fault.DOWN)
         with pytest.raises(_errors.StoreUnavailable):
-            fakes.claim(keeper)
-        keeper.wait_settled(10.0)
+            fakes.claim(manager)
+        manager.wait_finalized(10.0)
         assert store.claim_row().state is RELEASED
 
 
 class TestDeadline:
-    def test_paused_claimant_does_not_send(self, keeper, clock, store):
+    def test_paused_claimant_does_not_send(self, manager, clock, store):
         """A letter goes out long after its caller had given up.
 
         The daemon claims, is frozen past the deadline, thaws and goes on
         where it was: at the first byte.
         """
-        claim = fakes.claim(keeper, deadline=5.0)
+        claim = fakes.claim(manager, deadline=5.0)
         clock.advance(6.0)
         with pytest.raises(_errors.DeadlineExceeded) as caught:
             claim.may_send()
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
         claim.release()
-        keeper.wait_settled(10.0)
+        manager.wait_finalized(10.0)
         assert store.claim_row().state is RELEASED
 
     def test_expired_claim_does_not_send(self, store, clock):
         """A claim is swept while its suspended holder's clock stood still."""
         lifetime = datetime.timedelta(seconds=10)
-        keeper = fakes.make_keeper(store, clock=clock, lifetime=lifetime)
-        claim = fakes.claim(keeper)
+        manager = fakes.make_claim_manager(
+            store, clock=clock, lifetime=lifetime
+        )
+        claim = fakes.claim(manager)
         clock.advance(11.0)
         with pytest.raises(_errors.DeadlineExceeded):
             claim.may_send()
 
-    def test_deadline_passes_while_waiting_in_line(self, keeper, store):
+    def test_deadline_passes_while_waiting_in_line(self, manager, store):
         """A refused request's claim is written all the same, and blocks."""
-        store.transact_faults.append(fakes.Fault.HELD)
-        first = gevent.spawn(fakes.claim, keeper, key="first")
+        store.transact_faults.append(fakes.Fault.BLOCKED)
+        first = gevent.spawn(fakes.claim, manager, key="first")
         while not store.batch_sizes:
             gevent.sleep(0)
         with pytest.raises(_errors.DeadlineExceeded) as caught:
-            fakes.claim(keeper, deadline=0.01)
+            fakes.claim(manager, deadline=0.01)
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
-        store.go_on.set()
+        store.unblocked.set()
         first.get()
-        keeper.wait_settled(10.0)
+        manager.wait_finalized(10.0)
         assert store.claim_row() is None
 
-    def test_deadline_passes_while_written(self, keeper, store):
+    def test_deadline_passes_while_written(self, manager, store):
         """A refused request's claim lands later, and blocks the key.
 
         The store is slow; the caller is refused as not-run at its deadline
         while the claim is on its way.
         """
-        store.transact_faults.append(fakes.Fault.HELD)
+        store.transact_faults.append(fakes.Fault.BLOCKED)
         with pytest.raises(_errors.DeadlineExceeded) as caught:
-            fakes.claim(keeper, deadline=0.05)
+            fakes.claim(manager, deadline=0.05)
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
         assert store.batch_sizes == [1]
-        store.go_on.set()
-        keeper.wait_settled(10.0)
+        store.unblocked.set()
+        manager.wait_finalized(10.0)
         assert store.claim_row().state is RELEASED
 
-    def test_answer_that_comes_after_a_pause(self, keeper, store, clock):
+    def test_answer_that_comes_after_a_pause(self, manager, store, clock):
         """A daemon frozen while it claims goes on past the deadline."""
-        store.transact_faults.append(fakes.Fault.HELD)
-        waiting = gevent.spawn(fakes.claim, keeper, deadline=5.0)
+        store.transact_faults.append(fakes.Fault.BLOCKED)
+        waiting = gevent.spawn(fakes.claim, manager, deadline=5.0)
         while not store.batch_sizes:
             gevent.sleep(0)
         clock.advance(6.0)
-        store.go_on.set()
+        store.unblocked.set()
         with pytest.raises(_errors.DeadlineExceeded):
             waiting.get()
-        keeper.wait_settled(10.0)
+        manager.wait_finalized(10.0)
         assert store.claim_row().state is RELEASED
 
-    def test_killed_while_waiting(self, keeper, store):
+    def test_killed_while_waiting(self, manager, store):
         """A caller hangs up while its claim is written; the key is stuck."""
         store.transact_faults.append(fakes.Fault.DELAYED)
-        waiting = gevent.spawn(fakes.claim, keeper)
+        waiting = gevent.spawn(fakes.claim, manager)
         while not store.batch_sizes:
             gevent.sleep(0)
         waiting.kill()
-        keeper.wait_settled(10.0)
+        manager.wait_finalized(10.0)
         assert store.claim_row().state is RELEASED
 
 
 class TestRelease:
-    def test_frees_the_key(self, keeper):
-        fakes.claim(keeper).release()
-        keeper.wait_settled(10.0)
-        assert isinstance(fakes.claim(keeper), _claims.Claim)
+    def test_frees_the_key(self, manager):
+        fakes.claim(manager).release()
+        manager.wait_finalized(10.0)
+        assert isinstance(fakes.claim(manager), _claims.Claim)
 
-    def test_late_release_spares_the_next_claimant(self, keeper, store):
+    def test_late_release_spares_the_next_claimant(self, manager, store):
         """A request runs twice after a release that came late.
 
         The first release is late, its repeat lands, a second attempt
         claims, then the late one lands. Were rows deleted, versions would
         start anew and the late release would fit the second's row.
         """
-        first = fakes.claim(keeper)
+        first = fakes.claim(manager)
         store.transact_faults.append(fakes.Fault.LATE)
         first.release()
-        keeper.wait_settled(10.0)
-        second = fakes.claim(fakes.make_keeper(store, name="d2"))
-        store.land()
+        manager.wait_finalized(10.0)
+        second = fakes.claim(fakes.make_claim_manager(store, name="d2"))
+        store.apply_late_writes()
         row = store.claim_row()
         assert (row.attempt, row.state) == (second.attempt, CLAIMED)
 
-    def test_block_left_before_sending_frees_the_key(self, keeper):
+    def test_block_left_before_sending_frees_the_key(self, manager):
         """A caller hangs up between claim and first byte; the key sticks."""
-        with fakes.claim(keeper):
+        with fakes.claim(manager):
             pass
-        keeper.wait_settled(10.0)
-        assert isinstance(fakes.claim(keeper), _claims.Claim)
+        manager.wait_finalized(10.0)
+        assert isinstance(fakes.claim(manager), _claims.Claim)
 
-    def test_block_left_after_sending_is_unknown(self, keeper):
+    def test_block_left_after_sending_is_unknown(self, manager):
         """A request runs twice after its handler failed while sending."""
-        with fakes.claim(keeper) as claim:
+        with fakes.claim(manager) as claim:
             claim.may_send()
-        keeper.wait_settled(10.0)
+        manager.wait_finalized(10.0)
         with pytest.raises(_errors.KeyInUse):
-            fakes.claim(keeper)
+            fakes.claim(manager)
 
-    def test_ended_claim_can_not_be_used(self, keeper):
+    def test_ended_claim_can_not_be_used(self, manager):
         """A handler's clean-up frees a key whose request was sent."""
-        claim = fakes.claim(keeper)
+        claim = fakes.claim(manager)
         claim.abandon()
         with pytest.raises(_errors.ClaimEnded):
             claim.release()
@@ -295,63 +297,63 @@
 
 
 class TestFinish:
-    def repeat(self, keeper, body):
-        fakes.claim(keeper).finish(201, HEADERS, body)
-        keeper.wait_settled(10.0)
-        return fakes.claim(keeper)
+    def repeat(self, manager, body):
+        fakes.claim(manager).finish(201, HEADERS, body)
+        manager.wait_finalized(10.0)
+        return fakes.claim(manager)
 
     @pytest.mark.parametrize("size", [0, 10, 5000])
-    def test_repeat_gets_the_same_answer(self, keeper, size):
+    def test_repeat_gets_the_same_answer(self, manager, size):
         body = b"\xff" * size
-        kept = self.repeat(keeper, body)
+        kept = self.repeat(manager, body)
         assert kept == _claims.KeptAnswer(
             status=201, headers=HEADERS, body=body
         )
 
-    def test_small_answer_needs_no_object(self, keeper, objects):
-        self.repeat(keeper, b"small")
+    def test_small_answer_needs_no_object(self, manager, objects):
+        self.repeat(manager, b"small")
         assert not objects.data_by_key
 
-    def test_too_large_answer_says_ran(self, keeper):
+    def test_too_large_answer_says_ran(self, manager):
         with pytest.raises(_errors.AnswerNotKept) as caught:
-            self.repeat(keeper, b"x" * 20_000)
+            self.repeat(manager, b"x" * 20_000)
         assert caught.value.outcome is _errors.Outcome.RAN
 
-    def test_object_store_down_at_the_finish(self, keeper, objects, store):
+    def test_object_store_down_at_the_finish(self, manager, objects, store):
         """A row points to an answer that was never kept."""
         objects.down = True
         with pytest.raises(_errors.AnswerNotKept):
-            self.repeat(keeper, b"x" * 5000)
+            self.repeat(manager, b"x" * 5000)
         answer = store.claim_row().answer
-        assert answer.place is _claim_rows.AnswerPlace.NOWHERE
+        assert answer.place is _claim_rows.AnswerLocation.NOWHERE
 
-    def test_object_store_down_at_the_repeat(self, keeper, objects):
+    def test_object_store_down_at_the_repeat(self, manager, objects):
         """A caller is told not-run of a charge that was made.
 
         The kept answer can't be read, and the read's own error, which says
         not-run, goes to the caller.
         """
-        self.repeat(keeper, b"x" * 5000)
+        self.repeat(manager, b"x" * 5000)
         objects.down = True
         with pytest.raises(_errors.AnswerNotKept) as caught:
-            fakes.claim(keeper)
+            fakes.claim(manager)
         assert caught.value.outcome is _errors.Outcome.RAN
 
     @pytest.mark.parametrize("fault", list(fakes.Fault))
-    def test_is_retried(self, keeper, store, fault):
+    def test_is_retried(self, manager, store, fault):
         """A repeat finds unknown, as one write of the answer failed."""
-        store.go_on.set()
-        claim = fakes.claim(keeper)
+        store.unblocked.set()
+        claim = fakes.claim(manager)
         store.transact_faults.append(fault)
         claim.finish(200, HEADERS, b"done")
-        keeper.wait_settled(10.0)
-        assert fakes.claim(keeper).body == b"done"
+        manager.wait_finalized(10.0)
+        assert fakes.claim(manager).body == b"done"
 
-    def test_long_outage_leaves_the_claim(self, keeper, store):
-        claim = fakes.claim(keeper)
+    def test_long_outage_leaves_the_claim(self, manager, store):
+        claim = fakes.claim(manager)
         store.transact_faults.extend([fakes.Fault.DOWN] * 1000)
         claim.finish(200, HEADERS, b"done")
-        assert keeper.wait_settled(10.0) == 0
+        assert manager.wait_finalized(10.0) == 0
         assert store.claim_row().state is CLAIMED
 
 
@@ -367,7 +369,7 @@
         "hangs_up": strategies.sampled_from([0, 0, 0, 3, 6]),
     }
 )
-RANDOM_FAULTS = [one for one in fakes.Fault if one is not fakes.Fault.HELD]
+RANDOM_FAULTS = [one for one in fakes.Fault if one is not fakes.Fault.BLOCKED]
 FAULTS = strategies.lists(strategies.sampled_from(RANDOM_FAULTS), max_size=25)
 
 
@@ -381,7 +383,7 @@
         self.objects = fakes.FakeObjects()
         self.clocks = [fakes.FakeClock() for _ in range(3)]
         self.keepers = [
-            fakes.make_keeper(
+            fakes.make_claim_manager(
                 self.store,
                 objects=self.objects,
                 clock=clock,
@@ -413,11 +415,11 @@
             assert gevent.getcurrent() not in self.sent[before:]
 
     def attempt(self, plan):
-        keeper = self.keepers[plan["daemon"]]
+        manager = self.keepers[plan["daemon"]]
         clock = self.clocks[plan["daemon"]]
         try:
             deadline = clock.monotonic() + 1000.0
-            claim = fakes.claim(keeper, deadline=deadline)
+            claim = fakes.claim(manager, deadline=deadline)
         except _errors.RequestError as error:
             return error
         if isinstance(claim, _claims.KeptAnswer):
@@ -461,7 +463,7 @@
         for turn in range(40):
             gevent.sleep(0)
             if turn % 4 == 0:
-                self.store.land()
+                self.store.apply_late_writes()
             for plan, job in zip(plans, jobs):
                 if plan["hangs_up"] == turn + 1:
                     job.kill(block=False)
@@ -470,10 +472,10 @@
         for job in jobs:
             if job.exception is not None:
                 raise job.exception
-        for number, keeper in enumerate(self.keepers):
+        for number, manager in enumerate(self.keepers):
             if number not in self.crashed:
-                assert keeper.wait_settled(2.0) == 0
-        self.store.land()
+                assert manager.wait_finalized(2.0) == 0
+        self.store.apply_late_writes()
 
 
 class TestSchedules:
@@ -493,5 +495,5 @@
             # Nothing ran and no daemon died: once the store is well, the
             # key must be free again.
             run.store.transact_faults.clear()
-            last = fakes.make_keeper(run.store, name="last")
+            last = fakes.make_claim_manager(run.store, name="last")
             assert isinstance(fakes.claim(last), _claims.Claim)
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -304,7 +304,7 @@
             guard=self.guard,
             clock=self.clock,
         )
-        claims = claim_fakes.make_keeper(self.store, clock=QuickClock())
+        claims = claim_fakes.make_claim_manager(self.store, clock=QuickClock())
         return _callers.CallersApp(
             chats=_chat_calls.ChatCalls(parts=parts, spawn=gevent.spawn),
             services=_service_calls.ServiceCalls(parts=parts, claims=claims),
