--- a/src/topazlug/claims/__init__.py
+++ b/src/topazlug/claims/__init__.py
@@ -1,1 +1,1 @@
-"""At most once: who runs a request that may not be repeated."""
+"""Claims, which ensure that a request is executed at most once."""
--- a/src/topazlug/claims/_claim_commit.py
+++ b/src/topazlug/claims/_claim_commit.py
@@ -1,8 +1,8 @@
-"""Group commit of rows of the table of claims.
+"""Group commit of rows of the claims table.
 
-The table service takes several hundred transactions a second, however many
-rows each writes. So while one transaction of this daemon is under way, the
-writes that arrive wait, and go together in the next.
+The table service handles several hundred transactions a second, however many
+rows each one writes. So writes that arrive while a transaction of this daemon
+is in progress are queued and written together in the next one.
 """
 
 import collections
@@ -34,7 +34,7 @@
 
 @final
 class RowWrite(msgspec.Struct, frozen=True, kw_only=True):
-    """A claim to write, provided that its row is at `version`."""
+    """A claim to write on condition that its row is at `version`."""
 
     key: str
     version: int
@@ -50,7 +50,7 @@
 
 @final
 class Rejected(msgspec.Struct, frozen=True, kw_only=True):
-    """The write had no effect and never will: the row is `current`."""
+    """The write had no effect and never will; `current` is the row."""
 
     current: _table_client.Row
 
@@ -66,12 +66,12 @@
 
 @final
 class PendingWrite:
-    """A write on its way.
+    """A submitted write and its future result.
 
     Parameters
     ----------
     write : RowWrite
-        What is to be written.
+        The write.
     """
 
     def __init__(self, write: RowWrite) -> None:
@@ -80,21 +80,21 @@
         self._result = event.AsyncResult()
 
     def cancel(self) -> bool:
-        """Take the write back; False if it has been sent already."""
+        """Cancel the write; return False if it has been sent already."""
         if self.stage is _WriteStage.SENT:
             return False
         self.stage = _WriteStage.CANCELLED
         return True
 
     def result(self, timeout: float | None = None) -> WriteResult | None:
-        """Wait for the result; None if `timeout` seconds pass first.
+        """Return the result; None if `timeout` seconds pass first.
 
         Raises
         ------
         StoreUnavailable
-            The write certainly had no effect.
+            The write had no effect.
         StoreAmbiguous
-            It may have had one, or may still have one.
+            The write may have had an effect, or may still have one.
         """
         self._result.wait(timeout=timeout)
         if not self._result.ready():
@@ -102,21 +102,21 @@
         return self._result.get()
 
     def set_result(self, result: WriteResult) -> None:
-        """Say what became of the write."""
+        """Complete the write with its result."""
         self._result.set(result)
 
     def set_error(self, error: _errors.TopazlugError) -> None:
-        """Say why nothing certain, or certainly nothing, became of it."""
+        """Complete the write with the error that `result` raises."""
         self._result.set_exception(error)
 
 
 @final
 class _Pacer:
-    """Time between transactions; grows while the store refuses.
+    """The interval between transactions; grows while the store rejects them.
 
-    Without it each daemon would send as fast as the store answers, and a
-    few daemons with one claim each would use up the write rate of all: seen
-    as 429 while the batches are nearly empty.
+    Without it each daemon would send as fast as the store responds, and a
+    few daemons with one claim each would exhaust the write rate of the
+    fleet: the store responds with 429 although batches are nearly empty.
     """
 
     def __init__(self, *, clock: _clock.Clock, min_interval: float) -> None:
@@ -126,7 +126,7 @@
         self._last = clock.monotonic() - min_interval
 
     def wait(self) -> None:
-        """Sleep until the next transaction may go, and count it."""
+        """Sleep until the next transaction is due, and record its start."""
         wait = self._last + self._interval - self._clock.monotonic()
         if wait > 0.0:
             self._clock.sleep(wait)
@@ -150,13 +150,13 @@
     store : TableStore
         The table service.
     clock : Clock
-        Paces the transactions.
+        Times the transactions.
     max_batch : int
-        Most rows of one transaction.
+        Maximum number of rows in one transaction.
     max_queued : int
-        Most claims that wait; writes that end a claim pass this bound.
+        Maximum length of the queue; writes that end a claim are exempt.
     min_interval : float
-        Least seconds between the starts of two transactions.
+        Minimum seconds between the starts of two transactions.
     """
 
     def __init__(
@@ -178,16 +178,16 @@
     def submit(
         self, write: RowWrite, *, ends_claim: bool = False
     ) -> PendingWrite:
-        """Put a write in line.
+        """Queue a write.
 
         Raises
         ------
         StoreUnavailable
-            The line is full; nothing was written.
+            The queue is full; nothing was written.
         """
         if not ends_claim and len(self._queue) >= self._max_queued:
             raise _errors.StoreUnavailable(
-                f"{len(self._queue)} claims wait for the table service",
+                f"{len(self._queue)} claims are waiting for the table service",
                 retry_after=RETRY_AFTER_SECONDS,
             )
         pending_write = PendingWrite(write)
@@ -210,9 +210,9 @@
             pending_write = self._queue.popleft()
             if pending_write.stage is _WriteStage.CANCELLED:
                 continue
-            # Two writes of one row can't be told apart by versions within
-            # one transaction: both would be said to have been written. The
-            # second goes in a later one and meets the first there.
+            # Within one transaction, versions can't distinguish two writes of
+            # the same row: both would be reported as written. The second is
+            # deferred to a later transaction and conflicts with the first.
             if pending_write.write.key in write_by_key:
                 deferred.append(pending_write)
                 continue
@@ -234,10 +234,13 @@
         except _errors.StoreAmbiguous as error:
             self._resolve_all(batch, error)
         except Exception as error:
-            # A fault of the client that nobody foresaw. Left alone it would
-            # end this greenlet with the batch unanswered: claims hang until
-            # their deadlines, ends of claims for ever.
-            _LOG.exception("batch of {} claims failed", len(batch))
+            # An unexpected error in the client must not end this greenlet
+            # with the batch incomplete: claims would block until their
+            # deadlines, and ends of claims forever.
+            _LOG.exception(
+                "unexpected error while writing a batch of {} claims",
+                len(batch),
+            )
             self._resolve_all(batch, _errors.StoreAmbiguous(repr(error)))
         else:
             self._pacer.record_success()
@@ -258,7 +261,9 @@
             if name in versions:
                 pending_write.set_result(Written(version=versions[name]))
             else:
-                error = _errors.StoreAmbiguous(f"no version given for {name}")
+                error = _errors.StoreAmbiguous(
+                    f"table service returned no version for {name}"
+                )
                 gevent.spawn(self._resolve, pending_write, error)
 
     def _complete_conflicts(
@@ -271,7 +276,7 @@
             if pending_write.write.key not in current_by_key
         ]
         if len(unaffected) == len(batch):
-            why = "the table service refused a batch and named none of it"
+            why = "table service rejected a batch without naming a row of it"
             _fail_all(
                 batch,
                 _errors.StoreUnavailable(why, retry_after=RETRY_AFTER_SECONDS),
@@ -291,15 +296,16 @@
     def _resolve_all(
         self, batch: list[PendingWrite], error: _errors.StoreAmbiguous
     ) -> None:
-        # Side by side and beside the line: a store that is slow to answer
-        # reads would otherwise hold up every later claim.
+        # Each in a greenlet of its own, as slow reads of the store would
+        # otherwise delay all later claims.
         for pending_write in batch:
             gevent.spawn(self._resolve, pending_write, error)
 
-    # The answer to a write was lost. Taken for a failure, the caller would
-    # be told not-run while the row says claimed; taken for a success, a
-    # claim that another holds would send a second time. The row itself
-    # tells, as only its own attempt writes an attempt's id.
+    # The response to a write was lost. If this were regarded as a failure, the
+    # outcome for the caller would be not-run although the row may be claimed.
+    # If it were regarded as a success, a request that another attempt has
+    # claimed might be sent a second time. So the row is read: it shows which
+    # attempt wrote it, as each attempt writes only its own id.
     def _resolve(
         self, pending_write: PendingWrite, error: _errors.StoreAmbiguous
     ) -> None:
@@ -309,9 +315,8 @@
         except _errors.StoreUnavailable:
             pending_write.set_error(error)
             return
-        # The row is as it was before: the write may be lost, or may only
-        # be late and land after this read. Nobody can tell, so nobody is
-        # told that it had no effect.
+        # The row is unchanged. The write may be lost, or be delayed and take
+        # effect after this read, so it must not be reported as ineffective.
         if current is None or current.version <= write.version:
             pending_write.set_error(error)
         elif _wrote(write, current):
--- a/src/topazlug/claims/_claim_finalizer.py
+++ b/src/topazlug/claims/_claim_finalizer.py
@@ -1,4 +1,4 @@
-"""Writes that end a claim, repeated in the background."""
+"""Writes that end a claim, retried in the background."""
 
 from typing import final
 
@@ -25,15 +25,15 @@
 
 @final
 class HeldRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A row that this daemon's attempt claimed, or may yet come to claim.
+    """A row that an attempt of this daemon has claimed or may still claim.
 
     Attributes
     ----------
     key : str
         Key of the row.
     version : int
-        Its version; for an insert whose fate is open, the version that the
-        insert asks for.
+        Its version; for an insert whose result is unknown, the version that
+        is the insert's condition.
     row : ClaimRow
         The claim.
     """
@@ -45,18 +45,18 @@
 
 @final
 class ClaimFinalizer:
-    """Ends claims without holding up the caller's answer.
+    """Ends claims without delaying the caller's answer.
 
     Parameters
     ----------
     committer : GroupCommitter
         Writes the rows.
     objects : ObjectStore
-        Keeps large answers.
+        Stores large answers.
     clock : Clock
-        Bounds the retries.
+        Limits the time of retries.
     max_kept_bytes : int
-        Largest answer that is kept.
+        Maximum size of an answer that is stored.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         self._pending_bytes = 0
 
     def wait(self, timeout: float) -> int:
-        """Wait until all is written; return how many claims are left."""
+        """Wait for pending writes; return how many claims are not written."""
         self._jobs.join(timeout=timeout)
         return len(self._jobs)
 
@@ -87,7 +87,7 @@
         headers: list[tuple[str, str]],
         body: bytes,
     ) -> None:
-        """Write the answer of a request that ran; returns at once."""
+        """Write the answer of a request that ran; does not block."""
         size = _size(headers, body)
         if size > self._max_kept_bytes or not self._has_capacity(size):
             headers, body, size = [], b"", self._max_kept_bytes + 1
@@ -103,11 +103,11 @@
         self._jobs.spawn(self._finish, held, answer)
 
     def release(self, held: HeldRow) -> None:
-        """Free the key of an attempt that sent nothing; returns at once.
+        """Release the key of an attempt that sent nothing; does not block.
 
-        For an insert whose fate is open this writes the released row where
-        the insert would go. The insert then finds its condition broken,
-        whenever it arrives.
+        If the result of the insert is unknown, the released row is written
+        in its place. The insert then fails on its condition, whenever it
+        arrives.
         """
         if self._accepts(held):
             self._jobs.spawn(self._release, held)
@@ -115,20 +115,22 @@
     def release_once_written(
         self, held: HeldRow, pending_write: _claim_commit.PendingWrite
     ) -> None:
-        """Free the key once an insert that nobody waits for has landed."""
+        """Release the key once an abandoned insert has been written."""
         if self._accepts(held):
             self._jobs.spawn(self._release_once_written, held, pending_write)
 
     def _has_capacity(self, size: int) -> bool:
         return self._pending_bytes + size <= MAX_PENDING_BYTES
 
-    # During a long outage of the store the claims that wait for their end
-    # would fill the memory. A claim left as it is says unknown, which is
-    # true, so dropping its end costs only that.
+    # During a long outage of the store, claims that wait for their end would
+    # use up the memory. A claim whose end is discarded remains unknown, which
+    # is safe: only its answer or the release of its key is lost.
     def _accepts(self, held: HeldRow) -> bool:
         if len(self._jobs) < MAX_PENDING:
             return True
-        _LOG.warning("claim {} stays unknown: too many wait", held.key)
+        _LOG.warning(
+            "outcome of claim {} stays unknown: too many are pending", held.key
+        )
         return False
 
     def _location_for(self, size: int) -> _claim_rows.AnswerLocation:
@@ -153,7 +155,7 @@
         attempt: _claim_rows.AttemptId,
         answer: _claim_rows.AnswerRow,
     ) -> _claim_rows.AnswerRow:
-        """Keep a large body; only then may a row point to it."""
+        """Store a large body, which must precede a row that refers to it."""
         if answer.place is not _claim_rows.AnswerLocation.OBJECT:
             return answer
         if self._put_object(object_key(attempt), answer.body):
@@ -208,7 +210,10 @@
                     return
                 version = result.current.version
             if self._clock.monotonic() + backoff > until:
-                _LOG.warning("claim {} stays unknown: no answer", held.key)
+                _LOG.warning(
+                    "outcome of claim {} stays unknown: writing it timed out",
+                    held.key,
+                )
                 return
             self._clock.sleep(backoff)
             backoff = min(backoff * 2, _MAX_BACKOFF)
@@ -225,7 +230,7 @@
 
 
 def object_key(attempt: _claim_rows.AttemptId) -> str:
-    """Name the object that keeps an attempt's answer."""
+    """Return the key of the object that stores an attempt's answer."""
     return f"claims/{attempt}"
 
 
@@ -233,9 +238,9 @@
     return len(body) + sum(len(name) + len(text) for name, text in headers)
 
 
-# A released row is written where an insert of open fate would go. When the
-# insert had landed after all, the row shows the same attempt as claimed, at
-# a later version: that is the one to end.
+# A released row is written in place of an insert whose result is unknown. If
+# the insert took effect after all, the row shows the same attempt as claimed
+# at a later version; the release must then be written at that version.
 def _still_claimed(
     row: _claim_rows.ClaimRow, rejected: _claim_commit.Rejected
 ) -> bool:
--- a/src/topazlug/claims/_claim_rows.py
+++ b/src/topazlug/claims/_claim_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the table of claims: their keys and values."""
+"""Keys and values of rows of the claims table."""
 
 import datetime
 import enum
@@ -19,16 +19,16 @@
 
 
 class ClaimState(enum.Enum):
-    """How far the attempt that holds a claim has come.
+    """State of the attempt that holds a claim.
 
     Attributes
     ----------
     CLAIMED
-        It may be sending, may have sent, or may have died: unknown.
+        Unknown: it may be sending, may have sent, or may have failed.
     FINISHED
-        It ran, and the row says with what answer.
+        It ran, and the row has its answer.
     RELEASED
-        It sent nothing and never will: the key is free.
+        It sent nothing and never will, so the key is free.
     """
 
     CLAIMED = "claimed"
@@ -37,7 +37,7 @@
 
 
 class AnswerLocation(enum.Enum):
-    """Where the body of a finished request's answer is kept."""
+    """Where the body of a finished request's answer is stored."""
 
     ROW = "row"
     OBJECT = "object"
@@ -55,9 +55,9 @@
     headers : list of (str, str)
         In the order of the answer.
     place : AnswerLocation
-        Where the body is.
+        Where the body is stored.
     body : bytes
-        The body if it is in the row, base64 in JSON; else empty.
+        The body if it is stored in the row, base64 in JSON; otherwise empty.
     """
 
     status: int
@@ -68,7 +68,7 @@
 
 @final
 class ClaimRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Value of one row.
+    """The value of a row.
 
     Attributes
     ----------
@@ -77,12 +77,12 @@
     daemon : DaemonId
         The daemon that made the attempt.
     fingerprint : str
-        Tells requests under one key apart.
+        Distinguishes requests with the same key.
     state : ClaimState
-        How far the attempt has come.
+        State of the attempt.
     claimed_at, expires : datetime
-        UTC; after `expires` the attempt sends nothing any more, and the
-        row may be deleted.
+        UTC; after `expires` the attempt must not send, and the row may be
+        deleted.
     answer : AnswerRow or None
         Set in the state `FINISHED`.
     """
@@ -97,11 +97,11 @@
 
 
 def row_key(*, team: _ids.TeamName, service: str, key: str) -> str:
-    """Name the row of a caller's ``Idempotency-Key``.
+    """Return the key of the row for a caller's ``Idempotency-Key``.
 
-    Team and service are quoted. With plain names, team ``a/b`` with service
-    ``c`` and team ``a`` with service ``b/c`` would share rows: one team
-    would be given the other's answer.
+    Team and service are quoted. Otherwise team ``a/b`` with service ``c`` and
+    team ``a`` with service ``b/c`` would share rows, and one team would
+    receive the other's answers.
     """
     digest = hashlib.sha256(key.encode()).hexdigest()
     quoted_team = parse.quote(team, safe="")
@@ -110,10 +110,10 @@
 
 
 def fingerprint(*, method: str, path: str, body: bytes) -> str:
-    """Digest what makes two requests the same: method, path and body.
+    """Return a digest of a request's method, path and body.
 
-    Each part is hashed by itself first, so that no bytes can move from
-    one part to the next unseen.
+    Each part is hashed separately first, so that moving bytes from one part
+    to the next changes the digest.
     """
     parts = (method.encode(), path.encode(), body)
     digests = [hashlib.sha256(part).digest() for part in parts]
@@ -121,12 +121,12 @@
 
 
 def row_value(row: ClaimRow) -> dict[str, Any]:
-    """Give the JSON object to write."""
+    """Return the JSON object of a row."""
     return msgspec.to_builtins(row)
 
 
 def parse_row(value: dict[str, Any] | None) -> ClaimRow | None:
-    """Read a JSON object; None if it is no claim that this version knows."""
+    """Return the row of a JSON object; None if its format is unknown."""
     try:
         return msgspec.convert(value, ClaimRow)
     except msgspec.ValidationError:
--- a/src/topazlug/claims/_claim_sweep.py
+++ b/src/topazlug/claims/_claim_sweep.py
@@ -1,8 +1,8 @@
-"""Deletes claims whose lifetime has passed.
+"""Deletes expired claims.
 
-One daemon of the fleet does so. That two think it is theirs, while the
-daemons disagree about who is there, costs reads and does no harm: each
-delete asks for the version that was judged.
+One daemon of the fleet is the sweeper. While the views of the membership
+differ, two daemons may sweep. This costs reads but does no harm, as each
+delete is conditional on the version that was read.
 """
 
 from collections.abc import Callable
@@ -22,9 +22,9 @@
 PAGE_ROWS = 500
 PAGE_INTERVAL_SECONDS = 1.0
 MAX_BATCH_ROWS = 64
-# Clocks of two daemons differ, and a write sent before `expires` may land
-# late. Deleted too early, a row would let the key be claimed again while
-# its first holder still believes it may send.
+# The clocks of daemons differ, and a write sent before `expires` may take
+# effect late. If a row were deleted too early, the key could be claimed again
+# while its first holder may still send.
 EXPIRY_MARGIN = datetime.timedelta(hours=1)
 
 _LOG = logbook.Logger("topazlug.claims")
@@ -32,18 +32,18 @@
 
 @final
 class ClaimSweeper:
-    """Walks the table of claims, one page at a time.
+    """Scans the claims table, one page at a time.
 
     Parameters
     ----------
     store : TableStore
         The table service.
     clock : Clock
-        Judges what has expired, and paces the walk.
+        Determines which claims have expired, and times the scan.
     daemon_id : DaemonId
         This daemon.
     usable : callable
-        Gives the ids of the daemons that are there, this one included.
+        Returns the ids of the daemons that are up, including this one.
     page_interval : float
         Seconds between two pages.
     """
@@ -73,7 +73,7 @@
                 self.sweep_page()
 
     def sweep_page(self) -> None:
-        """Delete what has expired on the next page of the table."""
+        """Delete the expired claims on the next page of the table."""
         try:
             page = self._store.scan(
                 _claim_rows.TABLE, after=self._after, limit=PAGE_ROWS
@@ -103,8 +103,8 @@
             _errors.StoreUnavailable,
             _errors.StoreAmbiguous,
         ) as error:
-            # The next walk meets again whatever is still there.
-            _LOG.info("expired claims stay for now: {}", error)
+            # The next scan finds the rows that are still there.
+            _LOG.info("deleting expired claims failed: {}", error)
             return
         self.deleted += len(rows)
 
@@ -112,7 +112,7 @@
 def choose_sweeper(
     daemon_ids: Collection[_ids.DaemonId],
 ) -> _ids.DaemonId | None:
-    """Choose who sweeps: the highest hash; None if nobody is there."""
+    """Return the daemon with the highest hash; None if there is none."""
     return max(daemon_ids, key=_rank, default=None)
 
 
--- a/src/topazlug/claims/_claims.py
+++ b/src/topazlug/claims/_claims.py
@@ -1,9 +1,9 @@
-"""At most one execution of a request that may not be repeated.
+"""At-most-once execution of requests that must not be repeated.
 
-Before the first byte of such a request goes to a target, the attempt
-claims the request's ``Idempotency-Key`` in the table service. Nobody takes
-over a claim: a crash, a pause or a lost answer leaves a key behind whose
-outcome is unknown, at worst.
+Before the first byte of such a request is sent to a target, the attempt
+claims the request's ``Idempotency-Key`` in the table service. A claim is
+never taken over: in the worst case a crash, a pause or a lost response
+leaves a key whose outcome is unknown.
 """
 
 import datetime
@@ -26,13 +26,13 @@
 RETRY_AFTER_SECONDS = 1.0
 _MAX_ATTEMPTS = 4
 _EARLIER_ATTEMPT_CAVEAT = (
-    "; an earlier attempt under this key, if any, is not meant"
+    "; this does not apply to earlier attempts under this key"
 )
 
 
 @final
 class KeptAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer that an earlier attempt under the same key got.
+    """The answer that an earlier attempt under the same key received.
 
     Attributes
     ----------
@@ -41,7 +41,7 @@
     headers : list of (str, str)
         In the order of the answer.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     status: int
@@ -53,19 +53,19 @@
 class Claim:
     """The right of one attempt to send one request.
 
-    As a context manager it ends itself: it releases the key if `may_send`
-    never let anything out, and leaves the outcome unknown else.
+    As a context manager it ends itself on exit: it releases the key if
+    `may_send` never succeeded, and otherwise leaves the outcome unknown.
 
     Parameters
     ----------
     held : HeldRow
-        The row that says so.
+        The row that grants the right.
     deadline : float
-        Monotonic seconds from which on the attempt may not send.
+        Monotonic time in seconds from which the attempt must not send.
     finalizer : ClaimFinalizer
         Writes the end of the claim.
     clock : Clock
-        This daemon's own.
+        The clock of this daemon.
     """
 
     def __init__(
@@ -93,28 +93,28 @@
         self.abandon()
 
     def may_send(self) -> None:
-        """Check the claim; call immediately before the first byte.
+        """Check the claim; call this immediately before the first byte.
 
         Raises
         ------
         DeadlineExceeded
-            Too late: release the claim.
+            The attempt must not send; release the claim.
         ClaimEnded
             The claim was released, finished or abandoned.
         """
         if self._ended:
             raise _ended(self.attempt)
-        # A daemon frozen and thawed would send long after its caller was
-        # told that nothing happened, seen as an execution that nobody waits
-        # for. The wall clock counts too: it runs on while a virtual machine
-        # is suspended, and the row may be swept after `expires`.
+        # Without this check a daemon that was suspended and resumed would
+        # execute a request long after its caller was informed that it did
+        # not run. The wall clock is checked too: it goes on while a virtual
+        # machine is suspended, and the row may be swept after `expires`.
         late = self._clock.monotonic() >= self._deadline
         if late or self._clock.now() >= self._held.row.expires:
             raise _too_late("deadline passed between claim and first byte")
         self._may_have_sent = True
 
     def release(self) -> None:
-        """Free the key; only for an attempt that sent nothing.
+        """Release the key; only for an attempt that sent nothing.
 
         Raises
         ------
@@ -127,7 +127,7 @@
     def finish(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
-        """Keep the whole answer for repeats; returns at once.
+        """Store the complete answer for repeats; does not block.
 
         Raises
         ------
@@ -140,7 +140,7 @@
         )
 
     def abandon(self) -> None:
-        """Leave the outcome unknown; does nothing to an ended claim."""
+        """Leave the outcome unknown; no effect on an ended claim."""
         self._ended = True
 
     def _end(self) -> None:
@@ -158,21 +158,21 @@
     store : TableStore
         The table service.
     objects : ObjectStore
-        Keeps large answers.
+        Stores large answers.
     daemon_id : DaemonId
-        Goes into the rows, for operators.
+        Written to the rows for operators.
     clock : Clock
-        This daemon's own.
+        The clock of this daemon.
     max_kept_bytes : int
-        Largest answer, headers and body, that is kept for repeats.
+        Maximum size of headers and body of an answer stored for repeats.
     lifetime : timedelta
-        How long a key is remembered.
+        How long a key is retained.
     max_queued : int
-        Most claims that wait for the table service.
+        Maximum number of claims that wait for the table service.
     max_batch : int
-        Most rows of one transaction.
+        Maximum number of rows in one transaction.
     min_interval : float
-        Least seconds between two transactions of this daemon.
+        Minimum seconds between two transactions of this daemon.
     """
 
     def __init__(
@@ -215,12 +215,12 @@
         fingerprint: str,
         deadline: float,
     ) -> Claim | KeptAnswer:
-        """Claim a request, or give the answer that it got before.
+        """Claim a request, or return the answer that it received before.
 
         Parameters
         ----------
         team : TeamName
-            Whose key it is.
+            The team that sent the key.
         service : str
             Service or model that the request is for.
         key : str
@@ -228,18 +228,18 @@
         fingerprint : str
             From `_claim_rows.fingerprint`.
         deadline : float
-            Monotonic seconds from which on nothing may be sent.
+            Monotonic time in seconds from which nothing may be sent.
 
         Raises
         ------
         StoreUnavailable, DeadlineExceeded
-            This attempt did not run and will not.
+            This attempt did not run and will not run.
         KeyReused
-            The key came before with another request.
+            The key was used with another request before.
         KeyInUse
-            An attempt holds the key: running, or of unknown outcome.
+            An attempt that is running or of unknown outcome holds the key.
         AnswerNotKept
-            The request ran, and its answer can't be given.
+            The request ran, but its answer is not available.
         """
         row_key = _claim_rows.row_key(team=team, service=service, key=key)
         version = _table_client.ABSENT
@@ -252,12 +252,12 @@
             if kept is not None:
                 return kept
             version = result.current.version
-        raise _not_claimed("the key changed hands again and again")
+        raise _not_claimed("other attempts kept changing the claim of its key")
 
     def wait_finalized(self, timeout: float) -> int:
-        """Wait until ended claims are written; return how many are left.
+        """Wait until ended claims are written; return how many are not.
 
-        For a planned stop. `timeout` is in seconds.
+        Called at a planned stop. `timeout` is in seconds.
         """
         return self._finalizer.wait(timeout)
 
@@ -291,13 +291,14 @@
             self._finalizer.release(held)
             raise _not_claimed(error.message) from error
         except BaseException:
-            # Killed while waiting: the insert may land with nobody left to
-            # send or release, and the key would say unknown for a day.
+            # This greenlet was killed while it waited. The insert may still
+            # be applied; unless it is released, the key's outcome would be
+            # unknown for a day.
             self._abandon_write(held, pending_write)
             raise
         if result is None:
             self._abandon_write(held, pending_write)
-            raise _too_late("deadline passed while the claim waited")
+            raise _too_late("deadline passed while the claim was queued")
         return result
 
     def _abandon_write(
@@ -325,21 +326,23 @@
     def _kept_answer(
         self, current: _table_client.Row, fingerprint: str
     ) -> KeptAnswer | None:
-        """Judge the row that stands; None if the key is free."""
+        """Return the answer in a row; None if the key is free."""
         if current.version == _table_client.ABSENT:
             return None
         row = _claim_rows.parse_row(current.value)
         if row is None:
-            raise _in_use("its claim was written by another version")
+            raise _in_use(
+                "its claim was written by another version of the daemon"
+            )
         if row.fingerprint != fingerprint:
             raise _errors.KeyReused(
-                "this Idempotency-Key came before with another request; "
+                "this Idempotency-Key was used before with another request; "
                 "use a new key for a new request"
             )
         if row.state is _claim_rows.ClaimState.RELEASED:
             return None
         if row.answer is None:
-            raise _in_use("an attempt runs, or its outcome is unknown")
+            raise _in_use("an attempt is running, or its outcome is unknown")
         return self._answer(row.attempt, row.answer)
 
     def _answer(
@@ -353,19 +356,19 @@
         if answer.place is _claim_rows.AnswerLocation.OBJECT:
             body = self._object(attempt)
         if body is None:
-            raise _not_kept("its answer was not kept")
+            raise _not_kept("its answer was not stored")
         return KeptAnswer(
             status=answer.status, headers=answer.headers, body=body
         )
 
-    # The error of the object store says not-run, which is true of the read
-    # and false of the request: the caller would send it anew.
+    # The outcome of the object store's error is not-run. That is true of the
+    # read but not of the request: the caller would send the request again.
     def _object(self, attempt: _claim_rows.AttemptId) -> bytes | None:
         try:
             return self._objects.get(_claim_finalizer.object_key(attempt))
         except _errors.StoreUnavailable as error:
             raise _not_kept(
-                "its answer can't be read now", error.retry_after
+                "its answer can't be read now; retry later", error.retry_after
             ) from error
 
 
@@ -383,7 +386,8 @@
     why: str, retry_after: float | None = None
 ) -> _errors.StoreUnavailable:
     return _errors.StoreUnavailable(
-        f"request not claimed, so not sent: {why}{_EARLIER_ATTEMPT_CAVEAT}",
+        f"request not sent, as claiming it failed: {why}"
+        f"{_EARLIER_ATTEMPT_CAVEAT}",
         retry_after=retry_after or RETRY_AFTER_SECONDS,
     )
 
--- a/tests/topazlug/claim_fakes.py
+++ b/tests/topazlug/claim_fakes.py
@@ -1,4 +1,4 @@
-"""Clock, table service and object store that tests of claims decide on."""
+"""Clock, table service and object store controlled by tests of claims."""
 
 import collections
 from collections.abc import Callable
@@ -23,11 +23,11 @@
 
 
 class Fault(enum.Enum):
-    """What becomes of one call of the store.
+    """How one call to the store fails.
 
-    A lost answer comes after the effect, a lost request has none, and a
-    late one has its effect when the test says `land`. A held call waits for
-    the event `unblocked`.
+    ANSWER_LOST fails after the effect, REQUEST_LOST without it. A LATE call
+    fails at once and takes effect in `apply_late_writes`. A BLOCKED call
+    waits for the event `unblocked`.
     """
 
     NONE = enum.auto()
@@ -41,7 +41,7 @@
 
 @final
 class FakeClock:
-    """Time that passes only by `sleep` and `advance`."""
+    """A clock that advances only by `sleep` and `advance`."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -62,7 +62,7 @@
 
 @final
 class FakeStore:
-    """Table service in memory; versions start anew after a delete."""
+    """Table service in memory; versions restart after a delete."""
 
     def __init__(self) -> None:
         self.row_by_key: dict[str, _table_client.Row] = {}
@@ -107,7 +107,7 @@
         return versions
 
     def apply_late_writes(self) -> None:
-        """Let late writes have their effect, if their conditions hold."""
+        """Apply late writes whose conditions hold."""
         late, self._late = self._late, []
         for apply in late:
             try:
@@ -116,7 +116,7 @@
                 pass
 
     def claim_row(self, key: str = ROW_KEY) -> _claim_rows.ClaimRow | None:
-        """Give the claim under a row key."""
+        """Return the claim at a row key."""
         row = self.row_by_key.get(key)
         return None if row is None else _claim_rows.parse_row(row.value)
 
@@ -169,7 +169,7 @@
 def make_claim_manager(
     store, *, objects=None, clock=None, name="d1", **options
 ):
-    """Make a ClaimManager of daemon `name` over fakes."""
+    """Return a ClaimManager of daemon `name` that uses fakes."""
     return _claims.ClaimManager(
         store=store,
         objects=objects or FakeObjects(),
@@ -184,7 +184,7 @@
 def claim(
     manager, *, key="k", fingerprint=FINGERPRINT, deadline=1000.0, team=TEAM
 ):
-    """Claim with the values that most tests share."""
+    """Claim a request with default values."""
     return manager.claim(
         team=team,
         service=SERVICE,
@@ -195,7 +195,7 @@
 
 
 def crash(manager) -> None:
-    """Kill all that a daemon's keeper has running."""
+    """Kill all greenlets that a daemon's keeper has running."""
     worker = manager._committer._worker
     if worker is not None:
         worker.kill()
--- a/tests/topazlug/claims/test_claim_commit.py
+++ b/tests/topazlug/claims/test_claim_commit.py
@@ -1,4 +1,4 @@
-"""Group commit of claims, and the sweep of old ones."""
+"""Group commit of claims, and the sweep of expired ones."""
 
 import datetime
 
@@ -48,7 +48,7 @@
 
 
 class TestBatches:
-    def test_what_arrives_meanwhile_goes_together(self, committer, store):
+    def test_writes_during_a_transaction_are_batched(self, committer, store):
         first = committer.submit(make_write("0"))
         while not store.batch_sizes:
             gevent.sleep(0)
@@ -69,11 +69,11 @@
         )
         assert store.batch_sizes == [64, 36]
 
-    def test_conflict_spares_the_others(self, committer, store):
-        """One repeated key makes 63 other callers' requests fail.
+    def test_conflict_does_not_affect_others(self, committer, store):
+        """One repeated key would make the requests of 63 callers fail.
 
-        A transaction is all or nothing, so one failed condition fails
-        every claim that shares its batch.
+        A transaction is all or nothing, so one failed condition fails every
+        claim in its batch.
         """
         committer.submit(make_write("3", attempt="b")).result()
         pending_writes = [
@@ -83,8 +83,8 @@
         rejected = [isinstance(r, _claim_commit.Rejected) for r in results]
         assert rejected == [False, False, False, True, False]
 
-    def test_same_key_twice_waits_for_the_first(self, committer):
-        """Both of two requests under one key are told that they hold it.
+    def test_second_write_of_a_key_is_deferred(self, committer):
+        """Two requests with one key would both get the claim.
 
         In one transaction both conditions hold, as neither has written.
         """
@@ -93,8 +93,8 @@
         assert isinstance(first.result(), _claim_commit.Written)
         assert isinstance(second.result(), _claim_commit.Rejected)
 
-    def test_lost_answer_is_settled_row_by_row(self, committer, store):
-        """A whole batch is called failed although it was committed."""
+    def test_lost_answer_is_resolved_row_by_row(self, committer, store):
+        """A whole batch would be regarded as failed although committed."""
         store.transact_faults.append(fakes.Fault.ANSWER_LOST)
         pending_writes = [
             committer.submit(make_write(str(n))) for n in range(3)
@@ -102,19 +102,21 @@
         results = [pending_write.result() for pending_write in pending_writes]
         assert results == [_claim_commit.Written(version=1)] * 3
 
-    def test_absent_after_a_lost_answer_is_not_certain(self, committer, store):
-        """A write is called off, and lands.
+    def test_absent_row_after_a_lost_answer_is_ambiguous(
+        self, committer, store
+    ):
+        """A write that was reported as failed would take effect later.
 
-        Read back too early the row is absent, which looks like a write
-        without effect.
+        If the row is read too early it is absent, as if the write had no
+        effect.
         """
         store.transact_faults.append(fakes.Fault.LATE)
         pending_write = committer.submit(make_write("k"))
         with pytest.raises(_errors.StoreAmbiguous):
             pending_write.result()
 
-    def test_conflict_that_names_no_row_ends(self, committer, store):
-        """The daemon asks for the same transaction for ever."""
+    def test_conflict_without_rows_fails_the_batch(self, committer, store):
+        """The daemon would send the same transaction forever."""
 
         def refuse(**_):
             raise _table_client.TransactionConflict([])
@@ -123,8 +125,8 @@
         with pytest.raises(_errors.StoreUnavailable):
             committer.submit(make_write("k")).result()
 
-    def test_unforeseen_failure_answers_the_batch(self, committer, store):
-        """Claims hang until their deadlines: the committing greenlet died."""
+    def test_unexpected_error_completes_the_batch(self, committer, store):
+        """Claims would block until their deadlines if the greenlet died."""
         working = store.transact
 
         def fail(**_):
@@ -138,16 +140,16 @@
         assert isinstance(again, _claim_commit.Written)
 
 
-class TestLine:
-    def test_is_bounded(self, store, clock):
+class TestQueue:
+    def test_queue_is_bounded(self, store, clock):
         committer = make_committer(store, clock, max_queued=2)
         for number in range(2):
             committer.submit(make_write(str(number)))
         with pytest.raises(_errors.StoreUnavailable):
             committer.submit(make_write("2"))
 
-    def test_ends_of_claims_pass_the_bound(self, store, clock):
-        """Answers are lost for repeats just when many claims wait."""
+    def test_ends_of_claims_are_exempt_from_the_bound(self, store, clock):
+        """Answers for repeats would be lost when many claims are queued."""
         committer = make_committer(store, clock, max_queued=0)
         pending_write = committer.submit(make_write("k"), ends_claim=True)
         assert isinstance(pending_write.result(), _claim_commit.Written)
@@ -159,16 +161,16 @@
         other.result()
         assert list(store.row_by_key) == ["other"]
 
-    def test_sent_write_can_not_be_cancelled(self, committer, store):
+    def test_sent_write_cannot_be_cancelled(self, committer, store):
         pending_write = committer.submit(make_write("k"))
         while not store.batch_sizes:
             gevent.sleep(0)
         assert not pending_write.cancel()
 
 
-class TestPace:
-    def test_refusals_slow_down_and_commits_speed_up(self, store, clock):
-        """Daemons keep each other at 429 by asking ever again."""
+class TestPacing:
+    def test_rejections_slow_down_and_commits_speed_up(self, store, clock):
+        """Daemons that retry too fast would keep the store at 429."""
         committer = make_committer(store, clock)
         store.transact_faults.extend([fakes.Fault.DOWN] * 3)
         for number in range(4):
@@ -195,21 +197,27 @@
             usable=lambda: [_ids.DaemonId("d1")],
         )
 
-    def test_deletes_what_has_expired(self, store, clock, sweeper, committer):
+    def test_expired_claims_are_deleted(
+        self, store, clock, sweeper, committer
+    ):
         committer.submit(make_write("old")).result()
         clock.advance(25 * 3600 + 1)
         sweeper.sweep_page()
         assert sweeper.deleted == 1
         assert not store.row_by_key
 
-    def test_keeps_what_has_not(self, store, clock, sweeper, committer):
-        """A key is free again while its holder's clock says it is not."""
+    def test_claims_within_the_margin_are_kept(
+        self, store, clock, sweeper, committer
+    ):
+        """The key would be free before it expires by its holder's clock."""
         committer.submit(make_write("k")).result()
         clock.advance(24 * 3600 + 1)
         sweeper.sweep_page()
         assert list(store.row_by_key) == ["k"]
 
-    def test_walks_page_by_page(self, store, clock, sweeper, committer):
+    def test_table_is_scanned_page_by_page(
+        self, store, clock, sweeper, committer
+    ):
         for number in range(600):
             committer.submit(make_write(str(number))).result()
         clock.advance(25 * 3600 + 1)
@@ -217,10 +225,10 @@
         sweeper.sweep_page()
         assert not store.row_by_key
 
-    def test_row_written_meanwhile_stays(
+    def test_row_written_meanwhile_is_kept(
         self, store, clock, sweeper, committer
     ):
-        """A key claimed anew is deleted with the old row that it replaced."""
+        """A new claim of the key would be deleted with the old row."""
         committer.submit(make_write("k")).result()
         clock.advance(25 * 3600 + 1)
         page = store.scan("claims")
@@ -229,7 +237,7 @@
         sweeper.sweep_page()
         assert list(store.row_by_key) == ["k"]
 
-    def test_one_daemon_is_chosen(self):
+    def test_one_daemon_is_chosen_as_sweeper(self):
         ids = [_ids.DaemonId(f"d{number}") for number in range(9)]
         chosen = _claim_sweep.choose_sweeper(ids)
         assert chosen == _claim_sweep.choose_sweeper(list(reversed(ids)))
--- a/tests/topazlug/claims/test_claims.py
+++ b/tests/topazlug/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: at most one execution, and never a false not-run."""
+"""Claims: at most one execution, and no false outcome not-run."""
 
 import collections
 import datetime
@@ -52,21 +52,21 @@
         fakes.claim(manager, team="a/b")
         assert isinstance(fakes.claim(manager, team="a"), _claims.Claim)
 
-    def test_names_with_slashes_do_not_meet(self):
-        """A team is given another team's answer.
+    def test_names_with_slashes_do_not_collide(self):
+        """A team would receive another team's answer.
 
-        Team ``a`` and service ``b/c`` name the same row as team ``a/b``
-        and service ``c``, because the parts were joined unquoted.
+        Without quoting, team ``a`` with service ``b/c`` has the same row key
+        as team ``a/b`` with service ``c``.
         """
         one = _claim_rows.row_key(team="a", service="b/c", key="k")
         other = _claim_rows.row_key(team="a/b", service="c", key="k")
         assert one != other
 
-    def test_running_attempt_makes_the_key_unknown(self, manager, store):
-        """A slip is printed twice after its daemon died.
+    def test_key_of_a_running_attempt_is_unknown(self, manager, store):
+        """A request would run twice after its daemon crashed.
 
-        The first daemon claims, sends and dies; the caller repeats at a
-        second one, which takes the claim for abandoned.
+        The first daemon claims, sends and crashes; the caller repeats at a
+        second one, which regards the claim as abandoned.
         """
         fakes.claim(manager).may_send()
         with pytest.raises(_errors.KeyInUse) as caught:
@@ -75,7 +75,7 @@
         assert caught.value.retry_after
 
     def test_row_of_another_version_is_unknown(self, manager, store):
-        """A newer daemon's claim is taken for a free key during a rollout."""
+        """In a rollout a newer daemon's claim would be regarded as free."""
         store.row_by_key[fakes.ROW_KEY] = _table_client.Row(
             table="claims", key=fakes.ROW_KEY, version=3, value={"new": 1}
         )
@@ -83,7 +83,7 @@
             fakes.claim(manager)
 
     @pytest.mark.parametrize("end", ["abandon", "release", "finish"])
-    def test_other_request_is_refused_in_each_state(self, manager, end):
+    def test_other_request_is_rejected_in_each_state(self, manager, end):
         claim = fakes.claim(manager)
         arguments = (200, HEADERS, b"done") if end == "finish" else ()
         getattr(claim, end)(*arguments)
@@ -91,11 +91,11 @@
         with pytest.raises(_errors.KeyReused):
             fakes.claim(manager, fingerprint=OTHER)
 
-    def test_two_at_once_in_one_daemon(self, manager):
-        """A double click registers a student twice.
+    def test_simultaneous_claims_in_one_daemon(self, manager):
+        """Two simultaneous requests with one key would both run.
 
-        Both requests reach one daemon in the same moment and go into the
-        same batch, where each is told that its row was written.
+        Both reach one daemon and are written in the same batch, where the
+        row of each is reported as written.
         """
         jobs = [gevent.spawn(fakes.claim, manager) for _ in range(2)]
         gevent.joinall(jobs)
@@ -105,18 +105,19 @@
 
 
 class TestStoreFaults:
-    def test_down_is_not_run(self, manager, store):
+    def test_unavailable_store_is_not_run(self, manager, store):
         store.transact_faults.append(fakes.Fault.DOWN)
         with pytest.raises(_errors.StoreUnavailable) as caught:
             fakes.claim(manager)
         assert caught.value.outcome is _errors.Outcome.NOT_RUN
         assert caught.value.retry_after == 3
 
-    def test_lost_answer_is_settled_by_reading_back(self, manager, store):
-        """A request is refused for good although its own claim stands.
+    def test_lost_answer_is_resolved_by_reading_the_row(self, manager, store):
+        """A request would be rejected permanently because of its own claim.
 
-        The store commits the claim and its answer is lost. Without a read
-        back the daemon refuses, and each repeat meets the claim.
+        The store commits the claim, and its response is lost. If the row is
+        not read, the daemon rejects the request, and each repeat finds the
+        claim.
         """
         store.transact_faults.append(fakes.Fault.ANSWER_LOST)
         claim = fakes.claim(manager)
@@ -124,7 +125,7 @@
         assert store.claim_row().attempt == claim.attempt
 
     def test_lost_answer_of_a_conflict(self, manager, store):
-        """Two daemons send: one took a lost conflict for its own commit."""
+        """Two daemons would send if a lost conflict counted as a commit."""
         holder = fakes.claim(fakes.make_claim_manager(store, name="d2"))
         store.transact_faults.append(fakes.Fault.REQUEST_LOST)
         with pytest.raises(_errors.KeyInUse):
@@ -132,11 +133,12 @@
         assert store.claim_row().attempt == holder.attempt
 
     def test_late_insert_never_sends(self, manager, store):
-        """A claim lands after its caller was told not-run, and blocks.
+        """A claim would take effect after its caller received not-run.
 
-        The insert is ambiguous and the row absent when read back; the
-        daemon refuses. Later the insert lands: the key would say unknown
-        for a day. The released row written in its place stops it.
+        The result of the insert is ambiguous, and the row is absent when
+        read; the daemon rejects the request. If the insert then took effect,
+        the key's outcome would be unknown for a day. The released row that
+        is written in its place prevents that.
         """
         store.transact_faults.append(fakes.Fault.LATE)
         with pytest.raises(_errors.StoreUnavailable) as caught:
@@ -147,10 +149,10 @@
         assert store.claim_row().state is RELEASED
         assert isinstance(fakes.claim(manager), _claims.Claim)
 
-    def test_insert_that_lands_before_its_fence_is_released(
+    def test_insert_applied_before_its_release_is_released(
         self, manager, store
     ):
-        """As above, but the insert lands before the released row does."""
+        """As above, but the insert takes effect before the released row."""
         store.transact_faults.append(fakes.Fault.LATE)
         with pytest.raises(_errors.StoreUnavailable):
             fakes.claim(manager)
@@ -159,8 +161,8 @@
         manager.wait_finalized(10.0)
         assert store.claim_row().state is RELEASED
 
-    def test_unreadable_after_a_lost_answer(self, manager, store):
-        """A claim that can't be settled in time is not sent, and is freed."""
+    def test_unreadable_row_after_a_lost_answer(self, manager, store):
+        """A claim that can't be resolved is not sent, and is released."""
         store.transact_faults.append(fakes.Fault.ANSWER_LOST)
         store.read_faults.append(fakes.Fault.DOWN)
         with pytest.raises(_errors.StoreUnavailable):
@@ -170,11 +172,11 @@
 
 
 class TestDeadline:
-    def test_paused_claimant_does_not_send(self, manager, clock, store):
-        """A letter goes out long after its caller had given up.
+    def test_suspended_attempt_does_not_send(self, manager, clock, store):
+        """A request would be sent long after its caller gave up.
 
-        The daemon claims, is frozen past the deadline, thaws and goes on
-        where it was: at the first byte.
+        The daemon claims, is suspended past the deadline, and resumes
+        before the first byte.
         """
         claim = fakes.claim(manager, deadline=5.0)
         clock.advance(6.0)
@@ -186,7 +188,7 @@
         assert store.claim_row().state is RELEASED
 
     def test_expired_claim_does_not_send(self, store, clock):
-        """A claim is swept while its suspended holder's clock stood still."""
+        """A claim is swept while its holder and its clock are suspended."""
         lifetime = datetime.timedelta(seconds=10)
         manager = fakes.make_claim_manager(
             store, clock=clock, lifetime=lifetime
@@ -196,8 +198,8 @@
         with pytest.raises(_errors.DeadlineExceeded):
             claim.may_send()
 
-    def test_deadline_passes_while_waiting_in_line(self, manager, store):
-        """A refused request's claim is written all the same, and blocks."""
+    def test_deadline_passes_while_queued(self, manager, store):
+        """The claim of a rejected request would still be written."""
         store.transact_faults.append(fakes.Fault.BLOCKED)
         first = gevent.spawn(fakes.claim, manager, key="first")
         while not store.batch_sizes:
@@ -211,10 +213,10 @@
         assert store.claim_row() is None
 
     def test_deadline_passes_while_written(self, manager, store):
-        """A refused request's claim lands later, and blocks the key.
+        """The claim of a rejected request would hold the key.
 
-        The store is slow; the caller is refused as not-run at its deadline
-        while the claim is on its way.
+        The store is slow; the caller receives not-run at its deadline while
+        the claim is being written.
         """
         store.transact_faults.append(fakes.Fault.BLOCKED)
         with pytest.raises(_errors.DeadlineExceeded) as caught:
@@ -225,8 +227,8 @@
         manager.wait_finalized(10.0)
         assert store.claim_row().state is RELEASED
 
-    def test_answer_that_comes_after_a_pause(self, manager, store, clock):
-        """A daemon frozen while it claims goes on past the deadline."""
+    def test_answer_after_the_deadline(self, manager, store, clock):
+        """A daemon suspended while it claims resumes past the deadline."""
         store.transact_faults.append(fakes.Fault.BLOCKED)
         waiting = gevent.spawn(fakes.claim, manager, deadline=5.0)
         while not store.batch_sizes:
@@ -239,7 +241,7 @@
         assert store.claim_row().state is RELEASED
 
     def test_killed_while_waiting(self, manager, store):
-        """A caller hangs up while its claim is written; the key is stuck."""
+        """A caller leaves while its claim is written; it must be released."""
         store.transact_faults.append(fakes.Fault.DELAYED)
         waiting = gevent.spawn(fakes.claim, manager)
         while not store.batch_sizes:
@@ -250,17 +252,18 @@
 
 
 class TestRelease:
-    def test_frees_the_key(self, manager):
+    def test_release_frees_the_key(self, manager):
         fakes.claim(manager).release()
         manager.wait_finalized(10.0)
         assert isinstance(fakes.claim(manager), _claims.Claim)
 
-    def test_late_release_spares_the_next_claimant(self, manager, store):
-        """A request runs twice after a release that came late.
+    def test_late_release_does_not_affect_the_next_claim(self, manager, store):
+        """A request would run twice after a late release.
 
-        The first release is late, its repeat lands, a second attempt
-        claims, then the late one lands. Were rows deleted, versions would
-        start anew and the late release would fit the second's row.
+        The first release is late, its retry takes effect, a second attempt
+        claims, and then the late release arrives. If rows were deleted,
+        versions would restart, and the late release would match the second
+        attempt's row.
         """
         first = fakes.claim(manager)
         store.transact_faults.append(fakes.Fault.LATE)
@@ -271,23 +274,23 @@
         row = store.claim_row()
         assert (row.attempt, row.state) == (second.attempt, CLAIMED)
 
-    def test_block_left_before_sending_frees_the_key(self, manager):
-        """A caller hangs up between claim and first byte; the key sticks."""
+    def test_exit_before_sending_frees_the_key(self, manager):
+        """A caller leaves between the claim and the first byte."""
         with fakes.claim(manager):
             pass
         manager.wait_finalized(10.0)
         assert isinstance(fakes.claim(manager), _claims.Claim)
 
-    def test_block_left_after_sending_is_unknown(self, manager):
-        """A request runs twice after its handler failed while sending."""
+    def test_exit_after_sending_is_unknown(self, manager):
+        """A request would run twice after its handler failed in sending."""
         with fakes.claim(manager) as claim:
             claim.may_send()
         manager.wait_finalized(10.0)
         with pytest.raises(_errors.KeyInUse):
             fakes.claim(manager)
 
-    def test_ended_claim_can_not_be_used(self, manager):
-        """A handler's clean-up frees a key whose request was sent."""
+    def test_ended_claim_cannot_be_used(self, manager):
+        """A handler's clean-up would release the key of a sent request."""
         claim = fakes.claim(manager)
         claim.abandon()
         with pytest.raises(_errors.ClaimEnded):
@@ -314,13 +317,13 @@
         self.repeat(manager, b"small")
         assert not objects.data_by_key
 
-    def test_too_large_answer_says_ran(self, manager):
+    def test_too_large_answer_has_outcome_ran(self, manager):
         with pytest.raises(_errors.AnswerNotKept) as caught:
             self.repeat(manager, b"x" * 20_000)
         assert caught.value.outcome is _errors.Outcome.RAN
 
     def test_object_store_down_at_the_finish(self, manager, objects, store):
-        """A row points to an answer that was never kept."""
+        """A row would refer to an answer that was never stored."""
         objects.down = True
         with pytest.raises(_errors.AnswerNotKept):
             self.repeat(manager, b"x" * 5000)
@@ -328,10 +331,10 @@
         assert answer.place is _claim_rows.AnswerLocation.NOWHERE
 
     def test_object_store_down_at_the_repeat(self, manager, objects):
-        """A caller is told not-run of a charge that was made.
+        """A caller would receive not-run for a request that ran.
 
-        The kept answer can't be read, and the read's own error, which says
-        not-run, goes to the caller.
+        The stored answer can't be read, and the outcome of the read's error
+        is not-run.
         """
         self.repeat(manager, b"x" * 5000)
         objects.down = True
@@ -340,8 +343,8 @@
         assert caught.value.outcome is _errors.Outcome.RAN
 
     @pytest.mark.parametrize("fault", list(fakes.Fault))
-    def test_is_retried(self, manager, store, fault):
-        """A repeat finds unknown, as one write of the answer failed."""
+    def test_finish_is_retried(self, manager, store, fault):
+        """A repeat would find the outcome unknown if one write failed."""
         store.unblocked.set()
         claim = fakes.claim(manager)
         store.transact_faults.append(fault)
@@ -349,7 +352,7 @@
         manager.wait_finalized(10.0)
         assert fakes.claim(manager).body == b"done"
 
-    def test_long_outage_leaves_the_claim(self, manager, store):
+    def test_claim_stays_claimed_after_a_long_outage(self, manager, store):
         claim = fakes.claim(manager)
         store.transact_faults.extend([fakes.Fault.DOWN] * 1000)
         claim.finish(200, HEADERS, b"done")
@@ -374,7 +377,7 @@
 
 
 class Run:
-    """One random schedule over daemons that share a store."""
+    """A random schedule of daemons that share a store."""
 
     def __init__(self, transact_faults, read_faults):
         self.store = fakes.FakeStore()
@@ -411,7 +414,7 @@
         if error.outcome is _errors.Outcome.RAN:
             assert self.sent
         if error.outcome is _errors.Outcome.NOT_RUN:
-            # The tag of a sender is its greenlet: this one sent nothing.
+            # Senders are recorded by greenlet; this one sent nothing.
             assert gevent.getcurrent() not in self.sent[before:]
 
     def attempt(self, plan):
@@ -479,7 +482,7 @@
 
 
 class TestSchedules:
-    """Random faults, crashes, pauses and contenders for one key."""
+    """Random faults, crashes, pauses and attempts with one key."""
 
     @settings(max_examples=400, deadline=None)
     @given(
@@ -492,8 +495,8 @@
         run.play(plans)
         assert len(run.sent) <= 1
         if not run.sent and not run.crashed:
-            # Nothing ran and no daemon died: once the store is well, the
-            # key must be free again.
+            # Nothing ran and no daemon crashed, so the key must be free once
+            # the store works again.
             run.store.transact_faults.clear()
             last = fakes.make_claim_manager(run.store, name="last")
             assert isinstance(fakes.claim(last), _claims.Claim)
