--- a/src/topazlug/claims/_claim_commit.py
+++ b/src/topazlug/claims/_claim_commit.py
@@ -132,11 +132,11 @@
             self._clock.sleep(wait)
         self._last = self._clock.monotonic()
 
-    def record_success(self) -> None:
+    def speed_up(self) -> None:
         interval = self._interval * _SPEEDUP_FACTOR
         self._interval = max(interval, self._min_interval)
 
-    def record_rejection(self) -> None:
+    def slow_down(self) -> None:
         interval = max(self._interval, MIN_INTERVAL_SECONDS) * _SLOWDOWN_FACTOR
         self._interval = min(interval, MAX_INTERVAL_SECONDS)
 
@@ -226,10 +226,10 @@
         try:
             versions = self._transact(batch)
         except _table_client.TransactionConflict as conflict:
-            self._pacer.record_success()
+            self._pacer.speed_up()
             self._complete_conflicts(batch, conflict.failed)
         except _errors.StoreUnavailable as error:
-            self._pacer.record_rejection()
+            self._pacer.slow_down()
             _fail_all(batch, error)
         except _errors.StoreAmbiguous as error:
             self._resolve_all(batch, error)
@@ -243,7 +243,7 @@
             )
             self._resolve_all(batch, _errors.StoreAmbiguous(repr(error)))
         else:
-            self._pacer.record_success()
+            self._pacer.speed_up()
             self._complete_written(batch, versions)
 
     def _transact(self, batch: Iterable[PendingWrite]) -> dict[str, int]:
@@ -315,8 +315,8 @@
         except _errors.StoreUnavailable:
             pending_write.set_error(error)
             return
-        # The row is unchanged. The write may be lost, or be delayed and take
-        # effect after this read, so it must not be reported as ineffective.
+        # If the row is unchanged, the write may be lost, or may be delayed and
+        # take effect after this read. It must not be reported as ineffective.
         if current is None or current.version <= write.version:
             pending_write.set_error(error)
         elif _wrote(write, current):
--- a/src/topazlug/claims/_claim_finalizer.py
+++ b/src/topazlug/claims/_claim_finalizer.py
@@ -17,8 +17,8 @@
 MAX_PENDING = 1024
 MAX_PENDING_BYTES = 8 * 1024 * 1024
 MAX_ROW_BYTES = 4096
-_INITIAL_BACKOFF = 0.1
-_MAX_BACKOFF = 5.0
+_INITIAL_BACKOFF_SECONDS = 0.1
+_MAX_BACKOFF_SECONDS = 5.0
 
 _LOG = logbook.Logger("topazlug.claims")
 
@@ -165,17 +165,17 @@
         )
 
     def _put_object(self, key: str, body: bytes) -> bool:
-        until = self._clock.monotonic() + OBJECT_TIMEOUT_SECONDS
-        backoff = _INITIAL_BACKOFF
+        deadline = self._clock.monotonic() + OBJECT_TIMEOUT_SECONDS
+        backoff = _INITIAL_BACKOFF_SECONDS
         while True:
             try:
                 self._objects.put(key, body)
                 return True
             except (_errors.StoreUnavailable, _errors.StoreAmbiguous):
-                if self._clock.monotonic() + backoff > until:
+                if self._clock.monotonic() + backoff > deadline:
                     return False
             self._clock.sleep(backoff)
-            backoff = min(backoff * 2, _MAX_BACKOFF)
+            backoff = min(backoff * 2, _MAX_BACKOFF_SECONDS)
 
     def _release_once_written(
         self, held: HeldRow, pending_write: _claim_commit.PendingWrite
@@ -188,8 +188,8 @@
             self._release(held)
             return
         if isinstance(result, _claim_commit.Written):
-            landed = msgspec.structs.replace(held, version=result.version)
-            self._release(landed)
+            written = msgspec.structs.replace(held, version=result.version)
+            self._release(written)
 
     def _release(self, held: HeldRow) -> None:
         released = msgspec.structs.replace(
@@ -198,8 +198,8 @@
         self._write(held, released)
 
     def _write(self, held: HeldRow, row: _claim_rows.ClaimRow) -> None:
-        until = self._clock.monotonic() + FINALIZE_TIMEOUT_SECONDS
-        backoff = _INITIAL_BACKOFF
+        deadline = self._clock.monotonic() + FINALIZE_TIMEOUT_SECONDS
+        backoff = _INITIAL_BACKOFF_SECONDS
         version = held.version
         while True:
             result = self._try_write(held.key, version, row)
@@ -209,14 +209,14 @@
                 if not _still_claimed(row, result):
                     return
                 version = result.current.version
-            if self._clock.monotonic() + backoff > until:
+            if self._clock.monotonic() + backoff > deadline:
                 _LOG.warning(
                     "outcome of claim {} stays unknown: writing it timed out",
                     held.key,
                 )
                 return
             self._clock.sleep(backoff)
-            backoff = min(backoff * 2, _MAX_BACKOFF)
+            backoff = min(backoff * 2, _MAX_BACKOFF_SECONDS)
 
     def _try_write(
         self, key: str, version: int, row: _claim_rows.ClaimRow
--- a/src/topazlug/claims/_claims.py
+++ b/src/topazlug/claims/_claims.py
@@ -283,8 +283,8 @@
         )
         pending_write = self._committer.submit(write)
         try:
-            left = max(deadline - self._clock.monotonic(), 0.0)
-            result = pending_write.result(timeout=left)
+            remaining = max(deadline - self._clock.monotonic(), 0.0)
+            result = pending_write.result(timeout=remaining)
         except _errors.StoreUnavailable as error:
             raise _not_claimed(error.message, error.retry_after) from error
         except _errors.StoreAmbiguous as error:
@@ -298,7 +298,9 @@
             raise
         if result is None:
             self._abandon_write(held, pending_write)
-            raise _too_late("deadline passed while the claim was queued")
+            raise _too_late(
+                "deadline passed while waiting for the table service"
+            )
         return result
 
     def _abandon_write(
--- a/src/topazlug/crashes/_cause_analysis.py
+++ b/src/topazlug/crashes/_cause_analysis.py
@@ -1,9 +1,9 @@
 """Finds the requests that crash replicas, from what ran during crashes.
 
 A request that crashes each replica that runs it is repeated by its caller and
-arrives at any daemon. Each time a dozen other requests run beside it, and
-replicas also crash for other reasons. So a request is regarded as the cause
-only if
+may arrive at any daemon. Each time a dozen other requests run on the same
+replica, and replicas also crash for other reasons. So a request is regarded
+as the cause only if
 
 - three of its attempts ran on replicas that crashed, and three incarnations
   crashed in all: one attempt may be hit by two crashes, as it is sent to a
@@ -13,8 +13,8 @@
 - it ran for so short a time on replicas that so many crashes are improbable
   by chance, given the rate of crashes without it;
 - no other request ran during all of the same crashes and during others too.
-  Requests beside the cause run during some of the crashes only, so the cause
-  explains them.
+  An innocent request runs during only some of the crashes of the cause, which
+  therefore explains them.
 
 A blocked request explains the crashes during which it ran; they count against
 no other request.
@@ -106,7 +106,7 @@
 class CauseAnalysis:
     """The causes of crashes that follow from the records of all daemons.
 
-    An analysis is built anew whenever records change, from some thousand
+    An analysis is rebuilt whenever records change, from some thousand
     suspects most of which occur once. So crashes are collected only for the
     requests that are looked up.
 
@@ -161,16 +161,18 @@
         return explained
 
     def _add(self, crash: _crash_records.Crash) -> None:
-        known = self._crash_by_incarnation.get(crash.start)
-        if known is None:
-            known = _CrashedIncarnation(crash.at, crash.group, crash.replicas)
-            self._crash_by_incarnation[crash.start] = known
-        known.at = min(known.at, crash.at)
+        crashed = self._crash_by_incarnation.get(crash.start)
+        if crashed is None:
+            crashed = _CrashedIncarnation(
+                crash.at, crash.group, crash.replicas
+            )
+            self._crash_by_incarnation[crash.start] = crashed
+        crashed.at = min(crashed.at, crash.at)
         for suspect in crash.suspects:
-            seen = self._runs_by_fingerprint.setdefault(
+            suspect_runs = self._runs_by_fingerprint.setdefault(
                 suspect.fingerprint, []
             )
-            seen.append((crash.start, suspect))
+            suspect_runs.append((crash.start, suspect))
 
     def _crashes_of(self, fingerprint: _ids.Fingerprint) -> _RequestCrashes:
         crashes = _RequestCrashes()
--- a/src/topazlug/crashes/_crash_detector.py
+++ b/src/topazlug/crashes/_crash_detector.py
@@ -51,7 +51,17 @@
 
 
 class _ConnectResult(enum.Enum):
-    """Result of an attempt to connect."""
+    """Result of an attempt to connect.
+
+    Attributes
+    ----------
+    TAKEN
+        The connection was accepted and stayed open.
+    REFUSED
+        The connection was refused, or accepted and closed by a relay.
+    NONE
+        There was no response.
+    """
 
     TAKEN = "taken"
     REFUSED = "refused"
@@ -70,7 +80,7 @@
         Returns the platform's list of targets by replica.
     is_leaving : callable
         Returns whether a target leaves as planned.
-    crashed : callable
+    on_crash : callable
         Called once for each incarnation that crashed, with the target and
         this daemon's runs there.
     clock : Clock
@@ -83,13 +93,13 @@
         runs: _target_runs.RunBook,
         listed: Callable[[], Mapping[_ids.ReplicaId, _targets.Target]],
         is_leaving: Callable[[_targets.Target], bool],
-        crashed: OnCrash,
+        on_crash: OnCrash,
         clock: _clock.Clock,
     ) -> None:
         self._runs = runs
         self._listed = listed
         self._is_leaving = is_leaving
-        self._crashed = crashed
+        self._on_crash = on_crash
         self._clock = clock
         self._check_by_incarnation: dict[_target.Start, event.Event] = {}
         self._checked_at: dict[_target.Start, float] = {}
@@ -158,18 +168,20 @@
     def _check(self, target: _targets.Target) -> None:
         incarnation = _target.start_of(target)
         try:
-            answer = _connect(target)
-            if answer is _ConnectResult.REFUSED and self._few_refuse(target):
+            result = _connect(target)
+            if result is _ConnectResult.REFUSED and self._few_replicas_refuse(
+                target
+            ):
                 runs = self._runs.running(incarnation)
                 runs += self._runs.broken(
                     incarnation, seconds=_RECENT_RUN_SECONDS
                 )
                 self._report(target, runs)
         finally:
-            self._record_check(incarnation)
+            self._save_check_time(incarnation)
             self._check_by_incarnation.pop(incarnation).set()
 
-    def _record_check(self, incarnation: _target.Start) -> None:
+    def _save_check_time(self, incarnation: _target.Start) -> None:
         now = self._clock.monotonic()
         self._checked_at = {
             one: at
@@ -178,7 +190,7 @@
         }
         self._checked_at[incarnation] = now
 
-    def _few_refuse(self, target: _targets.Target) -> bool:
+    def _few_replicas_refuse(self, target: _targets.Target) -> bool:
         """Return whether few enough replicas refuse connections now."""
         group = sum(
             other.group == target.group for other in self._listed().values()
@@ -259,7 +271,7 @@
             n=len(runs),
             fingerprints=" ".join(sorted({run.fingerprint for run in runs})),
         )
-        self._crashed(target, runs)
+        self._on_crash(target, runs)
 
 
 def _was_interrupted(run: _target_runs.Run) -> bool:
--- a/src/topazlug/crashes/_crash_guard.py
+++ b/src/topazlug/crashes/_crash_guard.py
@@ -88,7 +88,7 @@
             runs=runs,
             listed=lambda: targets.target_by_replica,
             is_leaving=targets.is_leaving,
-            crashed=self._on_crash,
+            on_crash=self._on_crash,
             clock=clock,
         )
         runs.on_end(self._on_run_end)
@@ -160,15 +160,15 @@
     ) -> bool:
         """Return whether a request may be sent on after its target failed.
 
-        A request that already has a crash against it is not sent to a second
-        target, as it would crash two replicas at each of its attempts.
+        A request that hit a crash at an earlier attempt is not repeated after
+        another crash, as it would crash two replicas at each attempt.
         """
         if not self._rejects:
             return True
         if self._history.analysis.is_blocked(fingerprint):
             return False
-        # If replicas crash at once, the second one of an attempt fails while
-        # the first one is still being checked.
+        # Replicas may crash so fast that the second target of an attempt fails
+        # while the first one is still being checked.
         self._detector.wait_for_other_checks(fingerprint, target)
         if not self._history.analysis.incarnations_of(fingerprint):
             # One crash does not prevent a repeat, so there is no need to wait
@@ -191,7 +191,7 @@
     ) -> None:
         """Replace the records that are in the table."""
         self._history.set_shared_records(records)
-        self._update()
+        self._update_likely_causes()
 
     def add_peer_records(
         self,
@@ -210,9 +210,9 @@
         added = self._history.add_peer_records(records)
         for record in added if stand_in else ():
             self._set_due(record, random.uniform(*_FALLBACK_WRITE_SECONDS))
-        self._update()
+        self._update_likely_causes()
 
-    def _update(self) -> None:
+    def _update_likely_causes(self) -> None:
         self._likely_causes.update(self._history.analysis.likely_causes())
         self._changed.set()
 
@@ -231,7 +231,7 @@
             replicas=len(self._targets.known(target.group)),
         )
         self._publish([crash])
-        self._update()
+        self._update_likely_causes()
 
     def run(self) -> None:
         """Decide again after each change, forever."""
--- a/src/topazlug/crashes/_crash_history.py
+++ b/src/topazlug/crashes/_crash_history.py
@@ -79,7 +79,7 @@
         return self._current_analysis()
 
     def _current_analysis(self) -> _cause_analysis.CauseAnalysis:
-        """Return the analysis, made anew if records have changed."""
+        """Return the analysis, rebuilt if records have changed."""
         if self._analysis is None:
             self._analysis = self._analyze()
         return self._analysis
@@ -174,7 +174,7 @@
     def block(
         self, causes: Mapping[_ids.Fingerprint, _ids.GroupName]
     ) -> list[_crash_records.Block]:
-        """Block requests that crash replicas; see `Evidence.causes`."""
+        """Block requests that crash replicas; see `CauseAnalysis.causes`."""
         blocks = [
             _crash_records.Block(
                 fingerprint=fingerprint,
@@ -246,7 +246,7 @@
         """Add and return clearances of requests that others may block.
 
         These are the requests that one more crash would block at a daemon
-        that has seen no answer. Other clearances are not published, because
+        that has not answered them. Other clearances are not published, because
         most requests that ran during a crash are never repeated, and each
         row costs a call.
         """
@@ -323,8 +323,8 @@
     shared: _crash_records.Block, record: _crash_records.Block
 ) -> bool:
     # Two daemons may block the same request; one row is enough. A record is
-    # not covered if an operator has released the request since, or if it has
-    # crashed replicas again.
+    # not covered if an operator has released the request since, or if the
+    # request has crashed replicas again.
     is_same = shared.released == record.released
     return is_same or shared.at >= record.at
 
@@ -337,12 +337,12 @@
 
 
 def _retained(
-    note_by_key: Mapping[str, _crash_records.CrashRecord],
+    record_by_key: Mapping[str, _crash_records.CrashRecord],
     now: datetime.datetime,
 ) -> RecordByKey:
     """Return the newest records that are not expired, within the limits."""
     newest = sorted(
-        note_by_key.items(), key=lambda item: item[1].at, reverse=True
+        record_by_key.items(), key=lambda item: item[1].at, reverse=True
     )
     retained: RecordByKey = {}
     count_by_kind: collections.Counter[type] = collections.Counter()
--- a/src/topazlug/crashes/_likely_causes.py
+++ b/src/topazlug/crashes/_likely_causes.py
@@ -66,7 +66,7 @@
         return self._clock.monotonic() < until
 
     def is_settled(self, fingerprint: _ids.Fingerprint) -> bool:
-        """Return whether a likely cause may be decided on by now."""
+        """Return whether a request has been a likely cause for long enough."""
         likely_since = self._likely_since.get(fingerprint, math.inf)
         return self._clock.monotonic() >= likely_since + _SETTLE_SECONDS
 
--- a/src/topazlug/crashes/_record_distributor.py
+++ b/src/topazlug/crashes/_record_distributor.py
@@ -29,14 +29,15 @@
 _log = _logs.logger("crashes")
 # Two, as one may have failed.
 _COLLECTORS = 2
-# Each recipient takes a stream. Larger fleets are split into groups. Two
+# Each recipient needs a stream, so larger fleets are split into groups. Two
 # daemons of each group receive the message, as one may have failed, and pass
 # it on to the rest of the group. In a fleet of 880 daemons each daemon sends
 # at most 200 messages and receives each decision twice.
 _MAX_RECIPIENTS = 200
 _RECIPIENTS_PER_GROUP = 2
-# The store may reject the daemons that decide and serve others. If it rejects
-# a third of the daemons, it rejects all four with a probability of 1/80.
+# The store may reject calls of the daemons that decide while it serves others,
+# so some recipients write the decision as well. If the store rejects a third
+# of the daemons, it rejects all four of these with a probability of 1/80.
 _STAND_INS = 4
 # Records in one message. The record of a crash with 64 requests takes 4 KB.
 _MAX_RECORDS = 64
--- a/src/topazlug/crashes/_record_sync.py
+++ b/src/topazlug/crashes/_record_sync.py
@@ -23,7 +23,8 @@
 # 880 daemons together read the table fifteen times a second, out of some two
 # thousand reads a second that the service handles.
 _READ_INTERVAL_SECONDS = 60.0
-# A daemon that starts needs the records before callers reach it.
+# Interval after a failed read. It is short because a daemon that starts needs
+# the records before callers reach it.
 _RETRY_SECONDS = 1.0
 _PAGE_ROWS = 500
 
--- a/tests/topazlug/claim_fakes.py
+++ b/tests/topazlug/claim_fakes.py
@@ -121,11 +121,11 @@
         return None if row is None else _claim_rows.parse_row(row.value)
 
     def _apply(self, conditions, puts, deletes):
-        current = [self._current(asked) for asked in conditions]
+        current = [self._current(condition) for condition in conditions]
         failed = [
             row
-            for row, asked in zip(current, conditions)
-            if row.version != asked.version
+            for row, condition in zip(current, conditions)
+            if row.version != condition.version
         ]
         if failed:
             raise _table_client.TransactionConflict(failed)
--- a/tests/topazlug/crashes/test_crash_detector.py
+++ b/tests/topazlug/crashes/test_crash_detector.py
@@ -33,7 +33,7 @@
             is_leaving=lambda target: (
                 target.leaving or target.replica in self.leaving
             ),
-            crashed=lambda target, runs: self.crashes.append((target, runs)),
+            on_crash=lambda target, runs: self.crashes.append((target, runs)),
             clock=clock,
         )
 
--- a/tests/topazlug/crashes/test_crash_history.py
+++ b/tests/topazlug/crashes/test_crash_history.py
@@ -192,11 +192,11 @@
                 fixtures.crash(f"i-{number}@1", *suspects, at=clock.now())
             )
         history.set_shared_records(records)
-        kept = [
+        retained = [
             n for n in range(200) if history.analysis.crash_count_of(f"f{n}-0")
         ]
-        assert len(kept) * 64 == _crash_history.MAX_SUSPECTS
-        assert kept[-1] == 199
+        assert len(retained) * 64 == _crash_history.MAX_SUSPECTS
+        assert retained[-1] == 199
 
     def test_own_records_are_bounded_during_a_store_outage(
         self, history, clock
--- a/tests/topazlug/crashes/test_crash_records.py
+++ b/tests/topazlug/crashes/test_crash_records.py
@@ -5,7 +5,7 @@
 from tests.topazlug.crashes import crash_fixtures as fixtures
 from topazlug.crashes import _crash_records
 
-NOTES = [
+RECORDS = [
     fixtures.crash("i-1@7", ("f", "a1"), ("g", "b1")),
     fixtures.answered("f", "i-1@7"),
     fixtures.block("f", "i-1@7", "i-2@1", "i-3@1"),
@@ -14,7 +14,7 @@
 
 
 class TestRows:
-    @pytest.mark.parametrize("record", NOTES)
+    @pytest.mark.parametrize("record", RECORDS)
     def test_encoded_record_is_decoded_unchanged(self, record):
         key = _crash_records.record_key(record)
         assert (
@@ -22,7 +22,7 @@
         )
 
     def test_keys(self):
-        assert [_crash_records.record_key(record) for record in NOTES] == [
+        assert [_crash_records.record_key(record) for record in RECORDS] == [
             "crash/i-1@7/d1",
             "answered/f",
             "block/f",
@@ -37,7 +37,7 @@
             b"\xff",
             b'{"type": "other"}',
             _crash_records.encode(fixtures.block("g", "i-1@7")),
-            _crash_records.encode(NOTES[2]).replace(b"Z", b""),
+            _crash_records.encode(RECORDS[2]).replace(b"Z", b""),
         ],
     )
     def test_invalid_row_is_rejected(self, data):
--- a/tests/topazlug/crashes/test_record_distributor.py
+++ b/tests/topazlug/crashes/test_record_distributor.py
@@ -113,12 +113,12 @@
     def test_failed_relays_do_not_keep_a_block_from_others(self):
         """A tenth of the daemons are down, some of those that relay too."""
         fleet = Fleet(880)
-        gone = {f"d{n}" for n in range(1, 880, 10)}
-        for name in gone:
+        failed = {f"d{n}" for n in range(1, 880, 10)}
+        for name in failed:
             fleet.links[name].handler = lambda *args: None
         fleet.distributors["d0"].send([fixtures.block("f", "i-1@1")])
         fleet.distributors["d2"].send([fixtures.block("f", "i-1@1")])
-        assert len(fleet.receivers()) >= 880 - len(gone) - 8
+        assert len(fleet.receivers()) >= 880 - len(failed) - 8
 
     def test_no_daemon_sends_many_messages(self):
         """The streams of a daemon also carry its admission requests."""
--- a/tests/topazlug/crashes/test_record_sync.py
+++ b/tests/topazlug/crashes/test_record_sync.py
@@ -33,13 +33,13 @@
         self.store = store or claim_fakes.FakeStore()
         self.distributor = FakeDistributor()
         self.received = []
-        self.kept = _record_sync.RecordSync(
+        self.sync = _record_sync.RecordSync(
             store=self.store,
             distributor=self.distributor,
             on_records=self.received.append,
             clock=_clock.SystemClock(),
         )
-        self._tasks = [gevent.spawn(task) for task in self.kept.tasks()]
+        self._tasks = [gevent.spawn(task) for task in self.sync.tasks()]
 
     def stop(self):
         gevent.killall(self._tasks)
@@ -54,13 +54,13 @@
 
 class TestRecords:
     def test_records_are_sent_and_written(self, rig):
-        rig.kept.publish([CRASH, BLOCK])
+        rig.sync.publish([CRASH, BLOCK])
         assert rig.distributor.records == [CRASH, BLOCK]
         routing_fixtures.wait_until(lambda: len(rig.store.row_by_key) == 2)
-        assert rig.kept.read() == [BLOCK, CRASH]
+        assert rig.sync.read() == [BLOCK, CRASH]
 
     def test_daemon_that_starts_later_reads_records(self, rig):
-        rig.kept.publish([BLOCK])
+        rig.sync.publish([BLOCK])
         routing_fixtures.wait_until(lambda: rig.store.row_by_key)
         later = Rig(rig.store)
         routing_fixtures.wait_until(lambda: later.received)
@@ -70,12 +70,12 @@
     def test_write_is_retried_after_an_outage(self, rig):
         rig.store.transact_faults.append(claim_fakes.Fault.DOWN)
         rig.store.transact_faults.append(claim_fakes.Fault.ANSWER_LOST)
-        rig.kept.publish([BLOCK])
+        rig.sync.publish([BLOCK])
         routing_fixtures.wait_until(lambda: rig.store.row_by_key)
-        assert rig.kept.read() == [BLOCK]
+        assert rig.sync.read() == [BLOCK]
 
     def test_invalid_row_is_skipped(self, rig):
-        rig.kept.publish([BLOCK])
+        rig.sync.publish([BLOCK])
         routing_fixtures.wait_until(lambda: rig.store.row_by_key)
         rig.store.row_by_key["crash/x"] = _table_client.Row(
             table=_crash_records.TABLE,
@@ -83,7 +83,7 @@
             version=1,
             value={"a": 1},
         )
-        assert rig.kept.read() == [BLOCK]
+        assert rig.sync.read() == [BLOCK]
 
     def test_many_rows_are_read_page_by_page(self, rig):
         records = [
@@ -95,4 +95,4 @@
             rig.store.row_by_key[key] = _table_client.Row(
                 table=_crash_records.TABLE, key=key, version=1, value=value
             )
-        assert rig.kept.read() == records
+        assert rig.sync.read() == records
--- a/tests/topazlug/crashes/test_record_writer.py
+++ b/tests/topazlug/crashes/test_record_writer.py
@@ -21,12 +21,12 @@
     def __init__(self):
         self.store = store_fakes.FakeTables()
         self.notified = []
-        self.records = _record_writer.RecordWriter(
+        self.writer = _record_writer.RecordWriter(
             write=self._write,
             notify=self.notified.append,
             clock=_clock.SystemClock(),
         )
-        self._writer = gevent.spawn(self.records.run)
+        self._task = gevent.spawn(self.writer.run)
 
     def _write(self, records, removed):
         rows = [
@@ -44,7 +44,7 @@
         return sorted(self.store._held(_crash_records.TABLE))
 
     def stop(self):
-        self._writer.kill()
+        self._task.kill()
 
 
 @pytest.fixture
@@ -61,21 +61,21 @@
 
 class TestWriting:
     def test_record_becomes_a_row(self, rig):
-        rig.records.publish([CRASH])
+        rig.writer.publish([CRASH])
         wait_until(rig.keys)
         assert rig.keys() == ["crash/i-1@1/d1"]
         assert rig.notified == []
 
     def test_simultaneous_records_take_one_call(self, rig):
-        rig.records.publish([CRASH])
-        rig.records.publish([fixtures.block("f", "i-1@1")])
+        rig.writer.publish([CRASH])
+        rig.writer.publish([fixtures.block("f", "i-1@1")])
         wait_until(rig.keys)
         assert len(rig.keys()) == 2
         assert rig.store.calls == 1
 
     def test_obsolete_rows_are_removed(self, rig):
         rig.store.put(_crash_records.TABLE, "crash/i-0@1/d1", b"{}")
-        rig.records.publish([CRASH], remove=["crash/i-0@1/d1"])
+        rig.writer.publish([CRASH], remove=["crash/i-0@1/d1"])
         wait_until(lambda: rig.keys() == ["crash/i-1@1/d1"])
 
 
@@ -87,7 +87,7 @@
         request.
         """
         rig.store.is_away = True
-        rig.records.publish([CRASH])
+        rig.writer.publish([CRASH])
         wait_until(lambda: rig.store.calls > 2)
         assert rig.notified == [[CRASH]]
         rig.store.is_away = False
@@ -96,10 +96,10 @@
 
     def test_peers_are_notified_of_each_further_record(self, rig):
         rig.store.is_away = True
-        rig.records.publish([CRASH])
+        rig.writer.publish([CRASH])
         wait_until(lambda: rig.notified)
         block = fixtures.block("f", "i-1@1")
-        rig.records.publish([block])
+        rig.writer.publish([block])
         wait_until(lambda: len(rig.notified) == 2)
         assert rig.notified == [[CRASH], [block]]
 
@@ -117,15 +117,15 @@
 
         plain_write = rig.store.write
         rig.store.write = write
-        rig.records.publish([CRASH], remove=["crash/i-0@1/d1"])
+        rig.writer.publish([CRASH], remove=["crash/i-0@1/d1"])
         wait_until(rig.keys)
-        rig.records.publish([fixtures.block("f", "i-1@1")])
+        rig.writer.publish([fixtures.block("f", "i-1@1")])
         wait_until(lambda: len(rig.keys()) == 2)
 
     def test_pending_records_are_bounded(self, rig):
         rig.store.is_away = True
         for number in range(400):
-            rig.records.publish([fixtures.crash(f"i-{number}@1", ("f", "a"))])
+            rig.writer.publish([fixtures.crash(f"i-{number}@1", ("f", "a"))])
         rig.store.is_away = False
         wait_until(lambda: "crash/i-399@1/d1" in rig.keys())
         wait_until(lambda: len(rig.keys()) == 256)
@@ -140,15 +140,15 @@
                 lost.append(True)
                 raise _errors.StoreAmbiguous("no answer")
 
-        plain_write = rig.records._write_rows
-        rig.records._write_rows = write
-        rig.records.publish([CRASH])
+        plain_write = rig.writer._write_rows
+        rig.writer._write_rows = write
+        rig.writer.publish([CRASH])
         wait_until(lambda: rig.store.calls == 2)
         assert rig.keys() == ["crash/i-1@1/d1"]
 
     def test_few_daemons_remove_rows(self, rig, monkeypatch):
         """All daemons that record one crash find the same obsolete rows."""
         monkeypatch.setattr(_record_writer, "_REMOVE_PROBABILITY", 0.0)
-        rig.records.publish([CRASH], remove=["crash/i-0@1/d1"])
+        rig.writer.publish([CRASH], remove=["crash/i-0@1/d1"])
         wait_until(rig.keys)
         assert rig.store.calls == 1
