--- a/tests/topazlug/claims/test_claims.py
+++ b/tests/topazlug/claims/test_claims.py
@@ -75,7 +75,7 @@
         assert caught.value.retry_after
 
     def test_row_of_another_version_is_unknown(self, manager, store):
-        """In a rollout a newer daemon's claim would be regarded as free."""
+        """In a rollout the key of a newer daemon's claim would seem free."""
         store.row_by_key[fakes.ROW_KEY] = _table_client.Row(
             table="claims", key=fakes.ROW_KEY, version=3, value={"new": 1}
         )
--- a/tests/topazlug/crashes/test_cause_analysis.py
+++ b/tests/topazlug/crashes/test_cause_analysis.py
@@ -1,4 +1,4 @@
-"""Which requests cause crashes, and which merely ran beside the cause."""
+"""Which requests cause crashes, and which only ran during them."""
 
 import random
 
@@ -51,7 +51,7 @@
         assert causes(*records) == {"f"}
 
 
-class TestBeside:
+class TestOtherRequests:
     def test_other_requests_are_not_causes(self):
         """Each crash hits a dozen other requests, some of them repeatedly."""
         records = [
@@ -86,7 +86,7 @@
         assert causes(*records) == {"f", "g"}
 
     def test_blocked_request_explains_its_crashes(self):
-        """Requests beside a blocked request are not suspected afterwards."""
+        """Requests that ran with a blocked request are not suspected."""
         records = [
             crash(f"i-{n}@1", ("f", f"a{n}"), ("g", f"b{n}")) for n in range(4)
         ]
