--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -189,8 +189,8 @@
     told = [_listed_targets.listed_fact(target) for target in sizes.targets()]
     encoded = msgspec.msgpack.encode(told)
 
-    def book() -> _facts.FactBook:
-        made = _facts.FactBook(clock=_CLOCK)
+    def book() -> _facts.FactSet:
+        made = _facts.FactSet(clock=_CLOCK)
         for fact in msgspec.msgpack.decode(encoded, type=list[messages.Fact]):
             made.merge(fact)
         return made
@@ -364,7 +364,7 @@
         daemons=sizes.daemon_ids(), replicas=directory.target_by_replica
     )
     after_list = sizes.resident_bytes()
-    book = _facts.FactBook(clock=_CLOCK)
+    book = _facts.FactSet(clock=_CLOCK)
     for fact in msgspec.msgpack.decode(told, type=list[messages.Fact]):
         book.merge(fact)
     after_facts = sizes.resident_bytes()
--- a/bench/capacity/peer_slopes.py
+++ b/bench/capacity/peer_slopes.py
@@ -150,7 +150,7 @@
 
 def _measure_book(members: int) -> tuple[float, float, float]:
     tracemalloc.start()
-    book = _facts.FactBook(clock=_clock.SystemClock())
+    book = _facts.FactSet(clock=_clock.SystemClock())
     for number in range(members):
         book.merge(
             messages.Fact(
@@ -166,11 +166,11 @@
         )
     held = tracemalloc.get_traced_memory()[0] / members
     tracemalloc.stop()
-    facts = book.take_chunk(members)
+    facts = book.next_chunk(members)
     whole = messages.Exchange(facts=facts, digest=book.digest, revision=1)
     size = len(msgspec.msgpack.encode(whole)) / members
     started = time.process_time()
-    other = _facts.FactBook(clock=_clock.SystemClock())
+    other = _facts.FactSet(clock=_clock.SystemClock())
     for fact in facts:
         other.merge(fact)
     merged = (time.process_time() - started) / members * 1e6
--- a/src/topazlug/_fleet_parts.py
+++ b/src/topazlug/_fleet_parts.py
@@ -91,7 +91,7 @@
             links=self.links,
             instances=self.instances,
             clock=self._clock,
-            revision_of=lambda: self.configuration.revision,
+            current_revision=lambda: self.configuration.revision,
         )
         self.follower = _configuration_follower.ConfigurationFollower(
             daemon_id=self.daemon_id,
--- a/src/topazlug/fleet/_fleet.py
+++ b/src/topazlug/fleet/_fleet.py
@@ -13,8 +13,8 @@
 from topazlug import _logs
 from topazlug._generated import settings as _settings_types
 from topazlug.fleet import _fleet_directory
-from topazlug.fleet import _news_bounds
 from topazlug.fleet import _reading_plan
+from topazlug.fleet import _staleness_bounds
 from topazlug.fleet import _table_feed
 from topazlug.fleet import _table_relay
 from topazlug.fleet import _table_source
@@ -40,7 +40,7 @@
     daemon: _ids.DaemonId
     address: _settings_types.AddressSettings
     relays: bool
-    news: _news_bounds.NewsBounds
+    news: _staleness_bounds.StalenessBounds
     first_start: bool
 
 
@@ -54,9 +54,9 @@
         This daemon.
     new_store : callable
         Makes a client of the store.
-    joined : callable
+    on_joined : callable
         Gets the streams to peers once they are open.
-    sized : callable
+    on_size : callable
         Gets the number of daemons whenever the directory was read.
     clock : Clock
         Time.
@@ -67,14 +67,14 @@
         *,
         options: FleetOptions,
         new_store: Callable[[], _table_source.TableStore],
-        joined: Callable[[_peers.PeerLinks], None],
-        sized: Callable[[int], None],
+        on_joined: Callable[[_peers.PeerLinks], None],
+        on_size: Callable[[int], None],
         clock: _clock.Clock,
     ) -> None:
         self._options = options
         self._new_store = new_store
-        self._joined = joined
-        self._sized = sized
+        self._joined = on_joined
+        self._sized = on_size
         self._clock = clock
         self._links: _peers.PeerLinks | None = None
         # Set once this daemon knows how large its fleet is.
@@ -82,23 +82,23 @@
         self._relay_server: _table_relay.RelayServer | None = None
         self._feeds: list[_table_feed.TableFeed] = []
         self.directory = _fleet_directory.FleetDirectory(
-            me=options.daemon,
-            own=_fleet_directory.DaemonRow(
+            daemon_id=options.daemon,
+            own_row=_fleet_directory.DaemonRow(
                 host=options.address.host,
                 port=options.address.port,
                 relays=options.relays,
             ),
         )
         self._plan = _reading_plan.ReadingPlan(
-            me=options.daemon, directory=self.directory, clock=clock
+            daemon_id=options.daemon, directory=self.directory, clock=clock
         )
 
     def feed(
         self,
         table: str,
-        follower: _table_feed.TableFollower,
+        follower: _table_feed.TableListener,
         *,
-        pace: _table_feed.Pace = _table_feed.USUAL,
+        pace: _table_feed.Pace = _table_feed.DEFAULT_PACE,
     ) -> _table_feed.TableFeed:
         """Make the feed of a table; see `TableFeed`."""
         return self._feed(
@@ -106,17 +106,17 @@
             follower,
             self._feed_seconds,
             pace=pace,
-            vouched=self._options.news.vouched,
+            validity=self._options.news.validity,
         )
 
     def _feed(
         self,
         table: str,
-        follower: _table_feed.TableFollower,
+        follower: _table_feed.TableListener,
         wait: Callable[[], float],
         *,
-        pace: _table_feed.Pace = _table_feed.USUAL,
-        vouched: float = _DIRECTORY_SECONDS,
+        pace: _table_feed.Pace = _table_feed.DEFAULT_PACE,
+        validity: float = _DIRECTORY_SECONDS,
     ) -> _table_feed.TableFeed:
         feed = _table_feed.TableFeed(
             source=_table_relay.RelayedTables(
@@ -130,7 +130,7 @@
             follower=follower,
             clock=self._clock,
             pace=pace,
-            vouched=vouched,
+            validity=validity,
         )
         self._feeds.append(feed)
         if self._relay_server is not None:
@@ -139,7 +139,7 @@
 
     def _feed_seconds(self) -> float:
         if self.directory.is_small:
-            return self._options.news.own_wait
+            return self._options.news.direct_wait
         return self._options.news.reader_wait
 
     def wait_for_size(self) -> None:
@@ -166,7 +166,7 @@
             self._sized_up.set()
             pause = random.uniform(0.8, 1.2) * _LOOK_SECONDS
         self._sized_up.set()
-        follower = _table_feed.TableFollower(changed=self._take)
+        follower = _table_feed.TableListener(changed=self._take)
         feed = self._feed(
             _fleet_directory.TABLE, follower, lambda: _DIRECTORY_SECONDS
         )
--- a/src/topazlug/fleet/_fleet_directory.py
+++ b/src/topazlug/fleet/_fleet_directory.py
@@ -55,9 +55,9 @@
 
     Parameters
     ----------
-    me : DaemonId
+    daemon_id : DaemonId
         This daemon.
-    own : DaemonRow
+    own_row : DaemonRow
         Its row.
 
     Attributes
@@ -66,13 +66,17 @@
         Whether its row was there when it joined: it has started before.
     """
 
-    def __init__(self, *, me: _ids.DaemonId, own: DaemonRow) -> None:
-        self._me = me
-        self._own = own
+    def __init__(
+        self, *, daemon_id: _ids.DaemonId, own_row: DaemonRow
+    ) -> None:
+        self._me = daemon_id
+        self._own = own_row
         self.secret = ""
         self.was_known = False
-        self.daemons_by_id: dict[_ids.DaemonId, DaemonRow] = {me: own}
-        self._order: list[_ids.DaemonId] = [me]
+        self.daemons_by_id: dict[_ids.DaemonId, DaemonRow] = {
+            daemon_id: own_row
+        }
+        self._order: list[_ids.DaemonId] = [daemon_id]
 
     def join(
         self, store: _table_source.TableStore
@@ -95,7 +99,7 @@
         StoreUnavailable
             It could not be written.
         """
-        own = _table_source.Row(
+        own_row = _table_source.Row(
             _DAEMON + self._me, msgspec.json.encode(self._own)
         )
         for _ in range(_JOIN_TRIES):
@@ -103,13 +107,13 @@
             data_by_key = {row.key: row.data for row in found.rows}
             self.take(data_by_key)
             if self.secret:
-                self.was_known = data_by_key.get(own.key) == own.data
+                self.was_known = data_by_key.get(own_row.key) == own_row.data
                 if not self.was_known:
-                    store.write(TABLE, [own])
+                    store.write(TABLE, [own_row])
                 return found
             fresh = _table_source.Row(_SECRET, secrets.token_hex(16).encode())
             try:
-                store.write(TABLE, [fresh, own], new=[_SECRET])
+                store.write(TABLE, [fresh, own_row], new=[_SECRET])
             except _table_source.RowExists:
                 continue
             self.secret = fresh.data.decode()
--- a/src/topazlug/fleet/_reading_plan.py
+++ b/src/topazlug/fleet/_reading_plan.py
@@ -157,7 +157,7 @@
 
     Parameters
     ----------
-    me : DaemonId
+    daemon_id : DaemonId
         This daemon.
     directory : Directory
         The fleet.
@@ -170,12 +170,12 @@
     def __init__(
         self,
         *,
-        me: _ids.DaemonId,
+        daemon_id: _ids.DaemonId,
         directory: Directory,
         clock: _clock.Clock,
         chance: Callable[[], float] = random.random,
     ) -> None:
-        self._me = me
+        self._me = daemon_id
         self._directory = directory
         self._clock = clock
         self._chance = chance
--- a/src/topazlug/fleet/_news_bounds.py
+++ b/src/topazlug/fleet/_staleness_bounds.py
@@ -27,7 +27,7 @@
 
 
 @final
-class NewsBounds(msgspec.Struct, frozen=True, kw_only=True):
+class StalenessBounds(msgspec.Struct, frozen=True, kw_only=True):
     """Bounds on the age of tables.
 
     Attributes
@@ -42,7 +42,7 @@
     unreachable: float
 
     @property
-    def own_wait(self) -> float:
+    def direct_wait(self) -> float:
         """Give the longest wait of a call that serves one daemon alone.
 
         One that is made while the store says nothing is never answered. It
@@ -58,6 +58,6 @@
         return max(_LEAST_WAIT_SECONDS, self.in_force * _READER_PART)
 
     @property
-    def vouched(self) -> float:
+    def validity(self) -> float:
         """Give for how long the store's last word counts."""
         return max(2 * _LEAST_WAIT_SECONDS, self.in_force * _VOUCHED_PART)
--- a/src/topazlug/fleet/_table_feed.py
+++ b/src/topazlug/fleet/_table_feed.py
@@ -33,34 +33,34 @@
 
     Attributes
     ----------
-    gap : float
+    min_interval : float
         Seconds between the beginnings of two calls at least. Replicas of a
         new fleet register one after the other, and a call that is made at
         once brings one of them: 81 daemons that start together made 1,400
         calls otherwise. It is a tenth of the shortest time in which changes
         must be in force.
-    longest_pause : float
+    max_pause : float
         Longest pause in seconds between two tries. The store's return must be
         seen within a second: entries that lapsed with it are kept for two
         more, and three after a cut has healed bounds count again. A try that
         is not answered takes 0.6 s.
     """
 
-    gap: float = 0.2
-    longest_pause: float = 0.25
+    min_interval: float = 0.2
+    max_pause: float = 0.25
 
 
-USUAL = Pace()
+DEFAULT_PACE = Pace()
 
 
-class TableFollower:
+class TableListener:
     """What a feed tells of its table.
 
     Attributes
     ----------
     changed : callable
         Gets the data by key after each change.
-    regained : callable
+    recovered : callable
         Called when the store is back after a loss, before `changed`. Gets
         the seconds since the last failed call began: the store may have been
         back for as long.
@@ -70,10 +70,10 @@
         self,
         *,
         changed: Callable[[dict[str, bytes]], None],
-        regained: Callable[[float], None] | None = None,
+        recovered: Callable[[float], None] | None = None,
     ) -> None:
         self.changed = changed
-        self.regained = regained
+        self.recovered = recovered
 
 
 @final
@@ -88,13 +88,13 @@
         Its name.
     wait : callable
         Gives the seconds that one call waits for changes.
-    follower : TableFollower
+    follower : TableListener
         Gets what is new.
     clock : Clock
         Time.
     pace : Pace
         How often it is read.
-    vouched : float
+    validity : float
         Seconds after the store's last word, by whatever way it came, for
         which this copy's word counts for other daemons. A call that the
         store took and never answers would else look to them as if there
@@ -107,13 +107,13 @@
         source: _table_source.RelayedSource,
         table: str,
         wait: Callable[[], float],
-        follower: TableFollower,
+        follower: TableListener,
         clock: _clock.Clock,
-        pace: Pace = USUAL,
-        vouched: float = _VOUCHED_SECONDS,
+        pace: Pace = DEFAULT_PACE,
+        validity: float = _VOUCHED_SECONDS,
     ) -> None:
         self._source = source
-        self._vouched = vouched
+        self._vouched = validity
         self._catching_up: gevent.Greenlet | None = None
         self._pace = pace
         self.table = table
@@ -152,7 +152,7 @@
                 self._step()
                 pause = _FIRST_PAUSE_SECONDS
                 spent = self._clock.monotonic() - asked_at
-                self._clock.sleep(max(0.0, self._pace.gap - spent))
+                self._clock.sleep(max(0.0, self._pace.min_interval - spent))
             except _table_source.HistoryLost as error:
                 _log.warning("{why}; it is read whole", why=error.message)
                 self._is_read = False
@@ -161,7 +161,7 @@
                 self._failed_at = asked_at
                 self._note_loss(error)
                 self._clock.sleep(random.uniform(pause / 2, pause))
-                pause = min(self._pace.longest_pause, 2 * pause)
+                pause = min(self._pace.max_pause, 2 * pause)
 
     def _step(self) -> None:
         if not self._is_read:
@@ -337,5 +337,5 @@
                 seconds=now - self._lost_at,
             )
             self._lost_at = None
-        if lost_since is not None and self._follower.regained is not None:
-            self._follower.regained(lost_since)
+        if lost_since is not None and self._follower.recovered is not None:
+            self._follower.recovered(lost_since)
--- a/src/topazlug/forwarding/_crash_parts.py
+++ b/src/topazlug/forwarding/_crash_parts.py
@@ -24,7 +24,7 @@
 # store is away daemons tell each other, and its return need not be seen at
 # once; with the pauses of other tables a day with 10 s of outage took 470 of
 # 1,577 calls (nine daemons).
-PACE = _table_feed.Pace(gap=0.05, longest_pause=1.0)
+PACE = _table_feed.Pace(min_interval=0.05, max_pause=1.0)
 
 
 @final
@@ -52,7 +52,7 @@
     ----------
     guard : CrashGuard
         Learns and refuses.
-    follower : TableFollower
+    follower : TableListener
         Gets the rows of the table `TABLE`.
     """
 
@@ -85,7 +85,7 @@
         self._reader = _row_reader.RowReader(
             name=TABLE, decode=_notes.decode, clock=clock
         )
-        self.follower = _table_feed.TableFollower(changed=self._take_rows)
+        self.follower = _table_feed.TableListener(changed=self._take_rows)
 
     def _write(self, notes: list[_notes.Note], dropped: list[str]) -> None:
         rows = [
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -137,8 +137,8 @@
                 first_start=options.first_start,
             ),
             new_store=new_store,
-            joined=self._join_owners,
-            sized=self._take_size,
+            on_joined=self._join_owners,
+            on_size=self._take_size,
             clock=clock,
         )
         self._connections = _target_client.TargetConnections(
@@ -306,9 +306,9 @@
     def follow(
         self,
         table: str,
-        follower: _table_feed.TableFollower,
+        follower: _table_feed.TableListener,
         *,
-        pace: _table_feed.Pace = _table_feed.USUAL,
+        pace: _table_feed.Pace = _table_feed.DEFAULT_PACE,
     ) -> None:
         """Follow a table of the platform's store from now on."""
         feed = self._fleet.feed(table, follower, pace=pace)
--- a/src/topazlug/forwarding/_options.py
+++ b/src/topazlug/forwarding/_options.py
@@ -6,7 +6,7 @@
 
 from topazlug import _ids
 from topazlug._generated import settings as _settings_types
-from topazlug.fleet import _news_bounds
+from topazlug.fleet import _staleness_bounds
 from topazlug.placement import _mechanisms
 
 
@@ -35,7 +35,7 @@
         Listener for other daemons.
     relays : bool
         Whether its link carries news for other daemons.
-    news : NewsBounds
+    news : StalenessBounds
         How old its copies of the store's tables may get.
     first_start : bool
         Whether the whole system starts for the first time.
@@ -57,7 +57,7 @@
     retry_window: float
     peers: _settings_types.AddressSettings
     relays: bool
-    news: _news_bounds.NewsBounds
+    news: _staleness_bounds.StalenessBounds
     first_start: bool
     max_connections: int
     without: _mechanisms.Without = _mechanisms.NONE
--- a/src/topazlug/membership/_fact_exchange.py
+++ b/src/topazlug/membership/_fact_exchange.py
@@ -50,11 +50,11 @@
         Interval, fan-out and timeout.
     links : PeerLinks
         Streams to the peers.
-    book : FactBook
+    book : FactSet
         What is exchanged.
     clock : Clock
         Source of monotonic time.
-    revision_of : callable
+    current_revision : callable
         Gives the configuration revision to tell.
     take : callable
         Takes a fact into the book; tells whether it was news.
@@ -76,9 +76,9 @@
         *,
         settings: _settings.MembershipSettings,
         links: _peers.PeerLinks,
-        book: _facts.FactBook,
+        book: _facts.FactSet,
         clock: _clock.Clock,
-        revision_of: Callable[[], int],
+        current_revision: Callable[[], int],
         take: Callable[[messages.Fact], bool],
         candidates: Callable[[], set[_ids.DaemonId]],
         doubted: Callable[[_ids.DaemonId], None],
@@ -91,7 +91,7 @@
         self._links = links
         self._book = book
         self._clock = clock
-        self._revision_of = revision_of
+        self._revision_of = current_revision
         self._take = take
         self._candidates = candidates
         self._doubted = doubted
@@ -235,7 +235,7 @@
         if reply is _peers.ignore_reply:
             return
         if message.want_all and self._may_serve_sync():
-            facts = self._book.take_chunk(self._fact_limit())
+            facts = self._book.next_chunk(self._fact_limit())
             reply(self._exchange_of(facts))
             return
         reply(self._heartbeat_for(peer))
@@ -283,7 +283,7 @@
 
     def _sync(self, peer: _ids.DaemonId, now: float) -> None:
         self._sync_after = now + self._sync_wait
-        facts = self._book.take_chunk(self._fact_limit())
+        facts = self._book.next_chunk(self._fact_limit())
         question = self._exchange_of(facts, want_all=True)
         try:
             answer = self._links.call(
--- a/src/topazlug/membership/_facts.py
+++ b/src/topazlug/membership/_facts.py
@@ -68,7 +68,7 @@
 
 
 @final
-class FactBook:
+class FactSet:
     """The strongest fact of each subject.
 
     Parameters
@@ -147,7 +147,7 @@
         """Whether some fact has repeats left."""
         return bool(self._repeats_by_subject)
 
-    def take_chunk(self, limit: int) -> list[messages.Fact]:
+    def next_chunk(self, limit: int) -> list[messages.Fact]:
         """Give a part of the book; calls go round the whole of it."""
         facts = list(self.fact_by_subject.values())
         if len(facts) <= limit:
--- a/src/topazlug/membership/_membership.py
+++ b/src/topazlug/membership/_membership.py
@@ -78,7 +78,7 @@
         The platform's list.
     clock : Clock
         Source of monotonic time.
-    revision_of : callable
+    current_revision : callable
         Gives the configuration revision that heartbeats carry.
 
     Attributes
@@ -102,7 +102,7 @@
         links: _peers.PeerLinks,
         instances: Instances,
         clock: _clock.Clock,
-        revision_of: Callable[[], int] = lambda: 0,
+        current_revision: Callable[[], int] = lambda: 0,
     ) -> None:
         self.members_by_id: dict[_ids.DaemonId, _members.Member] = {}
         self.target_facts_by_id: dict[_ids.ReplicaId, messages.Fact] = {}
@@ -120,13 +120,13 @@
         self._ticked_at = clock.monotonic()
         self._forgot_at = self._ticked_at
         self._greenlets: list[gevent.Greenlet] = []
-        self._book = _facts.FactBook(clock=clock)
+        self._book = _facts.FactSet(clock=clock)
         self._exchange = _fact_exchange.FactExchange(
             settings=settings,
             links=links,
             book=self._book,
             clock=clock,
-            revision_of=revision_of,
+            current_revision=current_revision,
             take=self._take,
             candidates=self._candidates,
             doubted=self._doubted,
@@ -243,7 +243,7 @@
             )
         self._tell(fact)
 
-    def publish_listed(self, fact: messages.Fact) -> None:
+    def publish_listed_target(self, fact: messages.Fact) -> None:
         """Tell the fleet of a target that the list shows anew.
 
         Daemons share the reads of the list; without this, one that reads it
--- a/src/topazlug/routing/_routing_parts.py
+++ b/src/topazlug/routing/_routing_parts.py
@@ -215,7 +215,7 @@
         if self._fleet.instances.refreshed_at is not None:
             known = self.targets.target_by_replica
             for target in _listed_targets.news(known, listed):
-                self._fleet.membership.publish_listed(
+                self._fleet.membership.publish_listed_target(
                     _listed_targets.listed_fact(target)
                 )
         before = self.targets.target_by_replica
--- a/tests/topazlug/crashes/test_stored_notes.py
+++ b/tests/topazlug/crashes/test_stored_notes.py
@@ -82,16 +82,16 @@
 
         Nine daemons then needed three crashes each to know one request.
         """
-        rig.store.is_away = True
+        rig.store.is_unavailable = True
         rig.notes.publish([CRASH])
         wait_until(lambda: rig.store.calls > 2)
         assert rig.told == [[CRASH]]
-        rig.store.is_away = False
+        rig.store.is_unavailable = False
         wait_until(rig.keys)
         assert rig.keys() == ["crash/i-1@1/d1"]
 
     def test_each_further_note_is_told(self, rig):
-        rig.store.is_away = True
+        rig.store.is_unavailable = True
         rig.notes.publish([CRASH])
         wait_until(lambda: rig.told)
         block = fixtures.block("f", "i-1@1")
@@ -119,10 +119,10 @@
         wait_until(lambda: len(rig.keys()) == 2)
 
     def test_what_waits_is_bounded(self, rig):
-        rig.store.is_away = True
+        rig.store.is_unavailable = True
         for number in range(400):
             rig.notes.publish([fixtures.crash(f"i-{number}@1", ("f", "a"))])
-        rig.store.is_away = False
+        rig.store.is_unavailable = False
         wait_until(lambda: "crash/i-399@1/d1" in rig.keys())
         wait_until(lambda: len(rig.keys()) == 256)
 
--- a/tests/topazlug/fleet/reading_replay.py
+++ b/tests/topazlug/fleet/reading_replay.py
@@ -11,9 +11,9 @@
 import random
 
 from topazlug import _ids
-from topazlug.fleet import _news_bounds
 from topazlug.fleet import _reading_plan
 from topazlug.fleet import _reading_round
+from topazlug.fleet import _staleness_bounds
 from topazlug.fleet import _table_relay
 
 ASK_SECONDS = 0.005
@@ -27,7 +27,7 @@
 SILENT_PEER_SECONDS = PEER_WAIT_SECONDS + PEER_SLACK_SECONDS
 TABLE = "servers"
 NEWER_SECONDS = 0.5
-NEWS = _news_bounds.NewsBounds(in_force=4.0, unreachable=5.0)
+NEWS = _staleness_bounds.StalenessBounds(in_force=4.0, unreachable=5.0)
 GAP_SECONDS = 0.2
 
 Outcome = _reading_plan.Outcome
@@ -79,7 +79,7 @@
     def version_at(self, now):
         return sum(at <= now for at in self.changes)
 
-    def is_away(self, daemon, now):
+    def is_unavailable(self, daemon, now):
         return _is_in(self.away, daemon, now)
 
     def is_resetting(self, daemon, now):
@@ -127,7 +127,7 @@
     def start(self):
         """Begin with nothing, as a process that has just started."""
         self.plan = _reading_plan.ReadingPlan(
-            me=self.name,
+            daemon_id=self.name,
             directory=self.fleet.directory,
             clock=self.fleet.clock,
             chance=self.fleet.random.random,
@@ -144,7 +144,7 @@
 
     @property
     def vouched_until(self):
-        return self.read_at + self.fleet.news.vouched
+        return self.read_at + self.fleet.news.validity
 
     @property
     def wait(self):
@@ -152,7 +152,7 @@
         if self.has_lost:
             return 0.0
         if self.fleet.directory.is_small:
-            return self.fleet.news.own_wait
+            return self.fleet.news.direct_wait
         return self.fleet.news.reader_wait
 
     def take(self, version, *, direct_at):
@@ -213,7 +213,7 @@
         if store.is_resetting(self.number, clock.now):
             yield ASK_SECONDS
             return Outcome.LOST
-        if store.is_away(self.number, clock.now):
+        if store.is_unavailable(self.number, clock.now):
             yield silent_until - clock.now
             return Outcome.LOST
         if any(self.read_at < at <= clock.now for at in store.forgets_at):
@@ -281,7 +281,7 @@
         outcome = Outcome.LOST
         if store.is_resetting(self.number, clock.now):
             yield ASK_SECONDS
-        elif store.is_away(self.number, clock.now):
+        elif store.is_unavailable(self.number, clock.now):
             yield STORE_SLACK_SECONDS
         else:
             yield store.delay(clock.now)
--- a/tests/topazlug/fleet/store_fakes.py
+++ b/tests/topazlug/fleet/store_fakes.py
@@ -16,7 +16,7 @@
         self.version = 0
         self.log = []
         self.forgotten = 0
-        self.is_away = False
+        self.is_unavailable = False
         self.stale = None
         self.whole = None
         self.stale_reads = 0
@@ -40,7 +40,7 @@
 
     def _call(self):
         self.calls += 1
-        if self.is_away:
+        if self.is_unavailable:
             raise _errors.StoreUnavailable("away")
 
     def _held(self, table):
@@ -71,7 +71,7 @@
         if not rows:
             self._news.wait(min(wait, 0.02))
             gevent.sleep(0)
-            if self.is_away:
+            if self.is_unavailable:
                 raise _errors.StoreUnavailable("away")
             rows = self._since(table, after)
         return _table_source.TableChanges(self.version, rows)
--- a/tests/topazlug/fleet/test_fleet_directory.py
+++ b/tests/topazlug/fleet/test_fleet_directory.py
@@ -10,8 +10,8 @@
 
 def directory(name, *, relays=True):
     return _fleet_directory.FleetDirectory(
-        me=_ids.DaemonId(name),
-        own=_fleet_directory.DaemonRow("127.0.0.1", 7340, relays),
+        daemon_id=_ids.DaemonId(name),
+        own_row=_fleet_directory.DaemonRow("127.0.0.1", 7340, relays),
     )
 
 
@@ -64,7 +64,7 @@
 
     def test_store_is_away(self):
         store = store_fakes.FakeTables()
-        store.is_away = True
+        store.is_unavailable = True
         with pytest.raises(_errors.StoreUnavailable):
             directory("a").join(store)
 
--- a/tests/topazlug/fleet/test_store_comes_back.py
+++ b/tests/topazlug/fleet/test_store_comes_back.py
@@ -8,17 +8,17 @@
 from topazlug import _errors
 from topazlug import _ids
 from topazlug._generated import messages
-from topazlug.fleet import _news_bounds
 from topazlug.fleet import _reading_plan
+from topazlug.fleet import _staleness_bounds
 from topazlug.fleet import _table_feed
 from topazlug.fleet import _table_relay
 from topazlug.fleet import _table_source
 
 # Left for what is not replayed: processing, links and the request itself.
 MARGIN_SECONDS = 0.5
-SMALL = _news_bounds.NewsBounds(in_force=2.0, unreachable=3.0)
-MIDDLE = _news_bounds.NewsBounds(in_force=3.0, unreachable=4.0)
-LARGE = _news_bounds.NewsBounds(in_force=4.0, unreachable=5.0)
+SMALL = _staleness_bounds.StalenessBounds(in_force=2.0, unreachable=3.0)
+MIDDLE = _staleness_bounds.StalenessBounds(in_force=3.0, unreachable=4.0)
+LARGE = _staleness_bounds.StalenessBounds(in_force=4.0, unreachable=5.0)
 NEWS_BY_COUNT = {
     2: SMALL,
     8: SMALL,
@@ -234,7 +234,7 @@
     clock = Clock(end=end)
     log = FollowerLog(clock)
     plan = _reading_plan.ReadingPlan(
-        me=_ids.DaemonId("d7"), directory=SmallDirectory(), clock=clock
+        daemon_id=_ids.DaemonId("d7"), directory=SmallDirectory(), clock=clock
     )
     feed = _table_feed.TableFeed(
         source=_table_relay.RelayedTables(
@@ -246,9 +246,9 @@
             clock=clock,
         ),
         table="op",
-        wait=lambda: SMALL.own_wait,
-        follower=_table_feed.TableFollower(
-            changed=log.take, regained=log.lost_since.append
+        wait=lambda: SMALL.direct_wait,
+        follower=_table_feed.TableListener(
+            changed=log.take, recovered=log.lost_since.append
         ),
         clock=clock,
     )
@@ -274,7 +274,7 @@
 
     def test_return_is_told_where_the_next_call_is_answered(self):
         """Replicas whose entries lapsed with the store are dropped at once."""
-        longest = SMALL.own_wait + reading_replay.STORE_SLACK_SECONDS
+        longest = SMALL.direct_wait + reading_replay.STORE_SLACK_SECONDS
         told = []
         for tenth in range(20, 80):
             silence = (tenth / 10, tenth / 10 + 0.3)
--- a/tests/topazlug/fleet/test_table_feed.py
+++ b/tests/topazlug/fleet/test_table_feed.py
@@ -14,26 +14,28 @@
 
 
 class Rig:
-    def __init__(self, *, store=None, wait=0.02, gap=0.0, vouched=60.0):
+    def __init__(
+        self, *, store=None, wait=0.02, min_interval=0.0, validity=60.0
+    ):
         self.store = store or store_fakes.FakeTables()
         self.seen = []
-        self.regained = 0
+        self.recovered = 0
         self.feed = _table_feed.TableFeed(
             source=self.store,
             table=TABLE,
             wait=lambda: wait,
-            follower=_table_feed.TableFollower(
+            follower=_table_feed.TableListener(
                 changed=lambda data: self.seen.append(dict(data)),
-                regained=self._count,
+                recovered=self._count,
             ),
             clock=_clock.SystemClock(),
-            pace=_table_feed.Pace(gap=gap, longest_pause=0.05),
-            vouched=vouched,
+            pace=_table_feed.Pace(min_interval=min_interval, max_pause=0.05),
+            validity=validity,
         )
         self.greenlet = gevent.spawn(self.feed.run)
 
     def _count(self, lost_since):
-        self.regained += 1
+        self.recovered += 1
 
     def wait_for(self, data):
         routing_fixtures.wait_until(
@@ -85,13 +87,13 @@
 
     def test_lost_history_is_read_whole(self, rig):
         rig.wait_for({})
-        rig.store.is_away = True
+        rig.store.is_unavailable = True
         routing_fixtures.wait_until(lambda: not rig.feed.in_contact)
-        rig.store.is_away = False
+        rig.store.is_unavailable = False
         rig.store.put(TABLE, "a", b"1")
         rig.store.forgotten = rig.store.version + 1
         rig.wait_for({"a": b"1"})
-        assert rig.regained == 1
+        assert rig.recovered == 1
 
     def test_older_copy_is_refused(self, rig):
         """Symptom: a replica that left gets requests again.
@@ -135,11 +137,11 @@
 
         rig = Rig(store=Tables(), wait=0.5)
         rig.wait_for({})
-        rig.store.is_away = True
+        rig.store.is_unavailable = True
         routing_fixtures.wait_until(lambda: not rig.feed.in_contact)
         waits.clear()
-        rig.store.is_away = False
-        routing_fixtures.wait_until(lambda: rig.regained == 1)
+        rig.store.is_unavailable = False
+        routing_fixtures.wait_until(lambda: rig.recovered == 1)
         assert 0.0 in waits
         rig.greenlet.kill()
 
@@ -166,12 +168,12 @@
                     raise gevent.GreenletExit
 
         store = store_fakes.FakeTables()
-        store.is_away = True
+        store.is_unavailable = True
         feed = _table_feed.TableFeed(
             source=store,
             table=TABLE,
             wait=lambda: 1.0,
-            follower=_table_feed.TableFollower(changed=lambda data: None),
+            follower=_table_feed.TableListener(changed=lambda data: None),
             clock=Clock(),
         )
         gevent.spawn(feed.run).join()
@@ -202,7 +204,7 @@
             rig.feed.changes_since, rig.feed.version, wait=30.0
         )
         gevent.sleep(0)
-        rig.store.is_away = True
+        rig.store.is_unavailable = True
         assert waiting.get(timeout=10) is None
 
     def test_all_rows_for_who_lags_too_much(self, rig):
@@ -252,7 +254,7 @@
         Sequence: replicas register one after the other; each daemon hears
         of each by a call of its own. Cause: the next call was made at once.
         """
-        rig = Rig(wait=0.02, gap=0.2)
+        rig = Rig(wait=0.02, min_interval=0.2)
         rig.wait_for({})
         before = rig.store.calls
         for number in range(20):
@@ -297,7 +299,7 @@
 
     @pytest.fixture
     def silent(self):
-        rig = Rig(store=Source(), vouched=0.2)
+        rig = Rig(store=Source(), validity=0.2)
         rig.wait_for({})
         rig.store.is_silent = True
         assert rig.store.is_waiting.wait(timeout=10)
--- a/tests/topazlug/fleet/test_table_relay.py
+++ b/tests/topazlug/fleet/test_table_relay.py
@@ -46,7 +46,7 @@
 
     def _source(self, name, store):
         plan = _reading_plan.ReadingPlan(
-            me=name, directory=Directory(), clock=self.clock
+            daemon_id=name, directory=Directory(), clock=self.clock
         )
         links = self._links(name)
         self.link_by_name[name] = links
@@ -59,8 +59,8 @@
             source=self._source(name, self.store),
             table=TABLE,
             wait=lambda: 0.02,
-            pace=_table_feed.Pace(longest_pause=0.05),
-            follower=_table_feed.TableFollower(changed=lambda data: None),
+            pace=_table_feed.Pace(max_pause=0.05),
+            follower=_table_feed.TableListener(changed=lambda data: None),
             clock=self.clock,
         )
         links = self.link_by_name[name]
@@ -127,7 +127,7 @@
         Sequence: all readers lose the store; each daemon that asks them
         turns to it. Cause: nothing decided how many may.
         """
-        rig.store.is_away = True
+        rig.store.is_unavailable = True
         routing_fixtures.wait_until(
             lambda: not any(feed.in_contact for feed in rig.feeds)
         )
@@ -178,7 +178,7 @@
         Cause: a reader knew no way but its own.
         """
         away = store_fakes.FakeTables()
-        away.is_away = True
+        away.is_unavailable = True
         source = rig._source(READERS[0], away)
         rig.store.put(TABLE, "config", b"9")
         found = source.changes(TABLE, after=0, wait=1.0)
@@ -188,14 +188,14 @@
     def test_loss_that_another_covers_is_logged_once(self, rig):
         """Symptom: a daemon's table is old, and its log says nothing."""
         away = store_fakes.FakeTables()
-        away.is_away = True
+        away.is_unavailable = True
         source = rig._source(READERS[0], away)
         rig.store.put(TABLE, "config", b"9")
         with logbook.TestHandler() as handler:
             for _ in range(2):
                 source.changes(TABLE, after=0, wait=0.0)
                 rig.clock.sleep(_reading_plan.STORE_AGAIN_SECONDS)
-            away.is_away = False
+            away.is_unavailable = False
             for name in READERS[1:]:
                 rig.link_by_name[name].stop()
             routing_fixtures.wait_until(
--- a/tests/topazlug/membership/test_facts.py
+++ b/tests/topazlug/membership/test_facts.py
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 def book(clock):
-    return _facts.FactBook(clock=clock)
+    return _facts.FactSet(clock=clock)
 
 
 class TestOrder:
@@ -62,7 +62,7 @@
         shuffled = data.draw(strategies.permutations(facts))
         books = []
         for order in (facts, shuffled):
-            book = _facts.FactBook(clock=peer_fixtures.ManualClock())
+            book = _facts.FactSet(clock=peer_fixtures.ManualClock())
             for fact in order:
                 book.merge(fact)
             books.append(book)
@@ -141,7 +141,7 @@
     def test_all_come_round(self, book):
         for number in range(10):
             book.merge(make_fact(State.live, subject=str(number)))
-        chunks = [book.take_chunk(4) for _ in range(3)]
+        chunks = [book.next_chunk(4) for _ in range(3)]
         assert all(len(chunk) == 4 for chunk in chunks)
         assert len({f.subject for chunk in chunks for f in chunk}) == 10
 
--- a/tests/topazlug/peer_fixtures.py
+++ b/tests/topazlug/peer_fixtures.py
@@ -150,7 +150,7 @@
             links=self.links,
             instances=instances,
             clock=self.clock,
-            revision_of=lambda: self.revision,
+            current_revision=lambda: self.revision,
         )
 
     def instance(self) -> _instances.Instance:
--- a/tests/topazlug_platform/platform_rig.py
+++ b/tests/topazlug_platform/platform_rig.py
@@ -11,7 +11,7 @@
 from topazlug import _clock
 from topazlug import _ids
 from topazlug._generated import settings
-from topazlug.fleet import _news_bounds
+from topazlug.fleet import _staleness_bounds
 from topazlug.forwarding import _daemon
 from topazlug.forwarding import _options
 
@@ -69,7 +69,9 @@
         "retry_window": 10.0,
         "peers": ANY,
         "relays": True,
-        "news": _news_bounds.NewsBounds(in_force=0.1, unreachable=0.0),
+        "news": _staleness_bounds.StalenessBounds(
+            in_force=0.1, unreachable=0.0
+        ),
         "first_start": False,
         "max_connections": 100,
     }
--- a/tests/topazlug_platform/test_boot_file.py
+++ b/tests/topazlug_platform/test_boot_file.py
@@ -57,8 +57,8 @@
         assert not options.relays
         assert options.retry_extra == 58
         assert options.max_connections == 1950
-        assert options.news.own_wait == pytest.approx(1.6)
-        assert options.news.vouched < options.news.in_force
+        assert options.news.direct_wait == pytest.approx(1.6)
+        assert options.news.validity < options.news.in_force
 
     @pytest.mark.parametrize(
         "changes, named",
--- a/tests/topazlug_platform/test_foreign_rows.py
+++ b/tests/topazlug_platform/test_foreign_rows.py
@@ -216,10 +216,12 @@
 
 class TestDaemons:
     def test_row_that_names_no_daemon_is_left_out(self):
-        own = _fleet_directory.DaemonRow(
+        own_row = _fleet_directory.DaemonRow(
             host="10.0.0.1", port=7340, relays=True
         )
-        directory = _fleet_directory.FleetDirectory(me="d1", own=own)
+        directory = _fleet_directory.FleetDirectory(
+            daemon_id="d1", own_row=own_row
+        )
         rows = {
             f"daemon/{number}": data
             for number, data in enumerate(
