--- a/src/topazlug/membership/__init__.py
+++ b/src/topazlug/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which daemons and targets live, as daemons tell each other."""
+"""State of daemons and targets, spread by gossip between daemons."""
--- a/src/topazlug/membership/_fact_exchange.py
+++ b/src/topazlug/membership/_fact_exchange.py
@@ -1,7 +1,7 @@
-"""Heartbeats, pushes of news and full syncs between daemons' fact books.
+"""Heartbeats, pushes of changes and full syncs between daemons.
 
-In quiet times a heartbeat holds no facts: a digest and a revision, whatever
-the size of the fleet.
+While nothing changes, a heartbeat contains no facts, only a digest and a
+revision, so its size does not depend on the size of the fleet.
 """
 
 from collections.abc import Callable
@@ -26,23 +26,23 @@
 MAX_PUSH_FACTS = 64
 MAX_SYNC_FACTS = 2000
 FACT_BYTES = 256
-EMPTY_BYTES = 256
+MESSAGE_OVERHEAD_BYTES = 256
 PUSH_DELAY_SECONDS = 0.01
 INTERVAL_JITTER = 0.1
-OWN_DELAY_SECONDS = 0.2
-LOST_RETRY_SECONDS = 3.0
+LOCAL_DELAY_SECONDS = 0.2
+DEAD_PEER_RETRY_SECONDS = 3.0
 SYNC_TIMEOUT_SECONDS = 2.0
-SYNC_BASE_SECONDS = 2.0
-SYNC_LIMIT_SECONDS = 60.0
-SYNC_SERVE_SECONDS = 1.0
-RESTLESS_SECONDS = 10.0
+MIN_SYNC_INTERVAL_SECONDS = 2.0
+MAX_SYNC_INTERVAL_SECONDS = 60.0
+FULL_REPLY_INTERVAL_SECONDS = 1.0
+DIVERGENCE_GRACE_SECONDS = 10.0
 
 _log = logbook.Logger("topazlug.membership")
 
 
 @final
 class FactExchange:
-    """Keeps one fact book in step with those of the peers.
+    """Keeps the fact set of this daemon in sync with those of its peers.
 
     Parameters
     ----------
@@ -50,25 +50,25 @@
         Interval, fan-out and timeout.
     links : PeerLinks
         Streams to the peers.
-    book : FactSet
-        What is exchanged.
+    fact_set : FactSet
+        The facts to exchange.
     clock : Clock
         Source of monotonic time.
     current_revision : callable
-        Gives the configuration revision to tell.
-    take : callable
-        Takes a fact into the book; tells whether it was news.
+        Returns the configuration revision to send.
+    merge : callable
+        Merges a fact into the set; returns whether that changed the set.
     candidates : callable
-        Gives the peers that count as alive.
-    doubted : callable
-        Called with a peer that gave no answer.
-    lost_ids : callable
-        Gives the peers that count as dead and might be back.
+        Returns the peers that are considered alive.
+    on_no_answer : callable
+        Called with each peer that did not answer.
+    dead_ids : callable
+        Returns the peers that are considered dead and might have returned.
 
     Attributes
     ----------
     revision_callbacks : list of callable
-        Called with each peer's name and revision as they are heard.
+        Called with the peer's name and revision for each message received.
     """
 
     def __init__(
@@ -76,81 +76,81 @@
         *,
         settings: _settings.MembershipSettings,
         links: _peers.PeerLinks,
-        book: _facts.FactSet,
+        fact_set: _facts.FactSet,
         clock: _clock.Clock,
         current_revision: Callable[[], int],
-        take: Callable[[messages.Fact], bool],
+        merge: Callable[[messages.Fact], bool],
         candidates: Callable[[], set[_ids.DaemonId]],
-        doubted: Callable[[_ids.DaemonId], None],
-        lost_ids: Callable[[], list[_ids.DaemonId]],
+        on_no_answer: Callable[[_ids.DaemonId], None],
+        dead_ids: Callable[[], list[_ids.DaemonId]],
     ) -> None:
         self.revision_callbacks: list[Callable[[_ids.DaemonId, int], None]] = (
             []
         )
         self._settings = settings
         self._links = links
-        self._book = book
+        self._fact_set = fact_set
         self._clock = clock
-        self._revision_of = current_revision
-        self._take = take
+        self._current_revision = current_revision
+        self._merge = merge
         self._candidates = candidates
-        self._doubted = doubted
-        self._lost_ids = lost_ids
-        self._round: list[_ids.DaemonId] = []
-        self._asked_ids: set[_ids.DaemonId] = set()
+        self._on_no_answer = on_no_answer
+        self._dead_ids = dead_ids
+        self._shuffled_peers: list[_ids.DaemonId] = []
+        self._awaiting_answer_ids: set[_ids.DaemonId] = set()
         self._outbox_by_subject: dict[_facts.Subject, messages.Fact] = {}
         self._pushing = False
         self._running = False
-        self._alike_at = clock.monotonic()
-        self._sync_after = 0.0
-        self._sync_wait = SYNC_BASE_SECONDS
-        self._served_sync_at = -SYNC_SERVE_SECONDS
+        self._in_sync_at = clock.monotonic()
+        self._next_sync_at = 0.0
+        self._sync_interval = MIN_SYNC_INTERVAL_SECONDS
+        self._full_reply_at = -FULL_REPLY_INTERVAL_SECONDS
         self._greenlets: list[gevent.Greenlet] = []
 
     def start(self) -> None:
-        """Answer and ask from now on."""
+        """Start answering peers and sending heartbeats."""
         self._running = True
-        self._links.handle(messages.Exchange, self._answer)
+        self._links.handle(messages.Exchange, self._on_exchange)
         self._greenlets = [
-            _tasks.spawn(self._ask_forever, clock=self._clock),
-            _tasks.spawn(self._retry_lost_forever, clock=self._clock),
+            _tasks.spawn(self._run_heartbeats, clock=self._clock),
+            _tasks.spawn(self._run_dead_peer_retries, clock=self._clock),
         ]
-        self._wake_pusher()
+        self._schedule_push()
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop sending heartbeats."""
         self._running = False
         gevent.killall(self._greenlets, block=True)
 
-    def spread(self, fact: messages.Fact) -> None:
-        """Push a fact to some peers and repeat it in heartbeats."""
+    def broadcast(self, fact: messages.Fact) -> None:
+        """Push a fact to some peers and repeat it in later heartbeats."""
         fleet_size = len(self._candidates()) + 1
-        self._book.freshen(fact, fleet_size=fleet_size)
+        self._fact_set.schedule_retransmits(fact, fleet_size=fleet_size)
         self._outbox_by_subject[_facts.subject_of(fact)] = fact
-        self._wake_pusher()
+        self._schedule_push()
 
-    def remind(self, fact: messages.Fact) -> None:
-        """Repeat a fact in the next heartbeats and answers."""
+    def repeat(self, fact: messages.Fact) -> None:
+        """Repeat a fact in the next heartbeats and answers, without a push."""
         fleet_size = len(self._candidates()) + 1
-        self._book.freshen(fact, fleet_size=fleet_size)
+        self._fact_set.schedule_retransmits(fact, fleet_size=fleet_size)
 
-    def _ask_forever(self) -> None:
+    def _run_heartbeats(self) -> None:
         while True:
             for peer in self._next_peers():
                 gevent.spawn(self._heartbeat, peer)
-            self._sleep_about(self._settings.exchange_interval)
+            self._sleep_with_jitter(self._settings.exchange_interval)
 
-    def _retry_lost_forever(self) -> None:
-        # Regions that lost each other take each other's daemons for dead.
-        # Nobody would ask the dead, and the halves would stay apart after
-        # the network is whole again.
+    def _run_dead_peer_retries(self) -> None:
+        # After a network partition each side considers the daemons of the
+        # other dead. Without heartbeats to dead peers the two sides would
+        # stay separate after the network has recovered.
         while True:
-            self._sleep_about(LOST_RETRY_SECONDS)
-            for peer in _some(self._lost_ids(), 1):
+            self._sleep_with_jitter(DEAD_PEER_RETRY_SECONDS)
+            for peer in _sample(self._dead_ids(), 1):
                 self._heartbeat(peer)
 
-    def _sleep_about(self, seconds: float) -> None:
-        # In step, all daemons would ask in the same instants.
+    def _sleep_with_jitter(self, seconds: float) -> None:
+        # Without jitter all daemons might send at the same moments.
         jitter = random.uniform(1 - INTERVAL_JITTER, 1 + INTERVAL_JITTER)
         self._clock.sleep(seconds * jitter)
 
@@ -158,151 +158,156 @@
         fanout = self._settings.fanout
         candidates = self._candidates()
         if not candidates:
-            return _some(self._lost_ids(), fanout)
+            return _sample(self._dead_ids(), fanout)
         if len(candidates) <= fanout:
             return list(candidates)
-        # A shuffled round asks each peer in bounded time; independent
-        # draws would leave some unasked for long.
+        # Going through a shuffled list contacts each peer in bounded time.
+        # Independent random draws could skip a peer for long.
         chosen: list[_ids.DaemonId] = []
         while len(chosen) < fanout:
-            if not self._round:
-                self._round = _some(candidates, len(candidates))
-            peer = self._round.pop()
+            if not self._shuffled_peers:
+                self._shuffled_peers = _sample(candidates, len(candidates))
+            peer = self._shuffled_peers.pop()
             if peer in candidates and peer not in chosen:
                 chosen.append(peer)
         return chosen
 
     def _heartbeat(self, peer: _ids.DaemonId) -> None:
-        if peer in self._asked_ids:
+        if peer in self._awaiting_answer_ids:
             return
-        self._asked_ids.add(peer)
+        self._awaiting_answer_ids.add(peer)
         try:
-            self._ask(peer)
+            self._exchange_with(peer)
         except _errors.PeerMessageInvalid as error:
-            _log.error("heartbeat to {}: {}", peer, error)
+            _log.error("heartbeat to {} failed: {}", peer, error)
         finally:
-            self._asked_ids.discard(peer)
+            self._awaiting_answer_ids.discard(peer)
 
-    def _ask(self, peer: _ids.DaemonId) -> None:
+    def _exchange_with(self, peer: _ids.DaemonId) -> None:
         timeout = self._settings.answer_timeout
-        question = self._heartbeat_for(peer)
+        request = self._build_heartbeat(peer)
         asked_at = self._clock.monotonic()
         try:
-            answer = self._links.call(peer, question, timeout=timeout)
+            answer = self._links.call(peer, request, timeout=timeout)
         except _errors.PeerUnreachable as error:
             late = self._clock.monotonic() - asked_at - timeout
-            # A timeout that fires late shows that we ourselves were
-            # paused, or too busy to read an answer that lay there.
-            if late < OWN_DELAY_SECONDS:
-                _log.debug("no answer of {}: {}", peer, error)
-                self._doubted(peer)
+            # If the timeout fired late, this process was paused or too busy
+            # to read an answer that had already arrived.
+            if late < LOCAL_DELAY_SECONDS:
+                _log.debug("no heartbeat answer from {}: {}", peer, error)
+                self._on_no_answer(peer)
             return
         if isinstance(answer, messages.Exchange):
-            self._hear(peer, answer)
-            self._compare(peer, question, answer)
+            self._receive(peer, answer)
+            self._compare_digests(peer, request, answer)
 
-    def _heartbeat_for(self, peer: _ids.DaemonId) -> messages.Exchange:
-        limit = min(MAX_HEARTBEAT_FACTS, self._fact_limit())
-        facts = self._book.take_fresh(limit)
-        held = self._book.get(messages.FactKind.daemon, peer)
+    def _build_heartbeat(self, peer: _ids.DaemonId) -> messages.Exchange:
+        limit = min(MAX_HEARTBEAT_FACTS, self._max_facts())
+        facts = self._fact_set.take_pending(limit)
+        held = self._fact_set.get(messages.FactKind.daemon, peer)
         if held is not None and held.state is not messages.FactState.live:
-            # It can only refute what it hears.
+            # A peer can refute such a fact only if it receives it.
             facts.append(held)
-        return self._exchange_of(facts)
+        return self._build_exchange(facts)
 
-    def _exchange_of(
+    def _build_exchange(
         self, facts: list[messages.Fact], *, want_all: bool = False
     ) -> messages.Exchange:
         return messages.Exchange(
             facts=facts,
-            digest=self._book.digest,
-            revision=self._revision_of(),
+            digest=self._fact_set.digest,
+            revision=self._current_revision(),
             want_all=want_all,
         )
 
-    def _fact_limit(self) -> int:
-        room = self._links.max_frame_bytes - EMPTY_BYTES
-        return min(MAX_SYNC_FACTS, max(room // FACT_BYTES, 1))
+    def _max_facts(self) -> int:
+        available = self._links.max_frame_bytes - MESSAGE_OVERHEAD_BYTES
+        return min(MAX_SYNC_FACTS, max(available // FACT_BYTES, 1))
 
-    def _answer(
+    def _on_exchange(
         self,
         peer: _ids.DaemonId,
         message: msgspec.Struct,
         reply: _peers.Reply,
     ) -> None:
         assert isinstance(message, messages.Exchange)
-        self._hear(peer, message)
+        self._receive(peer, message)
         if reply is _peers.ignore_reply:
             return
-        if message.want_all and self._may_serve_sync():
-            facts = self._book.next_chunk(self._fact_limit())
-            reply(self._exchange_of(facts))
+        if message.want_all and self._allow_full_reply():
+            facts = self._fact_set.next_chunk(self._max_facts())
+            reply(self._build_exchange(facts))
             return
-        reply(self._heartbeat_for(peer))
+        reply(self._build_heartbeat(peer))
 
-    def _may_serve_sync(self) -> bool:
-        # One daemon that differs from all others is asked by all of them
-        # for its whole book; this keeps the cost to it bounded.
+    def _allow_full_reply(self) -> bool:
+        # If one daemon differs from all others, each of them requests all
+        # of its facts. This limit bounds the cost to that daemon.
         now = self._clock.monotonic()
-        if now - self._served_sync_at < SYNC_SERVE_SECONDS:
+        if now - self._full_reply_at < FULL_REPLY_INTERVAL_SECONDS:
             return False
-        self._served_sync_at = now
+        self._full_reply_at = now
         return True
 
-    def _hear(
+    def _receive(
         self, peer: _ids.DaemonId, exchange: messages.Exchange
     ) -> list[messages.Fact]:
-        news = [fact for fact in exchange.facts if self._take(fact)]
-        # More news than one push holds is a book that was new to us, not
-        # news to the fleet: passed on, it would cost its size again for
-        # each daemon that joins.
-        if len(news) <= MAX_PUSH_FACTS:
-            for fact in news:
-                self.spread(fact)
+        changes = [fact for fact in exchange.facts if self._merge(fact)]
+        # More changes than fit into one push come from a full sync. They
+        # are new to this daemon but not to the fleet; passing them on would
+        # send the whole set again for each daemon that joins.
+        if len(changes) <= MAX_PUSH_FACTS:
+            for fact in changes:
+                self.broadcast(fact)
         for callback in self.revision_callbacks:
             callback(peer, exchange.revision)
-        return news
+        return changes
 
-    def _compare(
+    def _compare_digests(
         self,
         peer: _ids.DaemonId,
-        question: messages.Exchange,
+        request: messages.Exchange,
         answer: messages.Exchange,
     ) -> None:
         now = self._clock.monotonic()
-        if answer.digest == self._book.digest:
-            self._alike_at = now
-            self._sync_wait = SYNC_BASE_SECONDS
+        if answer.digest == self._fact_set.digest:
+            self._in_sync_at = now
+            self._sync_interval = MIN_SYNC_INTERVAL_SECONDS
             return
-        fresh = question.facts or answer.facts or self._book.has_fresh
-        # While news is on its way, books differ and will soon be alike.
-        if fresh and now - self._alike_at < RESTLESS_SECONDS:
+        is_spreading = (
+            request.facts or answer.facts or self._fact_set.has_pending
+        )
+        # While changes are still spreading, digests differ temporarily.
+        if is_spreading and now - self._in_sync_at < DIVERGENCE_GRACE_SECONDS:
             return
-        if now >= self._sync_after:
-            self._sync(peer, now)
+        if now >= self._next_sync_at:
+            self._full_sync(peer, now)
 
-    def _sync(self, peer: _ids.DaemonId, now: float) -> None:
-        self._sync_after = now + self._sync_wait
-        facts = self._book.next_chunk(self._fact_limit())
-        question = self._exchange_of(facts, want_all=True)
+    def _full_sync(self, peer: _ids.DaemonId, now: float) -> None:
+        self._next_sync_at = now + self._sync_interval
+        facts = self._fact_set.next_chunk(self._max_facts())
+        request = self._build_exchange(facts, want_all=True)
         try:
             answer = self._links.call(
-                peer, question, timeout=SYNC_TIMEOUT_SECONDS
+                peer, request, timeout=SYNC_TIMEOUT_SECONDS
             )
         except _errors.PeerUnreachable as error:
-            _log.info("no sync with {}: {}", peer, error)
+            _log.info("full sync with {} failed: {}", peer, error)
             return
         if not isinstance(answer, messages.Exchange):
             return
-        news = self._hear(peer, answer)
-        if news or answer.digest == self._book.digest:
-            self._sync_wait = SYNC_BASE_SECONDS
+        changes = self._receive(peer, answer)
+        if changes or answer.digest == self._fact_set.digest:
+            self._sync_interval = MIN_SYNC_INTERVAL_SECONDS
             return
-        # A sync that mends nothing, such as with a daemon that goes by
-        # another's name, would be repeated for good at full size.
-        self._sync_wait = min(self._sync_wait * 2, SYNC_LIMIT_SECONDS)
+        # Some differences persist after a sync, for example those with a
+        # daemon that uses another daemon's name. Without this back-off the
+        # full sync would be repeated forever.
+        self._sync_interval = min(
+            self._sync_interval * 2, MAX_SYNC_INTERVAL_SECONDS
+        )
 
-    def _wake_pusher(self) -> None:
+    def _schedule_push(self) -> None:
         ready = self._running and self._outbox_by_subject
         if ready and not self._pushing:
             self._pushing = True
@@ -312,29 +317,29 @@
         self._pushing = False
         facts = list(self._outbox_by_subject.values())
         self._outbox_by_subject.clear()
-        size = min(MAX_PUSH_FACTS, self._fact_limit())
+        size = min(MAX_PUSH_FACTS, self._max_facts())
         chunks = [
-            self._exchange_of(facts[start : start + size])
+            self._build_exchange(facts[start : start + size])
             for start in range(0, len(facts), size)
         ]
         pushed = 0
-        for peer in _some(self._candidates(), len(self._candidates())):
+        for peer in _sample(self._candidates(), len(self._candidates())):
             if pushed == self._settings.fanout:
                 return
-            pushed += self._sent_all(peer, chunks)
+            pushed += self._send_all(peer, chunks)
 
-    def _sent_all(
+    def _send_all(
         self, peer: _ids.DaemonId, chunks: list[messages.Exchange]
     ) -> bool:
         try:
             for chunk in chunks:
                 self._links.send(peer, chunk)
         except _errors.TopazlugError as error:
-            _log.debug("news not pushed to {}: {}", peer, error)
+            _log.debug("push to {} failed: {}", peer, error)
             return False
         return True
 
 
-def _some(peers: Iterable[_ids.DaemonId], count: int) -> list[_ids.DaemonId]:
+def _sample(peers: Iterable[_ids.DaemonId], count: int) -> list[_ids.DaemonId]:
     pool = list(peers)
     return random.sample(pool, min(count, len(pool)))
--- a/src/topazlug/membership/_facts.py
+++ b/src/topazlug/membership/_facts.py
@@ -1,16 +1,17 @@
-"""What this daemon holds to be true of daemons and targets.
-
-Of two facts about one subject the stronger wins, by a total order, so that
-all books come to the same whatever the order in which facts arrive: the
-higher incarnation; within it, leaving before anything else; then the higher
-sequence; then the graver state. Leaving stands apart because it is final
-for an incarnation: a target on its way out may still answer, and an answer
-must not bring it back.
-
-The digest is an order-free hash of all facts that two books need to share.
-Dead subjects stay out of it, as a dead subject and an unknown one mean the
-same for routing; so do daemons that leave. Their facts can then be forgotten
-at different times without two books ever seeming to differ.
+"""The facts that this daemon holds about daemons and targets.
+
+Of two facts about one subject the one with the higher precedence wins.
+Precedence is a total order, so all daemons converge on the same facts in
+whatever order these arrive. It compares, in this order: the incarnation,
+whether the state is leaving, the sequence, and the severity of the state.
+Leaving takes precedence over any sequence because it is final for an
+incarnation: a target that is leaving may still answer requests, and such an
+answer must not make it live again.
+
+The digest is an order-independent hash of the facts that two daemons need to
+share. It leaves out dead subjects, which routing treats like unknown ones,
+and daemons that are leaving. So daemons may remove such facts at different
+times without a difference of their digests.
 """
 
 from collections.abc import Callable
@@ -25,11 +26,11 @@
 from topazlug import _clock
 from topazlug._generated import messages
 
-REPEAT_FACTOR = 3
-FORGET_SECONDS = 1800.0
-MAX_FORGETTABLE = 20000
+RETRANSMIT_FACTOR = 3
+RETENTION_SECONDS = 1800.0
+MAX_FACTS = 20000
 
-_GRAVITY_BY_STATE = {
+_SEVERITY_BY_STATE = {
     messages.FactState.live: 0,
     messages.FactState.suspected: 1,
     messages.FactState.leaving: 2,
@@ -39,13 +40,13 @@
 Subject = tuple[messages.FactKind, str]
 
 
-def order(fact: messages.Fact) -> tuple[Any, ...]:
-    """Give the key by which the stronger of two facts is greater."""
+def precedence(fact: messages.Fact) -> tuple[Any, ...]:
+    """Return a sort key that is greater for the fact that wins."""
     return (
         fact.incarnation,
         fact.state is messages.FactState.leaving,
         fact.sequence,
-        _GRAVITY_BY_STATE[fact.state],
+        _SEVERITY_BY_STATE[fact.state],
         fact.host,
         fact.port,
         fact.zone,
@@ -53,12 +54,12 @@
 
 
 def subject_of(fact: messages.Fact) -> Subject:
-    """Give the key under which a fact is held."""
+    """Return the key under which a fact is stored."""
     return (fact.kind, fact.subject)
 
 
-def digest_part(fact: messages.Fact) -> int:
-    """Give a fact's part of the digest: 64 bits, or 0 if it has none."""
+def digest_term(fact: messages.Fact) -> int:
+    """Return what a fact adds to the digest: 64 bits, 0 if left out."""
     if fact.state is messages.FactState.dead:
         return 0
     is_daemon = fact.kind is messages.FactKind.daemon
@@ -69,7 +70,7 @@
 
 @final
 class FactSet:
-    """The strongest fact of each subject.
+    """The fact with the highest precedence for each subject.
 
     Parameters
     ----------
@@ -81,7 +82,7 @@
     fact_by_subject : dict
         All facts held.
     digest : int
-        Order-free hash of them, 64 bits.
+        Order-independent hash of them, 64 bits.
     """
 
     def __init__(self, *, clock: _clock.Clock) -> None:
@@ -89,66 +90,68 @@
         self.digest = 0
         self._clock = clock
         self._held_since_by_subject: dict[Subject, float] = {}
-        self._repeats_by_subject: dict[Subject, int] = {}
+        self._retransmits_by_subject: dict[Subject, int] = {}
         self._cursor = 0
 
     def get(
         self, kind: messages.FactKind, subject: str
     ) -> messages.Fact | None:
-        """Give the fact held of a subject."""
+        """Return the fact held about a subject."""
         return self.fact_by_subject.get((kind, subject))
 
     def merge(self, fact: messages.Fact) -> bool:
-        """Take a fact in; tell whether it was news."""
+        """Merge a fact; return whether it replaced or added one."""
         subject = subject_of(fact)
         held = self.fact_by_subject.get(subject)
         if held is not None:
-            if order(held) >= order(fact):
+            if precedence(held) >= precedence(fact):
                 return False
-            self.digest ^= digest_part(held)
-            # Put in again at the end: the dict stays in the order of age.
+            self.digest ^= digest_term(held)
+            # Deleted and inserted again, so that the dict is ordered by age.
             del self.fact_by_subject[subject]
         self.fact_by_subject[subject] = fact
         self._held_since_by_subject[subject] = self._clock.monotonic()
-        self.digest ^= digest_part(fact)
+        self.digest ^= digest_term(fact)
         return True
 
     def held_seconds(self, subject: Subject) -> float:
-        """Give how long the present fact of a subject has been held."""
+        """Return how long the current fact of a subject has been held."""
         since = self._held_since_by_subject[subject]
         return self._clock.monotonic() - since
 
-    def restart_held_times(self) -> None:
-        """Count all facts as held from now."""
+    def reset_held_times(self) -> None:
+        """Restart the held time of all facts."""
         now = self._clock.monotonic()
         for subject in self._held_since_by_subject:
             self._held_since_by_subject[subject] = now
 
-    def freshen(self, fact: messages.Fact, *, fleet_size: int) -> None:
-        """Have a fact repeated in the next exchanges.
+    def schedule_retransmits(
+        self, fact: messages.Fact, *, fleet_size: int
+    ) -> None:
+        """Schedule a fact for the next exchanges.
 
-        With this many repeats, each to a random peer, a fact misses a
-        daemon with a chance below 1 / `fleet_size` squared.
+        With this many transmissions, each to a random peer, the probability
+        that a daemon misses the fact is below 1 / `fleet_size` squared.
         """
-        repeats = REPEAT_FACTOR * math.ceil(math.log2(fleet_size + 1))
-        self._repeats_by_subject[subject_of(fact)] = max(repeats, 1)
+        retransmits = RETRANSMIT_FACTOR * math.ceil(math.log2(fleet_size + 1))
+        self._retransmits_by_subject[subject_of(fact)] = max(retransmits, 1)
 
-    def take_fresh(self, limit: int) -> list[messages.Fact]:
-        """Give the least repeated facts, each a repeat poorer."""
-        ranked = self._repeats_by_subject
+    def take_pending(self, limit: int) -> list[messages.Fact]:
+        """Return the least transmitted facts and count one transmission."""
+        ranked = self._retransmits_by_subject
         if len(ranked) > limit:
             chosen = sorted(ranked, key=ranked.__getitem__, reverse=True)
         else:
             chosen = list(ranked)
-        return [self._repeated(subject) for subject in chosen[:limit]]
+        return [self._retransmitted(subject) for subject in chosen[:limit]]
 
     @property
-    def has_fresh(self) -> bool:
-        """Whether some fact has repeats left."""
-        return bool(self._repeats_by_subject)
+    def has_pending(self) -> bool:
+        """Return whether some fact is still to be transmitted."""
+        return bool(self._retransmits_by_subject)
 
     def next_chunk(self, limit: int) -> list[messages.Fact]:
-        """Give a part of the book; calls go round the whole of it."""
+        """Return the next chunk of all facts, starting over at the end."""
         facts = list(self.fact_by_subject.values())
         if len(facts) <= limit:
             return facts
@@ -156,47 +159,48 @@
         self._cursor = start + limit
         return (facts[start:] + facts[:start])[:limit]
 
-    def forget_old(
+    def remove_expired(
         self, is_needed: Callable[[messages.Fact], bool]
     ) -> list[Subject]:
-        """Drop facts that nobody will ask for again; give their subjects.
+        """Remove facts that are no longer needed; return their subjects.
 
-        Live and suspected daemons stay. Others go after half an hour, the
-        oldest sooner if there are very many, unless still needed: a daemon
-        that the platform still lists as live must stay dead here.
+        Facts about live and suspected daemons stay. Others are removed after
+        half an hour, and the oldest sooner while there are more than
+        `MAX_FACTS`, except those that are still needed: a daemon that the
+        platform still lists as live must stay dead here.
         """
-        old = [
+        removed = [
             subject
-            for subject in self._forgettable(is_needed)
-            if self.held_seconds(subject) > FORGET_SECONDS
+            for subject in self._removable(is_needed)
+            if self.held_seconds(subject) > RETENTION_SECONDS
         ]
-        self._drop(old)
-        surplus = len(self._held_since_by_subject) - MAX_FORGETTABLE
+        self._remove(removed)
+        surplus = len(self._held_since_by_subject) - MAX_FACTS
         if surplus > 0:
-            oldest = list(self._forgettable(is_needed))[:surplus]
-            self._drop(oldest)
-            old += oldest
-        return old
+            oldest = list(self._removable(is_needed))[:surplus]
+            self._remove(oldest)
+            removed += oldest
+        return removed
 
-    def _forgettable(
+    def _removable(
         self, is_needed: Callable[[messages.Fact], bool]
     ) -> Iterable[Subject]:
-        lasting = (messages.FactState.live, messages.FactState.suspected)
+        permanent = (messages.FactState.live, messages.FactState.suspected)
         for subject, fact in self.fact_by_subject.items():
             is_daemon = fact.kind is messages.FactKind.daemon
-            if is_daemon and fact.state in lasting:
+            if is_daemon and fact.state in permanent:
                 continue
             if not is_needed(fact):
                 yield subject
 
-    def _drop(self, subjects: Iterable[Subject]) -> None:
+    def _remove(self, subjects: Iterable[Subject]) -> None:
         for subject in subjects:
-            self.digest ^= digest_part(self.fact_by_subject.pop(subject))
+            self.digest ^= digest_term(self.fact_by_subject.pop(subject))
             del self._held_since_by_subject[subject]
-            self._repeats_by_subject.pop(subject, None)
+            self._retransmits_by_subject.pop(subject, None)
 
-    def _repeated(self, subject: Subject) -> messages.Fact:
-        self._repeats_by_subject[subject] -= 1
-        if self._repeats_by_subject[subject] <= 0:
-            del self._repeats_by_subject[subject]
+    def _retransmitted(self, subject: Subject) -> messages.Fact:
+        self._retransmits_by_subject[subject] -= 1
+        if self._retransmits_by_subject[subject] <= 0:
+            del self._retransmits_by_subject[subject]
         return self.fact_by_subject[subject]
--- a/src/topazlug/membership/_members.py
+++ b/src/topazlug/membership/_members.py
@@ -1,4 +1,4 @@
-"""Members of the fleet as facts and the platform's list show them."""
+"""Members of the fleet, and their conversion from and to facts."""
 
 from typing import final
 
@@ -13,7 +13,7 @@
 
 @final
 class Member(msgspec.Struct, kw_only=True, frozen=True):
-    """One daemon as this daemon knows it."""
+    """The state of one daemon as known to this one."""
 
     daemon_id: _ids.DaemonId
     incarnation: int
@@ -23,8 +23,8 @@
     zone: str
 
 
-def member_of(fact: messages.Fact) -> Member:
-    """Give the member that a fact of a daemon tells of."""
+def member_from_fact(fact: messages.Fact) -> Member:
+    """Convert a fact about a daemon into a member."""
     return Member(
         daemon_id=_ids.DaemonId(fact.subject),
         incarnation=fact.incarnation,
@@ -35,11 +35,11 @@
     )
 
 
-def listed_fact(instance: _instances.Instance) -> messages.Fact:
-    """Give what the platform's list says of a daemon, as a fact.
+def fact_from_instance(instance: _instances.Instance) -> messages.Fact:
+    """Convert a daemon's entry in the platform's list into a fact.
 
-    Its sequence is 0, so that any daemon's evidence about the same
-    incarnation goes before the list, which lags.
+    Its sequence is 0, so that any observation by a daemon about the same
+    incarnation takes precedence over the list, which lags.
     """
     leaving = instance.state is _instances.InstanceState.LEAVING
     state = messages.FactState.leaving if leaving else messages.FactState.live
--- a/src/topazlug/membership/_membership.py
+++ b/src/topazlug/membership/_membership.py
@@ -1,16 +1,16 @@
-"""Which daemons live, and which targets are on their way out.
-
-Each daemon sends a small heartbeat to a few peers at each interval, in a
-shuffled round over all of them, so that the cost to one daemon does not
-grow with the fleet. Facts that are news go out at once to a few random
-peers, which pass them on where they were news, and ride on heartbeats for a
-while. Digests tell whether two daemons hold the same; if they don't and
-nothing fresh is on its way, the books are exchanged whole.
-
-A peer that gives no answer is suspected; one that stays silent is dead. A
-daemon that hears itself doubted raises its sequence and says live. The
-platform's list only adds: what it shows enters the book as a fact of
-sequence 0, which any evidence of the same incarnation overrules.
+"""Detects which daemons are alive and which targets are leaving.
+
+Each daemon sends a small heartbeat to a few peers at each interval and goes
+through all peers in shuffled order, so the cost to one daemon does not grow
+with the fleet. A changed fact is pushed at once to a few random peers, which
+pass it on if it is new to them, and is repeated in heartbeats for a while.
+Digests show whether two daemons hold the same facts. If they differ while no
+change is spreading, the two daemons exchange all their facts.
+
+A peer that does not answer is suspected, and dead if it stays unresponsive.
+A daemon that receives a fact that it is suspected or dead raises its sequence
+and announces itself as live. Entries of the platform's list become facts of
+sequence 0, so any observation of the same incarnation overrides them.
 """
 
 from collections.abc import Callable
@@ -34,23 +34,23 @@
 from topazlug.store import _instances
 
 TICK_SECONDS = 0.25
-PAUSE_SECONDS = 1.0
-FORGET_INTERVAL_SECONDS = 30.0
+PAUSE_THRESHOLD_SECONDS = 1.0
+REMOVAL_INTERVAL_SECONDS = 30.0
 
 _log = logbook.Logger("topazlug.membership")
 
-_DOUBTS = (messages.FactState.suspected, messages.FactState.dead)
+_UNREACHABLE_STATES = (messages.FactState.suspected, messages.FactState.dead)
 
 
 class Instances(Protocol):
-    """What membership asks of the platform's list."""
+    """The part of the platform's list that membership uses."""
 
     @property
     def instances_by_id(self) -> Mapping[str, _instances.Instance]:
-        """Give the list as last read."""
+        """Return the list as last read."""
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Have a callable called when the list has changed."""
+        """Add a callback for changes of the list."""
 
 
 Member = _members.Member
@@ -58,14 +58,14 @@
 
 @final
 class Membership:
-    """The daemons and the exceptional targets, kept in step with peers.
+    """The daemons, and the targets with facts, kept in sync with peers.
 
     Parameters
     ----------
     daemon_id : DaemonId
         This daemon.
     incarnation : int
-        Grows with each start of this daemon.
+        Increases with each start of this daemon.
     address : Address
         Where this daemon listens for peers.
     zone : str
@@ -73,13 +73,13 @@
     settings : MembershipSettings
         Intervals and timeouts.
     links : PeerLinks
-        Streams to peers; heartbeats are handled from `start` on.
+        Streams to peers; heartbeats are answered after `start`.
     instances : Instances
         The platform's list.
     clock : Clock
         Source of monotonic time.
     current_revision : callable
-        Gives the configuration revision that heartbeats carry.
+        Returns the configuration revision to send in heartbeats.
 
     Attributes
     ----------
@@ -88,7 +88,7 @@
     target_facts_by_id : dict
         Facts of targets. A target without one is in its usual state.
     pause_count : int
-        How often this process was found to have been paused.
+        Number of pauses of this process that were detected.
     """
 
     def __init__(
@@ -117,22 +117,22 @@
         self._pause_callbacks: list[Callable[[float], None]] = []
         self._notifying = False
         self._suspected_ids: set[_ids.DaemonId] = set()
-        self._ticked_at = clock.monotonic()
-        self._forgot_at = self._ticked_at
+        self._last_tick_at = clock.monotonic()
+        self._last_removal_at = self._last_tick_at
         self._greenlets: list[gevent.Greenlet] = []
-        self._book = _facts.FactSet(clock=clock)
+        self._fact_set = _facts.FactSet(clock=clock)
         self._exchange = _fact_exchange.FactExchange(
             settings=settings,
             links=links,
-            book=self._book,
+            fact_set=self._fact_set,
             clock=clock,
             current_revision=current_revision,
-            take=self._take,
+            merge=self._merge,
             candidates=self._candidates,
-            doubted=self._doubted,
-            lost_ids=self._lost_ids,
+            on_no_answer=self._on_no_answer,
+            dead_ids=self._dead_ids,
         )
-        self._take_own(
+        self._publish_own(
             messages.Fact(
                 kind=messages.FactKind.daemon,
                 subject=daemon_id,
@@ -145,27 +145,27 @@
             )
         )
         links.before_each(self.check_pause)
-        instances.on_change(self._seed)
+        instances.on_change(self._merge_listed)
 
     def start(self) -> None:
-        """Exchange with peers from now on."""
-        self._seed()
-        self._ticked_at = self._clock.monotonic()
+        """Start exchanging facts with peers."""
+        self._merge_listed()
+        self._last_tick_at = self._clock.monotonic()
         self._exchange.start()
         self._greenlets.append(
-            _tasks.spawn(self._tick_forever, clock=self._clock)
+            _tasks.spawn(self._run_ticker, clock=self._clock)
         )
 
     def stop(self) -> None:
-        """Exchange no more, without a word to peers."""
+        """Stop exchanging facts, without notifying peers."""
         self._exchange.stop()
         gevent.killall(self._greenlets, block=True)
 
     def usable(self) -> Mapping[_ids.DaemonId, _members.Member]:
-        """Give the daemons that may own something.
+        """Return the daemons that may own replicas.
 
-        Live and suspected ones, this daemon among them unless it leaves.
-        The same mapping until something changes.
+        These are the live and suspected ones, including this daemon unless
+        it is leaving. Returns the same mapping object until members change.
         """
         if self._usable_by_id is None:
             self._usable_by_id = {
@@ -176,38 +176,38 @@
         return self._usable_by_id
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Have a callable called soon after members have changed.
+        """Add a callback that runs soon after members have changed.
 
-        Several changes at once make one call.
+        Several changes at the same time result in one call.
         """
         self._change_callbacks.append(callback)
 
     def on_target_fact(
         self, callback: Callable[[messages.Fact], None]
     ) -> None:
-        """Have a callable called with each news of a target."""
+        """Add a callback that receives each changed fact about a target."""
         self._target_callbacks.append(callback)
 
     def on_peer_revision(
         self, callback: Callable[[_ids.DaemonId, int], None]
     ) -> None:
-        """Have a callable called with the revision in each heartbeat."""
+        """Add a callback that receives the revision in each heartbeat."""
         self._exchange.revision_callbacks.append(callback)
 
     def on_pause(self, callback: Callable[[float], None]) -> None:
-        """Have a callable called with the seconds of each own pause."""
+        """Add a callback that receives the seconds of each own pause."""
         self._pause_callbacks.append(callback)
 
     def address_of(self, daemon_id: _ids.DaemonId) -> _peers.Address | None:
-        """Give where a daemon listens for peers, if that is known."""
+        """Return where a daemon listens for peers, or None if unknown."""
         member = self.members_by_id.get(daemon_id)
         if member is None or not member.port:
             return None
         return _peers.Address(member.host, member.port)
 
     def announce_leaving(self) -> None:
-        """Tell the fleet that this daemon stops."""
-        self._raise_own(messages.FactState.leaving)
+        """Announce to the fleet that this daemon is about to stop."""
+        self._raise_own_sequence(messages.FactState.leaving)
 
     def publish_target(
         self,
@@ -216,13 +216,13 @@
         incarnation: int,
         state: messages.FactState,
     ) -> None:
-        """Tell the fleet what was learned of a target.
+        """Publish the observed state of a target to the fleet.
 
-        An older incarnation is ignored, and so is anything but a newer one
-        once the target leaves. That a target without a fact is live is no
-        news and is not told.
+        Older incarnations are ignored, and once the target is leaving so is
+        everything except a newer incarnation. A target without a fact counts
+        as live, so that state is not published for it.
         """
-        held = self._book.get(messages.FactKind.target, replica)
+        held = self._fact_set.get(messages.FactKind.target, replica)
         sequence = 0
         if held is None and state is messages.FactState.live:
             return
@@ -241,17 +241,18 @@
             fact = msgspec.structs.replace(
                 held, sequence=sequence, state=state
             )
-        self._tell(fact)
+        self._publish(fact)
 
     def publish_listed_target(self, fact: messages.Fact) -> None:
-        """Tell the fleet of a target that the list shows anew.
+        """Publish a target that is new in the platform's list.
 
-        Daemons share the reads of the list; without this, one that reads it
-        every few minutes would send a new replica no work for as long.
+        The daemons divide the reads of the list among themselves. Without
+        this a daemon that reads it every few minutes would send no requests
+        to a new replica until its next read.
         """
-        held = self._book.get(messages.FactKind.target, fact.subject)
+        held = self._fact_set.get(messages.FactKind.target, fact.subject)
         if held is None or held.incarnation < fact.incarnation:
-            self._tell(fact)
+            self._publish(fact)
         elif fact.state is messages.FactState.leaving:
             self.publish_target(
                 _ids.ReplicaId(fact.subject),
@@ -259,107 +260,107 @@
                 state=fact.state,
             )
 
-    def _tell(self, fact: messages.Fact) -> None:
-        if self._take(fact):
-            self._exchange.spread(fact)
+    def _publish(self, fact: messages.Fact) -> None:
+        if self._merge(fact):
+            self._exchange.broadcast(fact)
 
     def check_pause(self) -> bool:
-        """Look whether this process was paused; tell whether it was.
+        """Return whether this process was paused since the last check.
 
-        After a pause, messages that wait in the sockets may be handled
-        before the ticker runs. Who acts on a promise that lapses with time
-        looks here first: another daemon may have taken over meanwhile, and
-        both would then admit work onto the same replica.
+        After a pause, messages waiting in sockets may be handled before the
+        ticker runs. Code that relies on something that expires with time
+        must call this first: another daemon may have taken over ownership
+        during the pause, and both would admit requests to the same replica.
         """
         now = self._clock.monotonic()
-        elapsed = now - self._ticked_at
-        self._ticked_at = now
-        if elapsed <= TICK_SECONDS + PAUSE_SECONDS:
+        elapsed = now - self._last_tick_at
+        self._last_tick_at = now
+        if elapsed <= TICK_SECONDS + PAUSE_THRESHOLD_SECONDS:
             return False
         self.pause_count += 1
-        _log.warning("paused for {:.1f} s", elapsed)
-        # The silence of peers in this time was our own.
-        self._book.restart_held_times()
+        _log.warning("this process was paused for {:.1f} s", elapsed)
+        # The time of the pause must not count against peers.
+        self._fact_set.reset_held_times()
         for callback in self._pause_callbacks:
             callback(elapsed)
         own = self._own()
         if own.state is not messages.FactState.leaving:
-            self._raise_own(messages.FactState.live)
+            self._raise_own_sequence(messages.FactState.live)
         return True
 
     def _own(self) -> messages.Fact:
-        own = self._book.get(messages.FactKind.daemon, self._daemon_id)
+        own = self._fact_set.get(messages.FactKind.daemon, self._daemon_id)
         assert own is not None
         return own
 
-    def _take_own(self, fact: messages.Fact) -> None:
-        self._take(fact)
-        self._exchange.spread(fact)
+    def _publish_own(self, fact: messages.Fact) -> None:
+        self._merge(fact)
+        self._exchange.broadcast(fact)
 
-    def _raise_own(self, state: messages.FactState) -> None:
+    def _raise_own_sequence(self, state: messages.FactState) -> None:
         own = self._own()
         raised = msgspec.structs.replace(
             own, sequence=own.sequence + 1, state=state
         )
-        self._take_own(raised)
+        self._publish_own(raised)
 
-    def _take(self, fact: messages.Fact) -> bool:
+    def _merge(self, fact: messages.Fact) -> bool:
         is_self = fact.kind is messages.FactKind.daemon and (
             fact.subject == self._daemon_id
         )
-        if is_self and self._refuted(fact):
+        if is_self and self._refute(fact):
             return False
-        if not self._book.merge(fact):
+        if not self._fact_set.merge(fact):
             return False
         if fact.kind is messages.FactKind.target:
-            self._take_target(fact)
+            self._update_target(fact)
         else:
-            self._take_member(fact)
+            self._update_member(fact)
         return True
 
-    def _refuted(self, fact: messages.Fact) -> bool:
-        own = self._book.get(messages.FactKind.daemon, self._daemon_id)
+    def _refute(self, fact: messages.Fact) -> bool:
+        own = self._fact_set.get(messages.FactKind.daemon, self._daemon_id)
         if own is None:
             return False
-        if _facts.order(fact) <= _facts.order(own):
-            if fact.state in _DOUBTS:
-                # Somebody still doubts what was refuted while it was cut
-                # off. The refutation is no news any more and would reach it
-                # only by a whole sync; until then it sends us nothing.
-                self._exchange.remind(own)
+        if _facts.precedence(fact) <= _facts.precedence(own):
+            if fact.state in _UNREACHABLE_STATES:
+                # A peer that was cut off did not receive the refutation.
+                # That is no longer being repeated and would reach the peer
+                # only with a full sync; until then it sends us no requests.
+                self._exchange.repeat(own)
             return False
         if fact.incarnation > own.incarnation:
             _log.error(
-                "another daemon goes by our name {!r}, incarnation {}: give "
-                "each daemon a daemon.id of its own",
+                "another daemon uses the same id {!r} with incarnation {}; "
+                "set a unique daemon.id for each daemon",
                 self._daemon_id,
                 fact.incarnation,
             )
             return True
-        if fact.state not in _DOUBTS:
+        if fact.state not in _UNREACHABLE_STATES:
             return False
         raised = msgspec.structs.replace(own, sequence=fact.sequence + 1)
-        self._take_own(raised)
+        self._publish_own(raised)
         return True
 
-    def _take_member(self, fact: messages.Fact) -> None:
+    def _update_member(self, fact: messages.Fact) -> None:
         daemon_id = _ids.DaemonId(fact.subject)
         before = self.members_by_id.get(daemon_id)
         if before is not None and before.state is not fact.state:
-            _log.info("daemon {} is {}", daemon_id, fact.state.value)
-        self.members_by_id[daemon_id] = _members.member_of(fact)
+            _log.info("daemon {} is now {}", daemon_id, fact.state.value)
+        self.members_by_id[daemon_id] = _members.member_from_fact(fact)
         if fact.state is messages.FactState.suspected:
             self._suspected_ids.add(daemon_id)
         else:
             self._suspected_ids.discard(daemon_id)
-        self._changed()
+        self._schedule_notify()
 
-    def _take_target(self, fact: messages.Fact) -> None:
+    def _update_target(self, fact: messages.Fact) -> None:
         self.target_facts_by_id[_ids.ReplicaId(fact.subject)] = fact
         for callback in self._target_callbacks:
             callback(fact)
 
-    def _changed(self) -> None:
+    def _schedule_notify(self) -> None:
         self._usable_by_id = None
         if not self._notifying and self._change_callbacks:
             self._notifying = True
@@ -370,62 +371,64 @@
         for callback in self._change_callbacks:
             callback()
 
-    def _seed(self) -> None:
+    def _merge_listed(self) -> None:
         for instance in self._instances.instances_by_id.values():
             if instance.kind is _instances.InstanceKind.DAEMON:
-                self._take(_members.listed_fact(instance))
+                self._merge(_members.fact_from_instance(instance))
 
     def _candidates(self) -> set[_ids.DaemonId]:
         return set(self.usable()) - {self._daemon_id}
 
-    def _doubted(self, peer: _ids.DaemonId) -> None:
-        held = self._book.get(messages.FactKind.daemon, peer)
+    def _on_no_answer(self, peer: _ids.DaemonId) -> None:
+        held = self._fact_set.get(messages.FactKind.daemon, peer)
         if held is not None and held.state is messages.FactState.live:
-            self._worsen(held, messages.FactState.suspected)
+            self._change_state(held, messages.FactState.suspected)
 
-    def _worsen(self, held: messages.Fact, state: messages.FactState) -> None:
+    def _change_state(
+        self, held: messages.Fact, state: messages.FactState
+    ) -> None:
         fact = msgspec.structs.replace(held, state=state)
-        if self._take(fact):
-            self._exchange.spread(fact)
+        if self._merge(fact):
+            self._exchange.broadcast(fact)
 
-    def _lost_ids(self) -> list[_ids.DaemonId]:
+    def _dead_ids(self) -> list[_ids.DaemonId]:
         return [
             member.daemon_id
             for member in self.members_by_id.values()
             if member.state is messages.FactState.dead
         ]
 
-    def _tick_forever(self) -> None:
+    def _run_ticker(self) -> None:
         while True:
             self._clock.sleep(TICK_SECONDS)
-            # The pause goes first: it restarts the times held. Else a
-            # daemon that was frozen would, on its thaw, take for dead
-            # whom it suspected before.
+            # Checking for a pause comes first since it resets held times.
+            # Otherwise a daemon that was frozen would declare the peers that
+            # it had suspected dead as soon as it resumes.
             self.check_pause()
-            self._bury_silent()
-            self._forget_old()
+            self._expire_suspected()
+            self._remove_expired()
 
-    def _bury_silent(self) -> None:
+    def _expire_suspected(self) -> None:
         for daemon_id in list(self._suspected_ids):
             subject = (messages.FactKind.daemon, daemon_id)
-            held_seconds = self._book.held_seconds(subject)
+            held_seconds = self._fact_set.held_seconds(subject)
             if held_seconds > self._settings.suspect_timeout:
-                fact = self._book.fact_by_subject[subject]
-                self._worsen(fact, messages.FactState.dead)
+                fact = self._fact_set.fact_by_subject[subject]
+                self._change_state(fact, messages.FactState.dead)
 
-    def _forget_old(self) -> None:
+    def _remove_expired(self) -> None:
         now = self._clock.monotonic()
-        if now - self._forgot_at < FORGET_INTERVAL_SECONDS:
+        if now - self._last_removal_at < REMOVAL_INTERVAL_SECONDS:
             return
-        self._forgot_at = now
-        for kind, name in self._book.forget_old(self._is_needed):
+        self._last_removal_at = now
+        for kind, name in self._fact_set.remove_expired(self._is_needed):
             if kind is messages.FactKind.daemon:
                 self.members_by_id.pop(_ids.DaemonId(name), None)
             else:
                 self.target_facts_by_id.pop(_ids.ReplicaId(name), None)
 
     def _is_needed(self, fact: messages.Fact) -> bool:
-        # Forgotten while the platform still lists it, a dead daemon would
-        # enter the book again as live.
+        # If the fact of a dead daemon were removed while the platform still
+        # lists it, the daemon would be added again as live.
         listed = self._instances.instances_by_id.get(fact.subject)
         return listed is not None and listed.incarnation <= fact.incarnation
--- a/src/topazlug/membership/_sharded_map.py
+++ b/src/topazlug/membership/_sharded_map.py
@@ -1,8 +1,8 @@
-"""A mapping that is never changed, of which a changed copy is cheap.
+"""An immutable mapping that is cheap to copy with changes.
 
-A plain dict of 26,000 API keys takes over a millisecond to copy, because
-each entry's reference count is touched. Here a copy shares all shards but
-the few that were written to.
+Copying a plain dict of 26,000 API keys takes over a millisecond, because
+the reference count of each entry is updated. A copy of a sharded map shares
+all shards except the few that were written to.
 """
 
 from typing import Generic
@@ -17,12 +17,12 @@
 
 @final
 class ShardedMap(Mapping[str, _Value]):
-    """An immutable mapping by string.
+    """An immutable mapping with string keys.
 
     Parameters
     ----------
     shards : tuple of dict
-        `SHARDS` dicts; nobody may write to them afterwards.
+        `SHARDS` dicts, which must not be modified afterwards.
     """
 
     __slots__ = ("_shards", "_length")
@@ -32,26 +32,26 @@
         self._length = sum(map(len, self._shards))
 
     def __getitem__(self, key: str) -> _Value:
-        """Give the value of a key; KeyError without one."""
+        """Return the value of a key; raise KeyError if it is missing."""
         return self._shards[hash(key) % SHARDS][key]
 
     def __iter__(self) -> Iterator[str]:
-        """Give the keys in no particular order."""
+        """Iterate over the keys in no particular order."""
         for shard in self._shards:
             yield from shard
 
     def __len__(self) -> int:
-        """Give the number of keys."""
+        """Return the number of keys."""
         return self._length
 
     def draft(self) -> "ShardedMapDraft[_Value]":
-        """Begin a changed copy."""
+        """Return a draft that starts with the entries of this map."""
         return ShardedMapDraft(self._shards)
 
 
 @final
 class ShardedMapDraft(Generic[_Value]):
-    """A copy in the making; the shards it writes to are its own."""
+    """A mutable copy of a sharded map; copies a shard on first write."""
 
     __slots__ = ("_shards", "_owned")
 
@@ -60,19 +60,19 @@
         self._owned: set[int] = set()
 
     def get(self, key: str) -> _Value | None:
-        """Give the value of a key, None without one."""
+        """Return the value of a key, or None if it is missing."""
         return self._shards[hash(key) % SHARDS].get(key)
 
     def put(self, key: str, value: _Value) -> None:
-        """Give a key a value."""
+        """Set the value of a key."""
         self._own_shard(key)[key] = value
 
     def remove(self, key: str) -> _Value | None:
-        """Take a key away and give its value, None without one."""
+        """Remove a key; return its value, or None if it was missing."""
         return self._own_shard(key).pop(key, None)
 
     def finished(self) -> ShardedMap[_Value]:
-        """Give the copy; the draft must not be written to any more."""
+        """Return the map; the draft must not be modified afterwards."""
         return ShardedMap(tuple(self._shards))
 
     def _own_shard(self, key: str) -> dict[str, _Value]:
--- a/tests/topazlug/membership/test_facts.py
+++ b/tests/topazlug/membership/test_facts.py
@@ -1,4 +1,4 @@
-"""Books of facts."""
+"""Merging, transmitting and removing facts."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -49,28 +49,29 @@
 
 
 @pytest.fixture
-def book(clock):
+def fact_set(clock):
     return _facts.FactSet(clock=clock)
 
 
 class TestOrder:
-    """All books come to the same."""
+    """All daemons converge on the same facts."""
 
     @settings(max_examples=200, deadline=None)
     @given(data=strategies.data(), facts=_some_facts)
-    def test_any_order(self, data, facts):
+    def test_order_of_arrival_is_irrelevant(self, data, facts):
         shuffled = data.draw(strategies.permutations(facts))
-        books = []
+        fact_sets = []
         for order in (facts, shuffled):
-            book = _facts.FactSet(clock=peer_fixtures.ManualClock())
+            fact_set = _facts.FactSet(clock=peer_fixtures.ManualClock())
             for fact in order:
-                book.merge(fact)
-            books.append(book)
-        assert books[0].fact_by_subject == books[1].fact_by_subject
-        assert books[0].digest == books[1].digest
+                fact_set.merge(fact)
+            fact_sets.append(fact_set)
+        first, second = fact_sets
+        assert first.fact_by_subject == second.fact_by_subject
+        assert first.digest == second.digest
 
     @pytest.mark.parametrize(
-        ("stronger", "weaker"),
+        ("winner", "loser"),
         [
             (make_fact(State.suspected), make_fact(State.live)),
             (make_fact(State.dead), make_fact(State.suspected)),
@@ -80,107 +81,107 @@
             (make_fact(State.live, incarnation=2), make_fact(State.leaving)),
         ],
     )
-    def test_stronger(self, book, stronger, weaker):
-        assert book.merge(weaker)
-        assert book.merge(stronger)
-        assert not book.merge(weaker)
-        assert book.get(DAEMON, "x") == stronger
+    def test_higher_precedence_wins(self, fact_set, winner, loser):
+        assert fact_set.merge(loser)
+        assert fact_set.merge(winner)
+        assert not fact_set.merge(loser)
+        assert fact_set.get(DAEMON, "x") == winner
 
-    def test_same_fact_is_no_news(self, book):
-        assert book.merge(make_fact(State.live))
-        assert not book.merge(make_fact(State.live))
+    def test_same_fact_changes_nothing(self, fact_set):
+        assert fact_set.merge(make_fact(State.live))
+        assert not fact_set.merge(make_fact(State.live))
 
 
 class TestDigest:
-    """Equal digests for books that mean the same."""
+    """Digests are equal for sets that are equivalent for routing."""
 
     @pytest.mark.parametrize("state", [State.dead, State.leaving])
-    def test_gone_daemon_counts_as_unknown(self, book, state):
-        book.merge(make_fact(State.live))
-        assert book.digest
-        book.merge(make_fact(state))
-        assert book.digest == 0
+    def test_dead_or_leaving_daemon_counts_as_unknown(self, fact_set, state):
+        fact_set.merge(make_fact(State.live))
+        assert fact_set.digest
+        fact_set.merge(make_fact(state))
+        assert fact_set.digest == 0
 
-    def test_leaving_target_counts(self, book):
-        book.merge(make_fact(State.leaving, kind=TARGET))
-        assert book.digest
+    def test_leaving_target_counts(self, fact_set):
+        fact_set.merge(make_fact(State.leaving, kind=TARGET))
+        assert fact_set.digest
 
 
-class TestFresh:
-    """News is repeated so often that it reaches all, and no more."""
+class TestTransmission:
+    """Each fact is sent often enough to reach all, and no more often."""
 
-    def test_repeats(self, book):
+    def test_number_of_transmissions(self, fact_set):
         fact = make_fact(State.live)
-        book.merge(fact)
-        book.freshen(fact, fleet_size=880)
+        fact_set.merge(fact)
+        fact_set.schedule_retransmits(fact, fleet_size=880)
         taken = 0
-        while book.has_fresh:
-            assert book.take_fresh(5) == [fact]
+        while fact_set.has_pending:
+            assert fact_set.take_pending(5) == [fact]
             taken += 1
         assert taken == 30
 
-    def test_least_repeated_go_first(self, book):
+    def test_least_transmitted_go_first(self, fact_set):
         for name in "xyz":
             fact = make_fact(State.live, subject=name)
-            book.merge(fact)
-            book.freshen(fact, fleet_size=9)
-        first = {fact.subject for fact in book.take_fresh(2)}
-        second = {fact.subject for fact in book.take_fresh(2)}
+            fact_set.merge(fact)
+            fact_set.schedule_retransmits(fact, fleet_size=9)
+        first = {fact.subject for fact in fact_set.take_pending(2)}
+        second = {fact.subject for fact in fact_set.take_pending(2)}
         assert first | second == {"x", "y", "z"}
 
-    def test_newer_fact_takes_the_place(self, book):
-        book.merge(make_fact(State.live))
-        book.freshen(make_fact(State.live), fleet_size=9)
-        book.merge(make_fact(State.dead))
-        assert book.take_fresh(5) == [make_fact(State.dead)]
+    def test_newer_fact_replaces_pending_one(self, fact_set):
+        fact_set.merge(make_fact(State.live))
+        fact_set.schedule_retransmits(make_fact(State.live), fleet_size=9)
+        fact_set.merge(make_fact(State.dead))
+        assert fact_set.take_pending(5) == [make_fact(State.dead)]
 
 
 class TestChunks:
-    """A book larger than a message goes out in parts."""
+    """A set that is larger than a message is sent in chunks."""
 
-    def test_all_come_round(self, book):
+    def test_chunks_cover_all_facts(self, fact_set):
         for number in range(10):
-            book.merge(make_fact(State.live, subject=str(number)))
-        chunks = [book.next_chunk(4) for _ in range(3)]
+            fact_set.merge(make_fact(State.live, subject=str(number)))
+        chunks = [fact_set.next_chunk(4) for _ in range(3)]
         assert all(len(chunk) == 4 for chunk in chunks)
         assert len({f.subject for chunk in chunks for f in chunk}) == 10
 
 
-class TestForgetting:
-    """Memory stays bounded, and the dead don't come back by it."""
+class TestRemoval:
+    """Old facts are removed unless a dead daemon would become live again."""
 
     @pytest.mark.parametrize("state", [State.dead, State.leaving])
-    def test_old_and_gone(self, book, clock, state):
-        book.merge(make_fact(state))
-        clock.seconds += _facts.FORGET_SECONDS + 1
-        assert book.forget_old(keep_none) == [(DAEMON, "x")]
-        assert not book.fact_by_subject
-
-    def test_not_yet(self, book, clock):
-        book.merge(make_fact(State.dead))
-        clock.seconds += _facts.FORGET_SECONDS - 1
-        assert book.forget_old(keep_none) == []
-
-    def test_live_daemon_stays(self, book, clock):
-        book.merge(make_fact(State.live))
-        clock.seconds += _facts.FORGET_SECONDS * 9
-        assert book.forget_old(keep_none) == []
-
-    def test_needed_stays(self, book, clock):
-        """A dead daemon is routed to again half an hour later.
-
-        Sequence: it dies, the list goes on showing it, its fact is
-        forgotten, the list is read. Cause: forgetting by age alone.
+    def test_expired_fact_is_removed(self, fact_set, clock, state):
+        fact_set.merge(make_fact(state))
+        clock.seconds += _facts.RETENTION_SECONDS + 1
+        assert fact_set.remove_expired(keep_none) == [(DAEMON, "x")]
+        assert not fact_set.fact_by_subject
+
+    def test_unexpired_fact_stays(self, fact_set, clock):
+        fact_set.merge(make_fact(State.dead))
+        clock.seconds += _facts.RETENTION_SECONDS - 1
+        assert fact_set.remove_expired(keep_none) == []
+
+    def test_live_daemon_stays(self, fact_set, clock):
+        fact_set.merge(make_fact(State.live))
+        clock.seconds += _facts.RETENTION_SECONDS * 9
+        assert fact_set.remove_expired(keep_none) == []
+
+    def test_needed_fact_stays(self, fact_set, clock):
+        """Guards against routing to a dead daemon half an hour later.
+
+        If its fact were removed by age alone while the platform still lists
+        the daemon, the next read of the list would add it as live.
         """
-        book.merge(make_fact(State.dead))
-        clock.seconds += _facts.FORGET_SECONDS * 9
-        assert book.forget_old(lambda fact: fact.subject == "x") == []
+        fact_set.merge(make_fact(State.dead))
+        clock.seconds += _facts.RETENTION_SECONDS * 9
+        assert fact_set.remove_expired(lambda fact: fact.subject == "x") == []
 
-    def test_oldest_go_when_very_many(self, book, monkeypatch):
-        monkeypatch.setattr(_facts, "MAX_FORGETTABLE", 5)
+    def test_oldest_are_removed_above_the_limit(self, fact_set, monkeypatch):
+        monkeypatch.setattr(_facts, "MAX_FACTS", 5)
         for number in range(8):
-            book.merge(make_fact(State.dead, subject=str(number)))
-        book.merge(make_fact(State.dead, subject="0", sequence=1))
-        gone = [name for _kind, name in book.forget_old(keep_none)]
-        assert gone == ["1", "2", "3"]
-        assert book.digest == 0
+            fact_set.merge(make_fact(State.dead, subject=str(number)))
+        fact_set.merge(make_fact(State.dead, subject="0", sequence=1))
+        removed = [name for _kind, name in fact_set.remove_expired(keep_none)]
+        assert removed == ["1", "2", "3"]
+        assert fact_set.digest == 0
--- a/tests/topazlug/membership/test_membership.py
+++ b/tests/topazlug/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is in the fleet, with daemons that fail in each way."""
+"""Membership of a fleet in which daemons join, fail and leave."""
 
 import msgspec
 import pytest
@@ -13,7 +13,7 @@
 
 
 class Fleet:
-    """Daemons that share one list."""
+    """Daemons that share one platform list."""
 
     def __init__(self):
         self.instances = peer_fixtures.FakeList()
@@ -58,9 +58,9 @@
 
 
 class TestJoining:
-    """A daemon is known by the list, or before it by its own word."""
+    """A daemon is discovered by the list, or earlier by its heartbeats."""
 
-    def test_all_meet(self, fleet):
+    def test_all_daemons_discover_each_other(self, fleet):
         fleet.started(5)
 
     def test_known_before_the_list_shows_it(self, fleet):
@@ -69,28 +69,28 @@
         late.membership.start()
         wait_until(lambda: all_see_each_other([*nodes, late]))
 
-    def test_change_is_told(self, fleet):
+    def test_callback_runs_on_change(self, fleet):
         nodes = fleet.started(2)
-        told = []
-        nodes[0].membership.on_change(lambda: told.append(1))
+        calls = []
+        nodes[0].membership.on_change(lambda: calls.append(1))
         fleet.add("late").membership.start()
-        wait_until(lambda: bool(told))
+        wait_until(lambda: bool(calls))
 
 
 class TestFailing:
-    """A daemon that falls silent is given up; one that speaks is not."""
+    """A daemon that stops answering is declared dead; others are not."""
 
-    def test_killed(self, fleet):
+    def test_killed_daemon_is_declared_dead(self, fleet):
         nodes = fleet.started(4)
         nodes[0].stop()
         wait_until(lambda: all_see_each_other(nodes[1:]))
         assert nodes[1].member(nodes[0]).state is State.dead
 
-    def test_frozen(self, fleet):
-        """Work goes on being owned by a daemon that is stopped.
+    def test_frozen_daemon_is_declared_dead(self, fleet):
+        """Guards against a frozen daemon that keeps its replicas.
 
-        Sequence: the process is frozen; its kernel accepts connections.
-        Cause: a connection taken as a sign of life.
+        The kernel still accepts connections for a frozen process, so an
+        accepted connection does not show that the daemon is alive.
         """
         nodes = fleet.started(3)
         nodes[0].links.handle(messages.Exchange, lambda *_: None)
@@ -98,10 +98,10 @@
         wait_until(lambda: all_see_each_other(nodes[1:]))
 
     def test_list_that_lags_does_not_revive(self, fleet):
-        """A dead daemon comes back with each read of the list.
+        """Guards against a dead daemon that each read of the list revives.
 
-        Sequence: it dies, the platform goes on listing it as live. Cause:
-        the list taken as newer than the daemons' own evidence.
+        The platform may list a dead daemon as live for a while. What the
+        daemons observed themselves takes precedence.
         """
         nodes = fleet.started(3)
         nodes[0].stop()
@@ -119,41 +119,43 @@
         wait_until(lambda: all_see_each_other([again, *nodes[1:]]))
         assert nodes[1].member(again).incarnation == 2
 
-    def test_doubt_that_nobody_spread_is_refuted(self, fleet, monkeypatch):
+    def test_suspicion_held_by_one_peer_is_refuted(self, fleet, monkeypatch):
         monkeypatch.setattr(
-            _fact_exchange.FactExchange, "_compare", lambda *_: None
+            _fact_exchange.FactExchange, "_compare_digests", lambda *_: None
         )
         nodes = fleet.started(2)
-        monkeypatch.setattr(nodes[1].membership, "_bury_silent", lambda: None)
-        held = nodes[1].membership._book.get("daemon", "d0")
-        nodes[1].membership._take(
+        monkeypatch.setattr(
+            nodes[1].membership, "_expire_suspected", lambda: None
+        )
+        held = nodes[1].membership._fact_set.get("daemon", "d0")
+        nodes[1].membership._merge(
             msgspec.structs.replace(held, state=State.suspected)
         )
         wait_until(lambda: nodes[1].member(nodes[0]).state is State.live)
 
-    def test_answer_late_by_own_fault(self, fleet):
-        """A busy or paused daemon takes others for dead.
+    def test_own_pause_is_not_counted_as_timeout(self, fleet):
+        """Guards against a busy or paused daemon that suspects its peers.
 
-        Sequence: it asks, is paused, and runs again past the timeout.
-        Cause: its own delay counted as the peer's silence.
+        A daemon sends a heartbeat, is paused, and resumes after the timeout.
+        Its own delay must not count against the peer.
         """
         nodes = fleet.started(2)
-        asked = []
-        book = nodes[0].membership._book
-        before = book.get("daemon", "d1")
+        requests = []
+        fact_set = nodes[0].membership._fact_set
+        before = fact_set.get("daemon", "d1")
 
-        def pause_the_asker(_peer, _message, _reply):
-            asked.append(1)
+        def pause_sender(_peer, _message, _reply):
+            requests.append(1)
             nodes[0].clock.ahead += 0.9
 
-        nodes[1].links.handle(messages.Exchange, pause_the_asker)
-        wait_until(lambda: len(asked) > 4)
-        assert book.get("daemon", "d1") == before
+        nodes[1].links.handle(messages.Exchange, pause_sender)
+        wait_until(lambda: len(requests) > 4)
+        assert fact_set.get("daemon", "d1") == before
 
     @pytest.mark.parametrize("state", [State.suspected, State.dead])
-    def test_doubted_daemon_refutes(self, fleet, state):
+    def test_suspected_or_dead_daemon_refutes(self, fleet, state):
         nodes = fleet.started(3)
-        doubt = messages.Fact(
+        false_fact = messages.Fact(
             kind=messages.FactKind.daemon,
             subject="d0",
             incarnation=1,
@@ -162,11 +164,11 @@
             host=peer_fixtures.LOCALHOST,
             port=nodes[0].port,
         )
-        exchange = messages.Exchange(facts=[doubt], digest=0, revision=0)
+        exchange = messages.Exchange(facts=[false_fact], digest=0, revision=0)
         nodes[2].links.send("d1", exchange)
         wait_until(
             lambda: all(
-                node.membership._book.get("daemon", "d0").sequence > 50
+                node.membership._fact_set.get("daemon", "d0").sequence > 50
                 for node in nodes
             )
         )
@@ -174,16 +176,16 @@
 
 
 class TestLeaving:
-    """Who says that it leaves is out at once, and stays out."""
+    """A daemon that announces that it is leaving is unusable at once."""
 
-    def test_daemon(self, fleet):
+    def test_leaving_daemon_is_unusable(self, fleet):
         nodes = fleet.started(4)
         nodes[0].membership.announce_leaving()
         wait_until(lambda: all_see_each_other(nodes[1:]))
         assert nodes[1].member(nodes[0]).state is State.leaving
         assert "d0" not in nodes[0].membership.usable()
 
-    def test_daemon_stays_out_though_it_answers(self, fleet):
+    def test_leaving_daemon_stays_unusable_though_it_answers(self, fleet):
         nodes = fleet.started(3)
         nodes[0].membership.announce_leaving()
         wait_until(lambda: all_see_each_other(nodes[1:]))
@@ -203,7 +205,7 @@
 
 
 class TestTargets:
-    """What one learns of a target, all know."""
+    """A fact about a target that one daemon publishes reaches all."""
 
     def publish(self, node, state, incarnation=1):
         node.membership.publish_target(
@@ -216,19 +218,19 @@
 
     def test_leaving_spreads(self, fleet):
         nodes = fleet.started(5)
-        told = []
-        nodes[4].membership.on_target_fact(told.append)
+        received = []
+        nodes[4].membership.on_target_fact(received.append)
         self.publish(nodes[0], State.leaving)
         wait_until(
             lambda: all(self.state(node) is State.leaving for node in nodes)
         )
-        assert [fact.state for fact in told] == [State.leaving]
+        assert [fact.state for fact in received] == [State.leaving]
 
-    def test_leaving_sticks_to_the_incarnation(self, fleet):
-        """A target on its way out gets new work.
+    def test_leaving_is_final_for_the_incarnation(self, fleet):
+        """Guards against new requests to a target that is leaving.
 
-        Sequence: it says that it leaves, then answers one more request.
-        Cause: the latest sign taken for the truth.
+        A leaving target may still answer a request. That answer must not
+        make it live again.
         """
         node = fleet.started(1)[0]
         self.publish(node, State.leaving)
@@ -249,15 +251,15 @@
 
 
 class TestPauses:
-    """A daemon that was frozen itself judges nobody by that time."""
+    """A daemon does not count the time of its own pauses against peers."""
 
-    def test_pause_is_told_and_others_live(self, fleet):
+    def test_pause_is_reported_and_peers_stay_live(self, fleet):
         nodes = fleet.started(3)
-        told = []
-        nodes[0].membership.on_pause(told.append)
+        pauses = []
+        nodes[0].membership.on_pause(pauses.append)
         nodes[0].clock.ahead += 60.0
-        wait_until(lambda: bool(told))
-        assert told[0] >= 60.0
+        wait_until(lambda: bool(pauses))
+        assert pauses[0] >= 60.0
         assert nodes[0].membership.pause_count == 1
         assert nodes[0].membership._own().sequence > 0
         wait_until(lambda: all_see_each_other(nodes))
@@ -268,27 +270,28 @@
         ]
         assert not dead
 
-    def test_suspected_get_their_time_again(self, fleet):
-        """A thawed daemon takes for dead whom it suspected before.
+    def test_pause_restarts_the_suspect_timeout(self, fleet):
+        """Guards against declaring a suspected peer dead after a pause.
 
-        Sequence: it suspects a peer, is frozen, and on its thaw counts the
-        pause as the peer's silence. Cause: the wrong order of the two.
+        A daemon suspects a peer and is then frozen. The pause must be
+        detected before the suspect timeout is checked, otherwise its length
+        counts against the peer.
         """
         nodes = fleet.started(2)
         for node in nodes:
             node.membership.stop()
         membership = nodes[0].membership
-        membership._doubted("d1")
+        membership._on_no_answer("d1")
         nodes[0].clock.ahead += 60.0
         assert membership.check_pause()
-        membership._bury_silent()
+        membership._expire_suspected()
         assert nodes[0].member(nodes[1]).state is State.suspected
 
-    def test_found_before_a_waiting_message(self, fleet):
-        """A thawed owner admits work that is no longer its own.
+    def test_pause_is_detected_before_a_waiting_message(self, fleet):
+        """Guards against an owner that admits requests it no longer owns.
 
-        Sequence: an owner is frozen, another takes over, on its thaw it
-        handles a question that waited. Cause: the ticker runs later.
+        An owner is frozen and another daemon takes over. When it resumes, a
+        message that was waiting may be handled before the ticker runs.
         """
         nodes = fleet.started(2)
         counts = []
@@ -308,9 +311,9 @@
 
 
 class TestSyncs:
-    """Books that differ in silence are brought together."""
+    """Sets that differ while nothing is spreading are synchronized."""
 
-    def test_lost_news_arrives(self, fleet):
+    def test_fact_that_was_not_pushed_arrives(self, fleet):
         nodes = fleet.started(3)
         fact = messages.Fact(
             kind=messages.FactKind.target,
@@ -319,45 +322,45 @@
             sequence=0,
             state=State.leaving,
         )
-        nodes[0].membership._book.merge(fact)
+        nodes[0].membership._fact_set.merge(fact)
         wait_until(
             lambda: all(
                 "t" in node.membership.target_facts_by_id for node in nodes[1:]
             )
         )
 
-    def test_sync_that_mends_nothing_grows_rare(self, fleet, monkeypatch):
-        """Two daemons send each other their books for good.
+    def test_sync_without_effect_backs_off(self, fleet, monkeypatch):
+        """Guards against full syncs that are repeated forever.
 
-        Sequence: two books differ in what neither takes from the other.
-        Cause: a sync repeated whenever the digests differ.
+        Two sets may differ in facts that neither daemon accepts from the
+        other, so their digests differ after each sync.
         """
-        monkeypatch.setattr(_fact_exchange, "SYNC_BASE_SECONDS", 0.05)
+        monkeypatch.setattr(_fact_exchange, "MIN_SYNC_INTERVAL_SECONDS", 0.05)
         nodes = fleet.started(2)
-        nodes[0].membership._book.digest ^= 1
+        nodes[0].membership._fact_set.digest ^= 1
         exchange = nodes[1].membership._exchange
-        wait_until(lambda: exchange._sync_wait >= 0.8)
+        wait_until(lambda: exchange._sync_interval >= 0.8)
 
-    def test_revisions_are_heard(self, fleet):
+    def test_peer_revisions_are_received(self, fleet):
         nodes = fleet.started(2)
-        heard = []
+        received = []
         nodes[1].membership.on_peer_revision(
-            lambda peer, revision: heard.append((peer, revision))
+            lambda peer, revision: received.append((peer, revision))
         )
         nodes[0].revision = 7
-        wait_until(lambda: ("d0", 7) in heard)
+        wait_until(lambda: ("d0", 7) in received)
 
 
 class TestPartitions:
-    """Halves that lost each other find each other again."""
+    """Daemons rejoin after a network partition."""
 
-    def test_rejoin(self, fleet, monkeypatch):
-        """Two regions stay apart after the network is whole.
+    def test_rejoin_after_partition(self, fleet, monkeypatch):
+        """Guards against a fleet that stays split after a partition.
 
-        Sequence: for a while neither half reaches the other; each takes
-        the other's daemons for dead. Cause: nobody asks the dead.
+        Each half declares the daemons of the other dead. Unless dead daemons
+        are contacted as well, the halves never rejoin.
         """
-        monkeypatch.setattr(_fact_exchange, "LOST_RETRY_SECONDS", 0.2)
+        monkeypatch.setattr(_fact_exchange, "DEAD_PEER_RETRY_SECONDS", 0.2)
         nodes = fleet.started(4)
         halves = (nodes[:2], nodes[2:])
         for half, others in (halves, halves[::-1]):
@@ -368,8 +371,8 @@
             node.part_from([])
         wait_until(lambda: all_see_each_other(nodes))
 
-    def test_all_alone_asks_the_lost(self, fleet, monkeypatch):
-        monkeypatch.setattr(_fact_exchange, "LOST_RETRY_SECONDS", 3600.0)
+    def test_isolated_daemon_contacts_dead_peers(self, fleet, monkeypatch):
+        monkeypatch.setattr(_fact_exchange, "DEAD_PEER_RETRY_SECONDS", 3600.0)
         nodes = fleet.started(2)
         nodes[0].part_from(nodes[1:])
         nodes[1].part_from(nodes[:1])
