--- a/tests/topazlug/membership/test_facts.py
+++ b/tests/topazlug/membership/test_facts.py
@@ -66,9 +66,8 @@
             for fact in order:
                 fact_set.merge(fact)
             fact_sets.append(fact_set)
-        first, second = fact_sets
-        assert first.fact_by_subject == second.fact_by_subject
-        assert first.digest == second.digest
+        assert fact_sets[0].fact_by_subject == fact_sets[1].fact_by_subject
+        assert fact_sets[0].digest == fact_sets[1].digest
 
     @pytest.mark.parametrize(
         ("winner", "loser"),
