--- a/src/topazlug/fleet/_fleet.py
+++ b/src/topazlug/fleet/_fleet.py
@@ -196,7 +196,7 @@
         return found
 
     def _take(self, data_by_key: dict[str, bytes]) -> None:
-        self.directory.take(data_by_key)
+        self.directory.update(data_by_key)
         self._sized(len(self.directory.daemons_by_id))
 
     def _open_links(self) -> None:
--- a/src/topazlug/fleet/_fleet_directory.py
+++ b/src/topazlug/fleet/_fleet_directory.py
@@ -25,7 +25,7 @@
 _READERS = _ranking.chat_hash("relays")
 # Below this many daemons each reads the store itself: that costs less than
 # a hundredth of what the calls of 60 daemons do, and is one step shorter.
-SMALL_FLEET = 16
+MAX_SMALL_FLEET = 16
 _JOIN_TRIES = 5
 _MAX_PORT = 65535
 
@@ -105,7 +105,7 @@
         for _ in range(_JOIN_TRIES):
             found = store.rows(TABLE)
             data_by_key = {row.key: row.data for row in found.rows}
-            self.take(data_by_key)
+            self.update(data_by_key)
             if self.secret:
                 self.was_known = data_by_key.get(own_row.key) == own_row.data
                 if not self.was_known:
@@ -122,7 +122,7 @@
             f"no secret of the fleet after {_JOIN_TRIES} tries"
         )
 
-    def take(self, data_by_key: Mapping[str, bytes]) -> None:
+    def update(self, data_by_key: Mapping[str, bytes]) -> None:
         """Take the table's rows."""
         found = {self._me: self._own}
         for key, data in data_by_key.items():
@@ -144,7 +144,7 @@
     @property
     def is_small(self) -> bool:
         """Say whether each daemon reads the store itself."""
-        return len(self.daemons_by_id) <= SMALL_FLEET
+        return len(self.daemons_by_id) <= MAX_SMALL_FLEET
 
     def reading_order(self) -> list[_ids.DaemonId]:
         """Give all daemons in the order in which they read for others.
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -299,7 +299,7 @@
         # all have joined; before, the fleet may still be growing.
         self.budget.daemons = max(_FLEET_LEAST, daemons)
         seconds = _replica_view.REPORT_SECONDS
-        if daemons > _fleet_directory.SMALL_FLEET:
+        if daemons > _fleet_directory.MAX_SMALL_FLEET:
             seconds = _replica_view.LARGE_FLEET_REPORT_SECONDS
         self.views.count_reports_for(seconds)
 
--- a/tests/topazlug/fleet/test_fleet_directory.py
+++ b/tests/topazlug/fleet/test_fleet_directory.py
@@ -17,7 +17,7 @@
 
 def look(store, one):
     found = store.rows(_fleet_directory.TABLE)
-    one.take({row.key: row.data for row in found.rows})
+    one.update({row.key: row.data for row in found.rows})
 
 
 def fleet(count, *, slow=()):
@@ -70,7 +70,7 @@
 
     def test_row_that_cannot_be_read_is_left_out(self):
         one = directory("a")
-        one.take({"daemon/b": b"?", "secret": b"s" * 16})
+        one.update({"daemon/b": b"?", "secret": b"s" * 16})
         assert list(one.daemons_by_id) == ["a"]
 
 
--- a/tests/topazlug_platform/test_foreign_rows.py
+++ b/tests/topazlug_platform/test_foreign_rows.py
@@ -237,5 +237,5 @@
         }
         rows["daemon/d2"] = b'{"host":"10.0.0.2","port":7340,"relays":true}'
         rows["secret"] = b"\xff\xfe"
-        directory.take(rows)
+        directory.update(rows)
         assert set(directory.daemons_by_id) == {"d1", "d2"}
