--- a/src/topazlug/fleet/__init__.py
+++ b/src/topazlug/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet on a platform's store: directory, tables, relays."""
+"""Fleet of daemons on a platform's store: directory, tables, relays."""
--- a/src/topazlug/fleet/_fleet.py
+++ b/src/topazlug/fleet/_fleet.py
@@ -1,4 +1,4 @@
-"""A forwarding daemon's part in its fleet: directory, peers, feeds."""
+"""Connects a forwarding daemon to its fleet: directory, peers, feeds."""
 
 from collections.abc import Callable
 import random
@@ -21,21 +21,23 @@
 from topazlug.peers import _peers
 
 _log = _logs.logger("fleet")
-_JOIN_PAUSE_SECONDS = 1.0
-# All daemons of a new fleet have written their row by then.
-_FIRST_LOOK_SECONDS = 2.0
-# A new daemon's tables are read at the latest after this, known or not.
-_LONGEST_FIRST_LOOK_SECONDS = 4.0
-# In a small fleet nobody follows the directory; it is looked at so often.
-_LOOK_SECONDS = 20.0
-# The directory has no bound of its own: who is not found in it yet is not
-# asked, and who is gone is passed over. A call waits for news of it so long.
-_DIRECTORY_SECONDS = 20.0
+_JOIN_RETRY_SECONDS = 1.0
+# All daemons of a new fleet have written their rows by then.
+_FIRST_POLL_SECONDS = 2.0
+# A new daemon reads its tables after this time even if the size of the fleet
+# is still unknown.
+_MAX_SIZE_WAIT_SECONDS = 4.0
+# A small fleet does not wait for changes of the directory but polls it.
+_POLL_SECONDS = 20.0
+# No bound applies to the age of the directory: a daemon that is not in it yet
+# is not called, and one that no longer exists is skipped. So a call may wait
+# this long for changes.
+_DIRECTORY_WAIT_SECONDS = 20.0
 
 
 @final
 class FleetOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """What a daemon brings into its fleet; see `ForwardingOptions`."""
+    """Options of a daemon in its fleet; see `ForwardingOptions`."""
 
     daemon: _ids.DaemonId
     address: _settings_types.AddressSettings
@@ -46,20 +48,20 @@
 
 @final
 class Fleet:
-    """Joins the directory and feeds tables from peers or the store.
+    """Joins the directory and reads tables from peers or the store.
 
     Parameters
     ----------
     options : FleetOptions
-        This daemon.
+        Options of this daemon.
     new_store : callable
-        Makes a client of the store.
+        Returns a new client of the store.
     on_joined : callable
-        Gets the streams to peers once they are open.
+        Called with the streams to peers once they are open.
     on_size : callable
-        Gets the number of daemons whenever the directory was read.
+        Called with the number of daemons each time the directory was read.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -73,12 +75,12 @@
     ) -> None:
         self._options = options
         self._new_store = new_store
-        self._joined = on_joined
-        self._sized = on_size
+        self._on_joined = on_joined
+        self._on_size = on_size
         self._clock = clock
         self._links: _peers.PeerLinks | None = None
-        # Set once this daemon knows how large its fleet is.
-        self._sized_up = event.Event()
+        # Set once the size of the fleet is known.
+        self._size_known = event.Event()
         self._relay_server: _table_relay.RelayServer | None = None
         self._feeds: list[_table_feed.TableFeed] = []
         self.directory = _fleet_directory.FleetDirectory(
@@ -96,15 +98,15 @@
     def feed(
         self,
         table: str,
-        follower: _table_feed.TableListener,
+        listener: _table_feed.TableListener,
         *,
         pace: _table_feed.Pace = _table_feed.DEFAULT_PACE,
     ) -> _table_feed.TableFeed:
-        """Make the feed of a table; see `TableFeed`."""
+        """Create the feed of a table; see `TableFeed`."""
         return self._feed(
             table,
-            follower,
-            self._feed_seconds,
+            listener,
+            self._feed_wait,
             pace=pace,
             validity=self._options.news.validity,
         )
@@ -112,11 +114,11 @@
     def _feed(
         self,
         table: str,
-        follower: _table_feed.TableListener,
+        listener: _table_feed.TableListener,
         wait: Callable[[], float],
         *,
         pace: _table_feed.Pace = _table_feed.DEFAULT_PACE,
-        validity: float = _DIRECTORY_SECONDS,
+        validity: float = _DIRECTORY_WAIT_SECONDS,
     ) -> _table_feed.TableFeed:
         feed = _table_feed.TableFeed(
             source=_table_relay.RelayedTables(
@@ -127,48 +129,49 @@
             ),
             table=table,
             wait=wait,
-            follower=follower,
+            listener=listener,
             clock=self._clock,
             pace=pace,
             validity=validity,
         )
         self._feeds.append(feed)
         if self._relay_server is not None:
-            self._relay_server.offer(feed)
+            self._relay_server.add_feed(feed)
         return feed
 
-    def _feed_seconds(self) -> float:
+    def _feed_wait(self) -> float:
         if self.directory.is_small:
             return self._options.news.direct_wait
         return self._options.news.reader_wait
 
     def wait_for_size(self) -> None:
-        """Wait until it is known who reads the store, if there is time.
+        """Wait until the size of the fleet is known, on the first start.
 
-        When a whole system starts for the first time nobody calls yet. Who
-        waits until all daemons have joined reads its tables from a peer; of
-        195 daemons that were all in a hurry each made two calls more.
+        When a whole system starts for the first time, no requests arrive
+        yet. A daemon that waits until all have joined can read its tables
+        from a peer. Without this, each of 195 daemons made two more calls to
+        the store.
         """
         if self._options.first_start:
-            self._sized_up.wait(_LONGEST_FIRST_LOOK_SECONDS)
+            self._size_known.wait(_MAX_SIZE_WAIT_SECONDS)
 
     def run(self) -> None:
-        """Join the fleet, then keep the directory."""
+        """Join the fleet, then keep the directory up to date."""
         store = self._new_store()
         found = self._join(store)
-        if not self._options.first_start or self.directory.was_known:
-            self._sized_up.set()
+        if not self._options.first_start or self.directory.was_registered:
+            self._size_known.set()
         self._open_links()
-        pause = _FIRST_LOOK_SECONDS
+        pause = _FIRST_POLL_SECONDS
         while self.directory.is_small:
             self._clock.sleep(pause)
-            found = self._look(store) or found
-            self._sized_up.set()
-            pause = random.uniform(0.8, 1.2) * _LOOK_SECONDS
-        self._sized_up.set()
-        follower = _table_feed.TableListener(changed=self._take)
+            found = self._poll_directory(store) or found
+            self._size_known.set()
+            pause = random.uniform(0.8, 1.2) * _POLL_SECONDS
+        self._size_known.set()
+        listener = _table_feed.TableListener(changed=self._update_directory)
         feed = self._feed(
-            _fleet_directory.TABLE, follower, lambda: _DIRECTORY_SECONDS
+            _fleet_directory.TABLE, listener, lambda: _DIRECTORY_WAIT_SECONDS
         )
         feed.start_from(found)
         feed.run()
@@ -180,24 +183,24 @@
             try:
                 return self.directory.join(store)
             except _errors.StoreUnavailable as error:
-                _log.warning("not joined yet: {why}", why=error.message)
-                pause = random.uniform(0.5, 1.0) * _JOIN_PAUSE_SECONDS
+                _log.warning("could not join fleet: {why}", why=error.message)
+                pause = random.uniform(0.5, 1.0) * _JOIN_RETRY_SECONDS
                 self._clock.sleep(pause)
 
-    def _look(
+    def _poll_directory(
         self, store: _table_source.TableStore
     ) -> _table_source.TableChanges | None:
         try:
             found = store.rows(_fleet_directory.TABLE)
         except _errors.StoreUnavailable as error:
-            _log.info("directory not read: {why}", why=error.message)
+            _log.info("could not read directory: {why}", why=error.message)
             return None
-        self._take({row.key: row.data for row in found.rows})
+        self._update_directory({row.key: row.data for row in found.rows})
         return found
 
-    def _take(self, data_by_key: dict[str, bytes]) -> None:
+    def _update_directory(self, data_by_key: dict[str, bytes]) -> None:
         self.directory.update(data_by_key)
-        self._sized(len(self.directory.daemons_by_id))
+        self._on_size(len(self.directory.daemons_by_id))
 
     def _open_links(self) -> None:
         address = self._options.address
@@ -211,25 +214,28 @@
             address_of=self.directory.address_of,
         )
         self._relay_server = _table_relay.RelayServer(
-            links=links, asked=self._plan.note_asked
+            links=links, on_miss=self._plan.record_miss
         )
         for feed in self._feeds:
-            self._relay_server.offer(feed)
+            self._relay_server.add_feed(feed)
         links.serve(host=address.host, port=address.port)
         self._links = links
-        self._joined(links)
-        _log.info("joined a fleet of {n}", n=len(self.directory.daemons_by_id))
+        self._on_joined(links)
+        _log.info(
+            "joined a fleet of {n} daemons",
+            n=len(self.directory.daemons_by_id),
+        )
 
     @property
     def size(self) -> int:
-        """Give the number of daemons in the directory."""
+        """Return the number of daemons in the directory."""
         return len(self.directory.daemons_by_id)
 
     @property
     def table_age(self) -> float:
-        """Give the age of the oldest word of the store, in seconds.
+        """Return the age of the most outdated table, in seconds.
 
-        The directory is left out: nothing bounds the age of that.
+        The directory is left out because no bound applies to its age.
         """
         ages = [
             feed.age
@@ -240,12 +246,12 @@
 
     @property
     def bytes_sent(self) -> int:
-        """Give the bytes sent to other daemons."""
+        """Return the number of bytes sent to other daemons."""
         return self._links.bytes_sent if self._links else 0
 
     @property
     def bytes_received(self) -> int:
-        """Give the bytes received from other daemons."""
+        """Return the number of bytes received from other daemons."""
         return self._links.bytes_received if self._links else 0
 
     def stop(self) -> None:
--- a/src/topazlug/fleet/_fleet_directory.py
+++ b/src/topazlug/fleet/_fleet_directory.py
@@ -1,8 +1,8 @@
-"""Which daemons there are, and which of them come first to read the store.
+"""Directory of daemons, and the order in which they read the store.
 
-Each daemon writes one row at its start. Rows of daemons that are gone stay:
-a daemon too many only makes shares smaller, and one that does not answer is
-passed over.
+Each daemon writes one row when it starts. Rows of daemons that no longer
+exist stay: they only make each daemon's share of the retry budget smaller,
+and a daemon that does not answer is skipped.
 """
 
 from collections.abc import Mapping
@@ -20,13 +20,13 @@
 from topazlug.routing import _ranking
 
 TABLE = "fleet"
-_SECRET = "secret"
-_DAEMON = "daemon/"
-_READERS = _ranking.chat_hash("relays")
-# Below this many daemons each reads the store itself: that costs less than
-# a hundredth of what the calls of 60 daemons do, and is one step shorter.
+_SECRET_KEY = "secret"
+_DAEMON_PREFIX = "daemon/"
+_RANKING_HASH = _ranking.chat_hash("relays")
+# Up to this many daemons each reads the store directly. That costs less than
+# a hundredth of the calls of 60 daemons and saves the hop through a reader.
 MAX_SMALL_FLEET = 16
-_JOIN_TRIES = 5
+_MAX_JOIN_ATTEMPTS = 5
 _MAX_PORT = 65535
 
 _log = _logs.logger("fleet")
@@ -34,14 +34,14 @@
 
 @final
 class DaemonRow(msgspec.Struct, frozen=True):
-    """What a daemon writes of itself.
+    """The row that a daemon writes about itself.
 
     Attributes
     ----------
     host, port
         Where it listens for peers.
     relays : bool
-        Whether its link carries news for other daemons.
+        Whether its network link is fast enough to relay changes to others.
     """
 
     host: str
@@ -51,7 +51,7 @@
 
 @final
 class FleetDirectory:
-    """The daemons of the fleet, and its shared secret.
+    """The daemons of the fleet and their shared secret.
 
     Parameters
     ----------
@@ -62,109 +62,115 @@
 
     Attributes
     ----------
-    was_known : bool
-        Whether its row was there when it joined: it has started before.
+    was_registered : bool
+        Whether the directory already had its row when it joined, because it
+        has run before.
     """
 
     def __init__(
         self, *, daemon_id: _ids.DaemonId, own_row: DaemonRow
     ) -> None:
-        self._me = daemon_id
-        self._own = own_row
+        self._daemon_id = daemon_id
+        self._own_row = own_row
         self.secret = ""
-        self.was_known = False
+        self.was_registered = False
         self.daemons_by_id: dict[_ids.DaemonId, DaemonRow] = {
             daemon_id: own_row
         }
-        self._order: list[_ids.DaemonId] = [daemon_id]
+        self._reading_order_ids: list[_ids.DaemonId] = [daemon_id]
 
     def join(
         self, store: _table_source.TableStore
     ) -> _table_source.TableChanges:
-        """Write this daemon's row; agree on the secret.
+        """Write this daemon's row, and the secret if there is none.
 
-        The first daemon writes the secret, under the condition that there is
-        none: of several at once only one succeeds and the others read it. A
-        daemon that starts again finds its row as it would write it and
-        writes nothing: after a loss of power hundreds would else write at
-        once, and all readers be told of each.
+        The secret is written on condition that it does not exist. If several
+        daemons try at the same time, one succeeds and the others read its
+        secret. A restarted daemon whose row is unchanged writes nothing.
+        Otherwise hundreds of daemons would write at once after a power loss,
+        and each write would be sent to all readers.
 
         Returns
         -------
         TableChanges
-            The table as it was found.
+            The table as read before any write.
 
         Raises
         ------
         StoreUnavailable
-            It could not be written.
+            The store could not be read or written.
         """
         own_row = _table_source.Row(
-            _DAEMON + self._me, msgspec.json.encode(self._own)
+            _DAEMON_PREFIX + self._daemon_id,
+            msgspec.json.encode(self._own_row),
         )
-        for _ in range(_JOIN_TRIES):
-            found = store.rows(TABLE)
-            data_by_key = {row.key: row.data for row in found.rows}
+        for _ in range(_MAX_JOIN_ATTEMPTS):
+            table_rows = store.rows(TABLE)
+            data_by_key = {row.key: row.data for row in table_rows.rows}
             self.update(data_by_key)
             if self.secret:
-                self.was_known = data_by_key.get(own_row.key) == own_row.data
-                if not self.was_known:
+                self.was_registered = (
+                    data_by_key.get(own_row.key) == own_row.data
+                )
+                if not self.was_registered:
                     store.write(TABLE, [own_row])
-                return found
-            fresh = _table_source.Row(_SECRET, secrets.token_hex(16).encode())
+                return table_rows
+            secret_row = _table_source.Row(
+                _SECRET_KEY, secrets.token_hex(16).encode()
+            )
             try:
-                store.write(TABLE, [fresh, own_row], new=[_SECRET])
+                store.write(TABLE, [secret_row, own_row], new=[_SECRET_KEY])
             except _table_source.RowExists:
                 continue
-            self.secret = fresh.data.decode()
-            return found
+            self.secret = secret_row.data.decode()
+            return table_rows
         raise _errors.StoreUnavailable(
-            f"no secret of the fleet after {_JOIN_TRIES} tries"
+            f"no fleet secret after {_MAX_JOIN_ATTEMPTS} attempts"
         )
 
     def update(self, data_by_key: Mapping[str, bytes]) -> None:
-        """Take the table's rows."""
-        found = {self._me: self._own}
+        """Replace the directory by the rows of its table."""
+        rows_by_daemon = {self._daemon_id: self._own_row}
         for key, data in data_by_key.items():
-            if key == _SECRET:
+            if key == _SECRET_KEY:
                 self.secret = data.decode("ascii", "replace")
-            elif key.startswith(_DAEMON):
-                daemon = _ids.DaemonId(key[len(_DAEMON) :])
-                row = _decoded(key, data)
-                if row is not None and daemon != self._me:
-                    found[daemon] = row
-        self.daemons_by_id = found
-        self._order = _reading_order(found)
+            elif key.startswith(_DAEMON_PREFIX):
+                daemon = _ids.DaemonId(key[len(_DAEMON_PREFIX) :])
+                row = _decode(key, data)
+                if row is not None and daemon != self._daemon_id:
+                    rows_by_daemon[daemon] = row
+        self.daemons_by_id = rows_by_daemon
+        self._reading_order_ids = _reading_order(rows_by_daemon)
 
     def address_of(self, daemon: _ids.DaemonId) -> _peers.Address | None:
-        """Give where a daemon listens for peers."""
+        """Return where a daemon listens for peers, or None if unknown."""
         row = self.daemons_by_id.get(daemon)
         return _peers.Address(row.host, row.port) if row else None
 
     @property
     def is_small(self) -> bool:
-        """Say whether each daemon reads the store itself."""
+        """Return whether each daemon reads the store directly."""
         return len(self.daemons_by_id) <= MAX_SMALL_FLEET
 
     def reading_order(self) -> list[_ids.DaemonId]:
-        """Give all daemons in the order in which they read for others.
+        """Return all daemons in the order in which they read for others.
 
-        The same on all daemons that have the same rows. Those whose links
-        carry news come first; the others follow, for a fleet that has none
-        of them, or has lost them.
+        The order is the same on all daemons that have the same rows. Daemons
+        that relay come first. The others follow, for a fleet in which no
+        daemon relays or all that do have failed.
         """
-        return self._order
+        return self._reading_order_ids
 
 
 def _reading_order(
     daemons: Mapping[_ids.DaemonId, DaemonRow],
 ) -> list[_ids.DaemonId]:
-    ranked = _ranking.rank(daemons, _READERS, count=len(daemons))
+    ranked = _ranking.rank(daemons, _RANKING_HASH, count=len(daemons))
     order = [_ids.DaemonId(name) for name in ranked]
-    return sorted(order, key=lambda one: not daemons[one].relays)
+    return sorted(order, key=lambda daemon: not daemons[daemon].relays)
 
 
-def _decoded(key: str, data: bytes) -> DaemonRow | None:
+def _decode(key: str, data: bytes) -> DaemonRow | None:
     try:
         row = msgspec.json.decode(data, type=DaemonRow)
         ipaddress.IPv4Address(row.host)
@@ -172,5 +178,7 @@
             raise ValueError(f"port {row.port}")
         return row
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        _log.warning("row {key} is left out: {why}", key=key, why=str(error))
+        _log.warning(
+            "invalid row {key} ignored: {why}", key=key, why=str(error)
+        )
         return None
--- a/src/topazlug/fleet/_reading_plan.py
+++ b/src/topazlug/fleet/_reading_plan.py
@@ -1,23 +1,23 @@
-"""Decides where a daemon reads the store's tables: the store, or a peer.
-
-Load pattern: hundreds of daemons want the same few rows, and each of their
-calls to the store has its price. When the store is lost, by all daemons or by
-some, each daemon that turned to it by itself would add its calls at the
-moment at which the store can do least. So a few daemons read for all, and how
-many calls a second the fleet makes is decided here, whatever fails:
-
-- A few readers, the first of one order that all daemons know, answer all
-  others. The first of them that the store serves asks it, the others ask that
-  one. With each answer goes the time since the store's last word.
-- A reader that the store turns away hears from those that it serves.
-- Where all readers have lost the store, the next daemons of the order are
-  asked, two at a time until one of them has it. Who is asked reads the store
-  itself for a while, so that the fleet meets those that the store still
-  serves.
-- A daemon that no reader answers may be cut off from them alone, and asks the
-  store itself.
-
-Nothing here reads, waits or knows a connection.
+"""Decides whether a daemon reads a table from the store or from a peer.
+
+Load pattern: hundreds of daemons need the same few rows, and each call to the
+store is costly. If each daemon called the store when it is lost, these calls
+would arrive when the store has the least capacity. So a few daemons read for
+all, and the rate of calls is bounded here for all kinds of failures:
+
+- A few readers serve all other daemons: the first ones of an order that all
+  daemons share. The first reader with access to the store reads it, and the
+  other readers read from that one. Each answer carries the time since the
+  last answer of the store.
+- A reader whose calls the store rejects reads from the other readers.
+- If all readers have lost the store, the next daemons of the order serve as
+  substitutes. They are tried two at a time until one has access. A daemon
+  that receives such a request reads the store itself for a while, so the
+  fleet finds the daemons that the store still serves.
+- A daemon that no reader answers may be cut off from the readers only, and
+  reads the store directly.
+
+This module only decides; it makes no calls and does not wait.
 """
 
 from collections.abc import Callable
@@ -33,138 +33,139 @@
 from topazlug import _ids
 from topazlug.routing import _ranking
 
-# One reader answers so many daemons: three asks a second of each are 200
-# messages, about a hundredth of a core, and a change of 20 KB for all of them
-# passes a link of 100 Mbit/s in a tenth of a second.
-DAEMONS_A_READER = 64
-# Of three readers two may be lost while the third is found.
-LEAST_READERS = 3
-# Daemons of the order that may be asked in place of readers that lost the
-# store, and how many of them one search asks. While the store serves nobody
-# each of them tries it again and again.
-_SUBSTITUTES = 8
-_SUBSTITUTES_A_SEARCH = 2
-# A substitute that lost the store is asked again after this. By then each of
-# the others was asked.
-_SUBSTITUTE_LOST_SECONDS = 2.0
-# Who was asked and had no news reads the store for so long after that.
-_ASKED_SECONDS = 5.0
-# A reader that says it lost the store is asked again after this.
-_LOST_SECONDS = 0.5
-# One that says nothing is left alone for longer each time: it may be gone for
-# good, and each ask of it costs the whole timeout.
-_SILENT_SECONDS = 3.0
-_LONGEST_SILENT_SECONDS = 24.0
-# One that refuses a connection at once costs nothing, and is about to be back
-# if all have just started again.
-_QUICK_SECONDS = 0.2
-_REFUSED_SECONDS = 0.3
-# After so much silence in one round the store is asked: whoever is cut off
-# from all readers must not go through them one after the other. Nor before
-# it: after a loss of power of all, readers refuse connections for half a
-# second, and each of 195 daemons would turn to the store meanwhile.
-SILENCE_SECONDS = 1.2
-# A reader that the store turned away asks it again after this. It must see
-# the store's return within a second.
-STORE_AGAIN_SECONDS = 0.8
-# Calls a second that all daemons without a reader make together. Where peers
-# say that the store is lost it is asked rarely; silence says nothing of it,
-# and half of the rate of the smallest store known is used.
-_PROBES_A_SECOND = 20.0
-_DIRECT_CALLS_A_SECOND = 1000.0
-# A call of a daemon that no reader answers waits for news so long, and then
-# looks for readers again.
-_ALONE_SECONDS = 1.0
-# Nobody waits longer than this for its moment: with the silence before it, a
-# change would else come too late in a fleet of 880. The stores of larger
-# fleets take more calls.
-_LONGEST_SPREAD_SECONDS = 1.0
-# Tables that each daemon follows: the configuration, replicas, daemons and
-# crashes.
-_TABLES = 4
+# Three requests per second from each daemon are 200 messages, about a
+# hundredth of a core, and a change of 20 KB for all of them takes a tenth of a
+# second on a link of 100 Mbit/s.
+DAEMONS_PER_READER = 64
+# With three readers two may fail, and the third is still found.
+MIN_READERS = 3
+# Number of daemons that may replace readers without access to the store, and
+# how many of them one search tries. During an outage of the store each
+# substitute calls it repeatedly.
+_MAX_SUBSTITUTES = 8
+_SUBSTITUTES_PER_SEARCH = 2
+# How long a substitute that lost the store is avoided. All other substitutes
+# have been tried by then.
+_SUBSTITUTE_AVOIDED_SECONDS = 2.0
+# A daemon that received a request without having a valid copy reads the store
+# for this long.
+_READ_AFTER_MISS_SECONDS = 5.0
+# How long a reader that lost the store is avoided.
+_READER_AVOIDED_SECONDS = 0.5
+# A peer that does not answer is avoided for longer each time: it may be gone
+# permanently, and each request to it takes the whole timeout.
+_NO_ANSWER_AVOIDED_SECONDS = 3.0
+_MAX_NO_ANSWER_AVOIDED_SECONDS = 24.0
+# A failure within this time is a refused connection. It costs nothing, and the
+# peer will soon be back if all daemons have just restarted.
+_REFUSAL_SECONDS = 0.2
+_REFUSED_AVOIDED_SECONDS = 0.3
+# After this time without answers a search goes on to the store, since a daemon
+# that is cut off from all readers must not try each of them. The time must not
+# be shorter: after a power loss readers refuse connections for half a second,
+# and each of 195 daemons would call the store meanwhile.
+MAX_UNANSWERED_SECONDS = 1.2
+# A daemon calls the store again this long after a failed call. It must detect
+# the return of the store within a second.
+STORE_RETRY_SECONDS = 0.8
+# Total rates at which daemons without a working reader call the store. If
+# peers report that they lost the store, it is only probed. If peers do not
+# answer, the store may be available, and the rate is half the limit of the
+# smallest known store.
+_PROBES_PER_SECOND = 20.0
+_DIRECT_CALLS_PER_SECOND = 1000.0
+# Maximum wait of a call by a daemon that no reader answers. After it the
+# daemon tries the readers again.
+_DIRECT_WAIT_SECONDS = 1.0
+# Maximum random pause before such a call. With `MAX_UNANSWERED_SECONDS` before
+# it, a longer one would delay changes too much in a fleet of 880. The stores
+# of larger fleets accept more calls.
+_MAX_SPREAD_SECONDS = 1.0
+# Tables that each daemon reads: configuration, replicas, daemons and crashes.
+_TABLE_COUNT = 4
 
 
 class Outcome(enum.Enum):
-    """What became of one ask.
+    """Outcome of one call to a source.
 
     Attributes
     ----------
     ANSWERED
-        There is news, or there is none.
-    LOST
-        The one asked has lost the store.
-    SILENT
-        No word came.
+        The source answered, with or without changes.
+    STORE_LOST
+        The peer has lost the store, or the store did not answer.
+    NO_ANSWER
+        The peer did not answer.
     """
 
     ANSWERED = "answered"
-    LOST = "lost"
-    SILENT = "silent"
+    STORE_LOST = "lost"
+    NO_ANSWER = "silent"
 
 
 @final
-class AskPeer(msgspec.Struct, frozen=True):
-    """Ask a daemon that reads the store."""
+class ReadPeer(msgspec.Struct, frozen=True):
+    """Step that reads from another daemon."""
 
     peer: _ids.DaemonId
 
 
 @final
-class AskStore(msgspec.Struct, frozen=True):
-    """Ask the store.
+class ReadStore(msgspec.Struct, frozen=True):
+    """Step that reads from the store.
 
     Attributes
     ----------
     pause : float
-        Seconds to wait before, so that the fleet's calls are spread.
-    longest : float
-        Seconds that the call may wait for news at most. With 0 it finds out
-        whether the store is back.
+        Seconds to pause before the call, to spread the calls of the fleet.
+    max_wait : float
+        Maximum seconds that the call may wait for changes. With 0 it only
+        probes whether the store answers.
     """
 
     pause: float = 0.0
-    longest: float = math.inf
+    max_wait: float = math.inf
 
 
-Step = AskPeer | AskStore
+Step = ReadPeer | ReadStore
 
 
 class Directory(Protocol):
-    """What is known of the fleet."""
+    """The part of the fleet's directory that the plan uses."""
 
     @property
     def is_small(self) -> bool:
-        """Say whether each daemon reads the store itself."""
+        """Return whether each daemon reads the store directly."""
 
     def reading_order(self) -> list[_ids.DaemonId]:
-        """Give all daemons, those that read for others first."""
+        """Return all daemons, starting with those that read for others."""
 
 
-class _Avoided(msgspec.Struct):
+class _Avoidance(msgspec.Struct):
     until: float
     outcome: Outcome
-    times: int = 1
+    attempts: int = 1
 
 
 def reader_count(daemons: int) -> int:
-    """Give how many of so many daemons read the store for all."""
-    return max(LEAST_READERS, math.ceil(daemons / DAEMONS_A_READER))
+    """Return how many daemons of a fleet of this size are readers."""
+    return max(MIN_READERS, math.ceil(daemons / DAEMONS_PER_READER))
 
 
 @final
 class ReadingPlan:
-    """Where one daemon reads tables now.
+    """Selects the sources from which one daemon reads tables.
 
     Parameters
     ----------
     daemon_id : DaemonId
         This daemon.
     directory : Directory
-        The fleet.
+        The daemons of the fleet.
     clock : Clock
-        Time.
-    chance : callable
-        Gives numbers from 0 to 1, to spread calls by.
+        Source of time.
+    random_fraction : callable
+        Returns random numbers from 0 to 1, used to spread calls.
     """
 
     def __init__(
@@ -173,194 +174,206 @@
         daemon_id: _ids.DaemonId,
         directory: Directory,
         clock: _clock.Clock,
-        chance: Callable[[], float] = random.random,
+        random_fraction: Callable[[], float] = random.random,
     ) -> None:
-        self._me = daemon_id
+        self._daemon_id = daemon_id
         self._directory = directory
         self._clock = clock
-        self._chance = chance
-        self._asked_at_by_table: dict[str, float] = {}
+        self._random_fraction = random_fraction
+        self._missed_at_by_table: dict[str, float] = {}
         self._answered_at = clock.monotonic()
         self._store_lost_at = -math.inf
         self._readers_lost_at: float | None = None
-        self._probe_at = 0.0
-        self._found: _ids.DaemonId | None = None
-        self._avoided_by_peer: dict[_ids.DaemonId, _Avoided] = {}
+        self._next_probe_at = 0.0
+        self._working_substitute: _ids.DaemonId | None = None
+        self._avoidance_by_peer: dict[_ids.DaemonId, _Avoidance] = {}
 
-    def note_asked(self, table: str) -> None:
-        """Note that another daemon asked for a table and got no news."""
-        self._asked_at_by_table[table] = self._clock.monotonic()
+    def record_miss(self, table: str) -> None:
+        """Record a request of another daemon that could not be answered."""
+        self._missed_at_by_table[table] = self._clock.monotonic()
 
     def reads_store(self, table: str) -> bool:
-        """Say whether this daemon reads a table of the store for others."""
-        asked_at = self._asked_at_by_table.get(table, -math.inf)
-        if self._clock.monotonic() - asked_at < _ASKED_SECONDS:
+        """Return whether this daemon reads a table from the store."""
+        missed_at = self._missed_at_by_table.get(table, -math.inf)
+        if self._clock.monotonic() - missed_at < _READ_AFTER_MISS_SECONDS:
             return True
-        return self._me in self.readers()
+        return self._daemon_id in self.readers()
 
     def readers(self) -> list[_ids.DaemonId]:
-        """Give the daemons that read the store for all."""
+        """Return the daemons that read the store for all."""
         order = self._directory.reading_order()
         return order[: reader_count(len(order))]
 
     def first_steps(self, table: str) -> list[Step]:
-        """Give what is tried before substitutes are."""
+        """Return the sources to try before any substitutes."""
         if self._directory.is_small:
             return self._steps_of_small_fleet()
         readers = self.readers()
-        if self._me in readers:
+        if self._daemon_id in readers:
             return self._steps_of_reader(readers, table)
-        own = _ranking.chat_hash(self._me)
+        own = _ranking.chat_hash(self._daemon_id)
         ranked = _ranking.rank(readers, own, count=len(readers))
-        peers: list[Step] = [AskPeer(_ids.DaemonId(name)) for name in ranked]
-        return self._own_steps(table) + peers
+        peers: list[Step] = [ReadPeer(_ids.DaemonId(name)) for name in ranked]
+        return self._store_steps(table) + peers
 
     def _steps_of_small_fleet(self) -> list[Step]:
-        """Give how a daemon asks that reads the store for itself.
+        """Return the steps of a daemon that reads the store for itself.
 
-        A call without an answer may have been made before the store was
-        back, so the store is asked again at once. Until it has answered
-        itself no call waits for news, whatever others say meanwhile.
+        An unanswered call may have been made before the store was back, so
+        the store is called again at once. Until it has answered, no call
+        waits for changes, even if other daemons answer meanwhile.
         """
-        probe = AskStore(longest=0.0)
+        probe = ReadStore(max_wait=0.0)
         if self._store_lost_at > -math.inf:
             return [probe]
-        return [AskStore(), probe]
+        return [ReadStore(), probe]
 
     def _steps_of_reader(
         self, readers: list[_ids.DaemonId], table: str
     ) -> list[Step]:
-        """Give whom a reader asks: the readers before it, then the store.
+        """Return the steps of a reader: earlier readers, then the store.
 
-        So one of them asks the store, the first that it serves. The others
-        carry what that one hears on to all daemons: a call of each of them
-        would say the same.
+        So only the first reader with access to the store reads it. The other
+        readers relay its answers; their own calls would return the same.
         """
-        place = readers.index(self._me)
-        before: list[Step] = [AskPeer(one) for one in readers[:place]]
-        after: list[Step] = [AskPeer(one) for one in readers[place + 1 :]]
-        return before + self._own_steps(table) + after
+        index = readers.index(self._daemon_id)
+        before: list[Step] = [ReadPeer(peer) for peer in readers[:index]]
+        after: list[Step] = [ReadPeer(peer) for peer in readers[index + 1 :]]
+        return before + self._store_steps(table) + after
 
-    def _own_steps(self, table: str) -> list[Step]:
+    def _store_steps(self, table: str) -> list[Step]:
         if not self.reads_store(table) or not self.store_is_due:
             return []
         is_lost = self._store_lost_at > -math.inf
-        return [AskStore(longest=0.0 if is_lost else math.inf)]
+        return [ReadStore(max_wait=0.0 if is_lost else math.inf)]
 
     @property
     def store_is_due(self) -> bool:
-        """Say whether the store has not turned this daemon away just now."""
+        """Return whether the last failed call to the store is long ago."""
         since = self._clock.monotonic() - self._store_lost_at
-        return since >= STORE_AGAIN_SECONDS
+        return since >= STORE_RETRY_SECONDS
 
     def substitutes(self) -> list[Step]:
-        """Give whom to ask while all readers have lost the store."""
+        """Return the sources to try while all readers lost the store."""
         now = self._clock.monotonic()
         if self._readers_lost_at is None:
             self._readers_lost_at = now
-            self._probe_at = now + self._chance() * self._probe_seconds
+            self._next_probe_at = (
+                now + self._random_fraction() * self._probe_interval
+            )
         order = self._directory.reading_order()
-        few = reader_count(len(order))
+        first = reader_count(len(order))
         chosen = [
-            one
-            for one in order[few : few + _SUBSTITUTES]
-            if not self._is_out(one)
+            peer
+            for peer in order[first : first + _MAX_SUBSTITUTES]
+            if not self._is_unavailable(peer)
         ]
-        chosen = chosen[:_SUBSTITUTES_A_SEARCH]
-        if self._found is not None and self._found not in chosen:
-            chosen.insert(0, self._found)
+        chosen = chosen[:_SUBSTITUTES_PER_SEARCH]
+        if (
+            self._working_substitute is not None
+            and self._working_substitute not in chosen
+        ):
+            chosen.insert(0, self._working_substitute)
         return [
-            AskStore(longest=0.0) if one == self._me else AskPeer(one)
-            for one in chosen
+            (
+                ReadStore(max_wait=0.0)
+                if peer == self._daemon_id
+                else ReadPeer(peer)
+            )
+            for peer in chosen
         ]
 
     @property
-    def _probe_seconds(self) -> float:
+    def _probe_interval(self) -> float:
         daemons = len(self._directory.reading_order())
-        return daemons * _TABLES / _PROBES_A_SECOND
+        return daemons * _TABLE_COUNT / _PROBES_PER_SECOND
 
-    def last_step(self, *, is_lost: bool) -> Step | None:
-        """Give what is left when nobody has news.
+    def last_step(self, *, store_reported_lost: bool) -> Step | None:
+        """Return the last source to try after all others have failed.
 
         Parameters
         ----------
-        is_lost : bool
-            Whether some daemon said that it has lost the store.
+        store_reported_lost : bool
+            Whether some daemon reported that it lost the store.
         """
         now = self._clock.monotonic()
-        if not is_lost:
-            if now - self._answered_at < SILENCE_SECONDS:
+        if not store_reported_lost:
+            if now - self._answered_at < MAX_UNANSWERED_SECONDS:
                 return None
             daemons = len(self._directory.reading_order())
-            longest = daemons * _TABLES / _DIRECT_CALLS_A_SECOND
-            longest = min(longest, _LONGEST_SPREAD_SECONDS)
-            return AskStore(
-                pause=self._chance() * longest, longest=_ALONE_SECONDS
+            max_pause = daemons * _TABLE_COUNT / _DIRECT_CALLS_PER_SECOND
+            max_pause = min(max_pause, _MAX_SPREAD_SECONDS)
+            return ReadStore(
+                pause=self._random_fraction() * max_pause,
+                max_wait=_DIRECT_WAIT_SECONDS,
             )
-        if now < self._probe_at:
+        if now < self._next_probe_at:
             return None
-        self._probe_at = now + self._probe_seconds
-        return AskStore(longest=0.0)
+        self._next_probe_at = now + self._probe_interval
+        return ReadStore(max_wait=0.0)
 
-    def avoided(self, peer: _ids.DaemonId) -> Outcome | None:
-        """Give why a peer is not asked now; None if it may be."""
-        avoided = self._avoided_by_peer.get(peer)
-        if avoided is None or avoided.until <= self._clock.monotonic():
+    def avoidance_reason(self, peer: _ids.DaemonId) -> Outcome | None:
+        """Return why a peer is avoided now, None if it is not."""
+        avoidance = self._avoidance_by_peer.get(peer)
+        if avoidance is None or avoidance.until <= self._clock.monotonic():
             return None
-        return avoided.outcome
+        return avoidance.outcome
 
-    def _is_out(self, peer: _ids.DaemonId) -> bool:
-        """Say whether a peer is avoided and not just about to be back.
+    def _is_unavailable(self, peer: _ids.DaemonId) -> bool:
+        """Return whether a peer is avoided for more than a refused connection.
 
-        When all start again at once, each refuses connections for a moment;
-        with others asked instead, all of those would read the store.
+        When all daemons restart at once, each refuses connections briefly.
+        If they were replaced by other substitutes for that, all of these
+        would read the store.
         """
-        is_avoided = self.avoided(peer) is not None
-        return is_avoided and self._avoided_by_peer[peer].times > 0
+        is_avoided = self.avoidance_reason(peer) is not None
+        return is_avoided and self._avoidance_by_peer[peer].attempts > 0
 
-    def note(self, step: Step, outcome: Outcome, *, seconds: float) -> None:
-        """Take what became of an ask, and how long that took."""
+    def record(self, step: Step, outcome: Outcome, *, seconds: float) -> None:
+        """Record the outcome of a step and the seconds that it took."""
         if outcome is Outcome.ANSWERED:
             self._answered_at = self._clock.monotonic()
-        if isinstance(step, AskStore):
-            self._note_store(outcome)
+        if isinstance(step, ReadStore):
+            self._record_store_outcome(outcome)
         elif outcome is Outcome.ANSWERED:
-            self._avoided_by_peer.pop(step.peer, None)
-            self._note_peer_answered(step.peer)
+            self._avoidance_by_peer.pop(step.peer, None)
+            self._record_peer_answer(step.peer)
         else:
             self._avoid(step.peer, outcome, seconds)
 
-    def _note_store(self, outcome: Outcome) -> None:
+    def _record_store_outcome(self, outcome: Outcome) -> None:
         if outcome is Outcome.ANSWERED:
             self._store_lost_at = -math.inf
-            if self._me in self.readers():
+            if self._daemon_id in self.readers():
                 self._readers_lost_at = None
         else:
             self._store_lost_at = self._clock.monotonic()
 
-    def _note_peer_answered(self, peer: _ids.DaemonId) -> None:
+    def _record_peer_answer(self, peer: _ids.DaemonId) -> None:
         if peer in self.readers():
             self._readers_lost_at = None
-            self._found = None
+            self._working_substitute = None
         else:
-            self._found = peer
+            self._working_substitute = peer
 
     def _avoid(
-        self, peer: _ids.DaemonId, outcome: Outcome, spent: float
+        self, peer: _ids.DaemonId, outcome: Outcome, elapsed: float
     ) -> None:
         now = self._clock.monotonic()
-        if self._found == peer:
-            self._found = None
-        before = self._avoided_by_peer.get(peer)
-        times = 1
+        if self._working_substitute == peer:
+            self._working_substitute = None
+        before = self._avoidance_by_peer.get(peer)
+        attempts = 1
         if before is not None and before.outcome is outcome:
-            times = before.times + 1
-        seconds = _LOST_SECONDS
+            attempts = before.attempts + 1
+        seconds = _READER_AVOIDED_SECONDS
         if peer not in self.readers():
-            seconds = _SUBSTITUTE_LOST_SECONDS
-        if outcome is Outcome.SILENT and spent < _QUICK_SECONDS:
-            seconds, times = _REFUSED_SECONDS, 0
-        elif outcome is Outcome.SILENT:
-            seconds = _SILENT_SECONDS * 2.0 ** min(times - 1, 8)
-            seconds = min(seconds, _LONGEST_SILENT_SECONDS)
-        self._avoided_by_peer[peer] = _Avoided(now + seconds, outcome, times)
+            seconds = _SUBSTITUTE_AVOIDED_SECONDS
+        if outcome is Outcome.NO_ANSWER and elapsed < _REFUSAL_SECONDS:
+            seconds, attempts = _REFUSED_AVOIDED_SECONDS, 0
+        elif outcome is Outcome.NO_ANSWER:
+            seconds = _NO_ANSWER_AVOIDED_SECONDS * 2.0 ** min(attempts - 1, 8)
+            seconds = min(seconds, _MAX_NO_ANSWER_AVOIDED_SECONDS)
+        self._avoidance_by_peer[peer] = _Avoidance(
+            now + seconds, outcome, attempts
+        )
--- a/src/topazlug/fleet/_row_reader.py
+++ b/src/topazlug/fleet/_row_reader.py
@@ -1,4 +1,4 @@
-"""Reads the rows of a table that other writers may have spoilt."""
+"""Decodes the rows of a table to which others may write invalid data."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -12,28 +12,26 @@
 from topazlug import _logs
 
 _log = _logs.logger("store")
-# A row that stays as it is, or is spoilt anew again and again, is told of
-# once in so many seconds; and of all rows of a table so many times.
-_TOLD_AGAIN_SECONDS = 30.0
-_TOLD_AT_ONCE = 20
+# An invalid row is logged once per interval, also if it is replaced by other
+# invalid data, and at most this many rows of a table in one interval.
+_LOG_INTERVAL_SECONDS = 30.0
+_MAX_LOGGED_ROWS = 20
 
 ValueT = TypeVar("ValueT")
 
 
-class _Read(msgspec.Struct, Generic[ValueT], frozen=True):
+class _DecodedRow(msgspec.Struct, Generic[ValueT], frozen=True):
     data: bytes
-    # None if it can't be read.
+    # None if the data is invalid.
     value: ValueT | None
 
 
 @final
 class RowReader(Generic[ValueT]):
-    """Decodes a table's rows, each by itself.
-
-    Whatever stands in one row, the others hold: an entry that can't be read
-    is left out and told of. Without this, one row of another writer ends the
-    reading of the whole table for as long as it stays there.
+    """Decodes the rows of a table independently of each other.
 
+    An invalid row is logged and left out. Otherwise a single invalid row
+    would prevent the whole table from being read for as long as it exists.
     A row that has not changed is not decoded again.
 
     Parameters
@@ -41,9 +39,9 @@
     name : str
         The table's name.
     decode : callable
-        Gives the value of a key and its data.
+        Returns the value for a key and its data.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -56,42 +54,42 @@
         self._name = name
         self._decode = decode
         self._clock = clock
-        self._read_by_key: dict[str, _Read[ValueT]] = {}
-        self._told_at_by_key: dict[str, float] = {}
+        self._row_by_key: dict[str, _DecodedRow[ValueT]] = {}
+        self._logged_at_by_key: dict[str, float] = {}
 
     def read(self, data_by_key: Mapping[str, bytes]) -> list[ValueT]:
-        """Give the values of all rows that can be read."""
-        before = self._read_by_key
-        self._read_by_key = {
-            key: self._read_row(key, data, before.get(key))
+        """Return the values of all valid rows."""
+        before = self._row_by_key
+        self._row_by_key = {
+            key: self._decode_row(key, data, before.get(key))
             for key, data in data_by_key.items()
         }
-        values = [one.value for one in self._read_by_key.values()]
+        values = [row.value for row in self._row_by_key.values()]
         return [value for value in values if value is not None]
 
-    def _read_row(
-        self, key: str, data: bytes, before: _Read[ValueT] | None
-    ) -> _Read[ValueT]:
+    def _decode_row(
+        self, key: str, data: bytes, before: _DecodedRow[ValueT] | None
+    ) -> _DecodedRow[ValueT]:
         if before is not None and before.data == data:
             return before
         try:
-            return _Read(data, self._decode(key, data))
+            return _DecodedRow(data, self._decode(key, data))
         except Exception as error:
-            # Any error: nobody knows what another writer leaves there.
-            self._tell(key, error)
-            return _Read(data, None)
+            # Other writers may store any data, so any error can occur.
+            self._log_error(key, error)
+            return _DecodedRow(data, None)
 
-    def _tell(self, key: str, error: Exception) -> None:
+    def _log_error(self, key: str, error: Exception) -> None:
         now = self._clock.monotonic()
-        told_at = self._told_at_by_key
-        for told, at in list(told_at.items()):
-            if now - at > _TOLD_AGAIN_SECONDS:
-                del told_at[told]
-        if key in told_at or len(told_at) >= _TOLD_AT_ONCE:
+        logged_at = self._logged_at_by_key
+        for logged_key, at in list(logged_at.items()):
+            if now - at > _LOG_INTERVAL_SECONDS:
+                del logged_at[logged_key]
+        if key in logged_at or len(logged_at) >= _MAX_LOGGED_ROWS:
             return
-        told_at[key] = now
+        logged_at[key] = now
         _log.error(
-            "row {key} of {table} is left out: {why}",
+            "invalid row {key} of {table} ignored: {why}",
             key=key[:80],
             table=self._name,
             why=str(error)[:200],
--- a/src/topazlug/fleet/_staleness_bounds.py
+++ b/src/topazlug/fleet/_staleness_bounds.py
@@ -1,10 +1,10 @@
-"""How old a daemon's tables may get, and what follows for its calls.
+"""Bounds on the age of a daemon's tables, and the waits that follow from them.
 
-Load pattern: a change must be followed by all daemons within some seconds,
-whatever part of them the store turns away meanwhile. A call that waits for
-news and is never answered looks like one that has none. So how long calls
-wait, and for how long the word of a daemon counts that has not heard of the
-store, follow from that bound.
+Load pattern: all daemons must apply a change within a few seconds, even while
+the store rejects calls of some of them. A call that waits for changes and is
+never answered cannot be told from one without changes. The bound therefore
+determines how long calls wait, and for how long a copy of a table is valid
+after the store's last answer.
 """
 
 from typing import final
@@ -13,17 +13,17 @@
 
 from topazlug.fleet import _table_source
 
-# What is left of the time after a cut for the call that follows one without
-# an answer, for a store that is slow, and for the request itself.
-_OWN_MARGIN_SECONDS = 0.8
-# A call of a daemon that reads for others may wait for this part of the bound:
-# those that go by it hear nothing while it is not answered.
-_READER_PART = 3 / 8
-_LEAST_WAIT_SECONDS = 0.5
-# A word of the store counts for this part of the bound. Besides the wait that
-# has room for pauses between calls on its way, and for a store that is slow;
-# what is left of the bound is for the search for another way.
-_VOUCHED_PART = 5 / 8
+# Time reserved after a connection loss for the call that follows an unanswered
+# one, for a slow store and for the request itself.
+_DIRECT_MARGIN_SECONDS = 0.8
+# Fraction of the bound that a call of a reader may wait: the daemons that use
+# this reader receive nothing while the call is unanswered.
+_READER_WAIT_FRACTION = 3 / 8
+_MIN_WAIT_SECONDS = 0.5
+# Fraction of the bound for which an answer of the store is valid. It covers
+# the wait, the pauses between calls on the way and a slow store. The rest of
+# the bound is for finding another source.
+_VALIDITY_FRACTION = 5 / 8
 
 
 @final
@@ -33,9 +33,10 @@
     Attributes
     ----------
     in_force : float
-        Seconds within which each daemon must follow a change.
+        Seconds within which each daemon must apply a change.
     unreachable : float
-        Seconds after a cut for which that does not hold.
+        Seconds after the end of a connection loss during which `in_force`
+        does not apply yet.
     """
 
     in_force: float
@@ -43,21 +44,21 @@
 
     @property
     def direct_wait(self) -> float:
-        """Give the longest wait of a call that serves one daemon alone.
+        """Return the maximum wait of a call that serves one daemon only.
 
-        One that is made while the store says nothing is never answered. It
-        must have ended, and the next one been answered, before all that was
-        accepted must be in force again.
+        A call made while the store is not responding is never answered. It
+        must time out, and the next call be answered, before all accepted
+        changes must be in force again.
         """
         wait = self.unreachable - _table_source.ANSWER_SLACK_SECONDS
-        return max(_LEAST_WAIT_SECONDS, wait - _OWN_MARGIN_SECONDS)
+        return max(_MIN_WAIT_SECONDS, wait - _DIRECT_MARGIN_SECONDS)
 
     @property
     def reader_wait(self) -> float:
-        """Give the longest wait of a call that serves other daemons too."""
-        return max(_LEAST_WAIT_SECONDS, self.in_force * _READER_PART)
+        """Return the maximum wait of a call that serves other daemons too."""
+        return max(_MIN_WAIT_SECONDS, self.in_force * _READER_WAIT_FRACTION)
 
     @property
     def validity(self) -> float:
-        """Give for how long the store's last word counts."""
-        return max(2 * _LEAST_WAIT_SECONDS, self.in_force * _VOUCHED_PART)
+        """Return for how long the last answer of the store is valid."""
+        return max(2 * _MIN_WAIT_SECONDS, self.in_force * _VALIDITY_FRACTION)
--- a/src/topazlug/fleet/_table_copy.py
+++ b/src/topazlug/fleet/_table_copy.py
@@ -1,4 +1,4 @@
-"""A copy of one table, and the last changes that led to it."""
+"""A copy of one table with its most recent changes."""
 
 import collections
 from collections.abc import Sequence
@@ -7,14 +7,14 @@
 from topazlug import _errors
 from topazlug.fleet import _table_source
 
-# Changes that are kept for daemons that read this copy. One that lags more
-# gets the whole table.
-KEPT_CHANGES = 500
+# Number of changes kept for daemons that read this copy. A daemon that lags
+# further behind receives the whole table.
+MAX_KEPT_CHANGES = 500
 
 
 @final
 class TableCopy:
-    """The rows of one table, whole and never older than they were.
+    """All rows of one table; never replaced by those of an older version.
 
     Parameters
     ----------
@@ -24,9 +24,9 @@
     Attributes
     ----------
     version : int
-        Version of the store that the copy is of.
+        Version of the store to which the copy corresponds.
     data_by_key : dict
-        What the rows hold.
+        Data of the rows.
     """
 
     def __init__(self, table: str) -> None:
@@ -34,25 +34,25 @@
         self.version = 0
         self.data_by_key: dict[str, bytes] = {}
         self._kept: collections.deque[tuple[int, _table_source.Row]]
-        self._kept = collections.deque(maxlen=KEPT_CHANGES)
+        self._kept = collections.deque(maxlen=MAX_KEPT_CHANGES)
         self._kept_after = 0
 
     def replace(self, answer: _table_source.TableChanges) -> None:
-        """Take all rows of the table.
+        """Replace all rows of the table.
 
-        After the store has lost its history it may for a while serve reads
-        from seconds ago. Taken over, they would bring back replicas that
-        have left and keys that were taken away.
+        After the store has lost its history it may serve reads that are some
+        seconds old. Applying them would restore replicas that have left and
+        keys that were revoked.
 
         Raises
         ------
         StoreUnavailable
-            They are older than the copy.
+            The rows are older than the copy.
         """
         if answer.version < self.version:
             raise _errors.StoreUnavailable(
-                f"the copy of {self._table!r} is of version "
-                f"{answer.version}, older than {self.version}"
+                f"store returned version {answer.version} of "
+                f"{self._table!r}, older than the copy's {self.version}"
             )
         self.version = answer.version
         self.data_by_key = {row.key: row.data for row in answer.rows}
@@ -60,26 +60,26 @@
         self._kept_after = answer.version
 
     def apply(self, answer: _table_source.TableChanges) -> None:
-        """Take the changes since the version that the copy is of."""
+        """Apply the changes since the version of the copy."""
         for row in answer.rows:
             if row.deleted:
                 self.data_by_key.pop(row.key, None)
             else:
                 self.data_by_key[row.key] = row.data
             self._kept.append((answer.version, row))
-        if len(self._kept) == KEPT_CHANGES:
+        if len(self._kept) == MAX_KEPT_CHANGES:
             self._kept_after = self._kept[0][0]
         self.version = max(self.version, answer.version)
 
     def rows(self) -> list[_table_source.Row]:
-        """Give all rows."""
+        """Return all rows."""
         return [
             _table_source.Row(key, data)
             for key, data in self.data_by_key.items()
         ]
 
     def since(self, version: int) -> Sequence[_table_source.Row] | None:
-        """Give the changes since a version; None if they are not kept."""
+        """Return the changes since a version, None if no longer kept."""
         if version < self._kept_after:
             return None
         return [row for at, row in self._kept if at > version]
--- a/src/topazlug/fleet/_table_feed.py
+++ b/src/topazlug/fleet/_table_feed.py
@@ -1,4 +1,4 @@
-"""Follows one table of the platform's store."""
+"""Keeps a copy of one table of the platform's store up to date."""
 
 from collections.abc import Callable
 import math
@@ -16,15 +16,14 @@
 from topazlug.fleet import _table_source
 
 _log = _logs.logger("store")
-# The first pause between two tries; the others double up to the longest. They
-# are short, since each second without the store is a second with an old
-# configuration, and spread, since all daemons lose it at the same moment.
-_FIRST_PAUSE_SECONDS = 0.1
-# A word of the store that is so much later is told at once, so that ages don't
-# add up over the daemons by which it comes.
-_NEWER_SECONDS = 0.5
-# For how long a copy's word counts where nothing else is said.
-_VOUCHED_SECONDS = 2.5
+# Pause before the first retry; it doubles up to `Pace.max_pause`. Pauses are
+# short because the configuration is out of date while the store is lost, and
+# random because all daemons lose it at the same moment.
+_FIRST_RETRY_SECONDS = 0.1
+# If this copy is newer by this much than that of a waiting daemon, the daemon
+# is answered at once. Otherwise ages would add up along a chain of daemons.
+_MIN_AGE_GAIN_SECONDS = 0.5
+_DEFAULT_VALIDITY_SECONDS = 2.5
 
 
 @final
@@ -34,16 +33,17 @@
     Attributes
     ----------
     min_interval : float
-        Seconds between the beginnings of two calls at least. Replicas of a
-        new fleet register one after the other, and a call that is made at
-        once brings one of them: 81 daemons that start together made 1,400
-        calls otherwise. It is a tenth of the shortest time in which changes
-        must be in force.
+        Minimum seconds between the starts of two calls. Replicas of a new
+        fleet register one after the other, and without this interval each
+        call would return only one of them: 81 daemons that started together
+        made 1,400 calls. The default is a tenth of the shortest time in which
+        changes must be in force.
     max_pause : float
-        Longest pause in seconds between two tries. The store's return must be
-        seen within a second: entries that lapsed with it are kept for two
-        more, and three after a cut has healed bounds count again. A try that
-        is not answered takes 0.6 s.
+        Maximum pause in seconds between two attempts. The return of the
+        store must be detected within a second: entries that expired during
+        an outage are kept for two more seconds, and the bounds apply again
+        three seconds after the outage. An attempt without an answer takes
+        0.6 s.
     """
 
     min_interval: float = 0.2
@@ -54,16 +54,16 @@
 
 
 class TableListener:
-    """What a feed tells of its table.
+    """Callbacks for the changes of a table.
 
     Attributes
     ----------
     changed : callable
-        Gets the data by key after each change.
+        Called with the data by key after each change.
     recovered : callable
-        Called when the store is back after a loss, before `changed`. Gets
-        the seconds since the last failed call began: the store may have been
-        back for as long.
+        Called when the store answers again after a loss, before `changed`.
+        Its argument is the seconds since the start of the last failed call:
+        the store may have been available for that long.
     """
 
     def __init__(
@@ -78,27 +78,26 @@
 
 @final
 class TableFeed:
-    """Keeps a copy of one table, whole and never older than it was.
+    """Keeps a complete copy of one table that never returns to older rows.
 
     Parameters
     ----------
     source : RelayedSource
-        Where it is read.
+        Source of the table.
     table : str
         Its name.
     wait : callable
-        Gives the seconds that one call waits for changes.
-    follower : TableListener
-        Gets what is new.
+        Returns for how many seconds one call waits for changes.
+    listener : TableListener
+        Callbacks for changes.
     clock : Clock
-        Time.
+        Source of time.
     pace : Pace
-        How often it is read.
+        How often the table is read.
     validity : float
-        Seconds after the store's last word, by whatever way it came, for
-        which this copy's word counts for other daemons. A call that the
-        store took and never answers would else look to them as if there
-        were no news.
+        Seconds after the last answer of the store, direct or relayed, for
+        which other daemons may use this copy. Without this limit a call that
+        the store never answers would look to them as if nothing had changed.
     """
 
     def __init__(
@@ -107,235 +106,243 @@
         source: _table_source.RelayedSource,
         table: str,
         wait: Callable[[], float],
-        follower: TableListener,
+        listener: TableListener,
         clock: _clock.Clock,
         pace: Pace = DEFAULT_PACE,
-        validity: float = _VOUCHED_SECONDS,
+        validity: float = _DEFAULT_VALIDITY_SECONDS,
     ) -> None:
         self._source = source
-        self._vouched = validity
+        self._validity = validity
         self._catching_up: gevent.Greenlet | None = None
         self._pace = pace
         self.table = table
         self._wait = wait
-        self._follower = follower
+        self._listener = listener
         self._clock = clock
         self._copy = _table_copy.TableCopy(table)
         self._is_read = False
-        # When the store itself answered last, to whomever.
-        self._direct_at = -math.inf
+        # When the store last answered, to this daemon or the relaying one.
+        self._store_answered_at = -math.inf
         self._lost_at: float | None = None
-        # When the last try that failed began.
+        # When the last failed call started.
         self._failed_at = 0.0
-        self._news = event.Event()
+        self._changed_event = event.Event()
 
     @property
     def version(self) -> int:
-        """Give the version of the store that the copy is of."""
+        """Return the store's version of the copy."""
         return self._copy.version
 
     @property
-    def in_contact(self) -> bool:
-        """Say whether the last call to the source succeeded."""
+    def is_connected(self) -> bool:
+        """Return whether the last call to the source succeeded."""
         return self._is_read and self._lost_at is None
 
     def start_from(self, found: _table_source.TableChanges) -> None:
-        """Take over a table that was read before the feed began."""
-        self._take_whole(found)
+        """Start with a table that has already been read."""
+        self._replace_rows(found)
 
     def run(self) -> None:
-        """Follow the table for ever."""
-        pause = _FIRST_PAUSE_SECONDS
+        """Read the table and its changes forever."""
+        pause = _FIRST_RETRY_SECONDS
         while True:
-            asked_at = self._clock.monotonic()
+            called_at = self._clock.monotonic()
             try:
                 self._step()
-                pause = _FIRST_PAUSE_SECONDS
-                spent = self._clock.monotonic() - asked_at
+                pause = _FIRST_RETRY_SECONDS
+                spent = self._clock.monotonic() - called_at
                 self._clock.sleep(max(0.0, self._pace.min_interval - spent))
             except _table_source.HistoryLost as error:
-                _log.warning("{why}; it is read whole", why=error.message)
+                _log.warning(
+                    "{why}; reading the whole table", why=error.message
+                )
                 self._is_read = False
-                self._clock.sleep(random.uniform(0, _FIRST_PAUSE_SECONDS))
+                self._clock.sleep(random.uniform(0, _FIRST_RETRY_SECONDS))
             except _errors.StoreUnavailable as error:
-                self._failed_at = asked_at
-                self._note_loss(error)
+                self._failed_at = called_at
+                self._record_loss(error)
                 self._clock.sleep(random.uniform(pause / 2, pause))
                 pause = min(self._pace.max_pause, 2 * pause)
 
     def _step(self) -> None:
         if not self._is_read:
-            self._take_whole(self._source.rows(self.table))
+            self._replace_rows(self._source.rows(self.table))
             return
-        # After a loss the first call must not wait for news: whoever keeps
-        # entries that lapsed with the store counts from its return, and
-        # would count from the first change instead.
+        # After a loss the first call must not wait for changes: listeners
+        # keep expired entries for some time from the return of the store,
+        # which would otherwise be detected only with the first change.
         wait = self._wait() if self._lost_at is None else 0.0
         after = self.version
         answer = self._source.changes(
             self.table, after=after, wait=wait, age=self.age
         )
         if answer.whole:
-            self._take_whole(answer)
+            self._replace_rows(answer)
             return
-        self._take_changes(answer, after=after)
+        self._apply_changes(answer, after=after)
 
-    def _take_changes(
+    def _apply_changes(
         self, answer: _table_source.TableChanges, *, after: int
     ) -> None:
-        """Take what changed after a version.
+        """Apply an answer, unless the copy has changed since the call.
 
-        Two calls may be on their way, the feed's own and one for others.
-        What comes second may be older than what the copy holds by then, and
-        would undo it. Nor does it count as a word of the store: what is new
-        in it comes with the next call.
+        Two calls may be in progress, the feed's own and one of `catch_up`.
+        The answer that arrives second may be older than the copy and would
+        revert it. It does not update the age of the copy either: its changes
+        are returned again by the next call.
         """
         if self.version != after:
             return
-        self._note_contact(answer)
+        self._record_answer(answer)
         self._copy.apply(answer)
         if answer.rows:
-            self._tell()
+            self._notify_listener()
 
-    def _take_whole(self, answer: _table_source.TableChanges) -> None:
+    def _replace_rows(self, answer: _table_source.TableChanges) -> None:
         self._copy.replace(answer)
-        self._note_contact(answer)
+        self._record_answer(answer)
         self._is_read = True
-        self._tell()
+        self._notify_listener()
 
-    def _tell(self) -> None:
-        """Hand the rows over; a fault in taking them ends no feed.
+    def _notify_listener(self) -> None:
+        """Pass the rows to the listener, and log an error that it raises.
 
-        A feed that ended would start again with a read of the same rows, and
-        meet the same fault: no news would be taken while they stay.
+        If the error ended the feed, the feed would restart with the same
+        rows and fail again, so no change would be applied while they stay.
         """
-        self._wake()
+        self._wake_waiting()
         try:
-            self._follower.changed(self._copy.data_by_key)
+            self._listener.changed(self._copy.data_by_key)
         except Exception:
-            _log.exception("rows of {table} were not taken", table=self.table)
+            _log.exception(
+                "listener failed on rows of {table}", table=self.table
+            )
 
-    def _wake(self) -> None:
-        self._news.set()
-        self._news.clear()
+    def _wake_waiting(self) -> None:
+        self._changed_event.set()
+        self._changed_event.clear()
 
     def changes_since(
         self, version: int, *, wait: float, age: float = 0.0
     ) -> _table_source.TableChanges | None:
-        """Give what changed since a version, for another daemon.
+        """Return the changes since a version, for another daemon.
 
         Parameters
         ----------
         version : int
-            What the other holds.
+            Version of the other daemon's copy.
         wait : float
-            Longest time in seconds to wait for the first change, or for
-            another word of the store.
+            Maximum seconds to wait for the first change or for a newer
+            answer of the store.
         age : float
-            Seconds since the store's last word that the other knows of.
+            Age of the other daemon's copy in seconds.
 
         Returns
         -------
         TableChanges or None
-            All rows if the changes are not kept any more: when the store
-            drops its history, all daemons would turn to it at once. None if
-            nothing was heard of the store itself for too long, by whatever
-            way: two daemons that told each other would take an old table
-            for the newest.
+            All rows if the changes are no longer kept: otherwise all daemons
+            would call the store at once after it dropped its history. None
+            if this copy is too old, counted from the store's last answer to
+            any daemon: two daemons that relay to each other would otherwise
+            consider an outdated table current.
         """
         end = self._clock.monotonic() + wait
-        known_at = self._clock.monotonic() - age + _NEWER_SECONDS
+        known_at = self._clock.monotonic() - age + _MIN_AGE_GAIN_SECONDS
         if not self._is_read and self._lost_at is None:
-            # Whoever asks has started at the same time as this daemon.
-            self._news.wait(wait)
-        while self._has_store:
+            # The other daemon started at the same time as this one.
+            self._changed_event.wait(wait)
+        while self._is_valid:
             rows = self._copy.since(version)
             if rows is None:
                 return _table_source.TableChanges(
                     self.version, self._copy.rows(), whole=True, age=self.age
                 )
             now = self._clock.monotonic()
-            if rows or now >= end or self._direct_at > known_at:
+            if rows or now >= end or self._store_answered_at > known_at:
                 newest = max(version, self.version)
                 return _table_source.TableChanges(newest, rows, age=self.age)
-            self._news.wait(min(end, self._vouched_until) - now)
+            self._changed_event.wait(min(end, self._valid_until) - now)
         return None
 
     @property
     def age(self) -> float:
-        """Give the seconds since the store's last word; 0 before any."""
-        if self._direct_at == -math.inf:
+        """Return the seconds since the store's last answer, 0 before any."""
+        if self._store_answered_at == -math.inf:
             return 0.0
-        return self._clock.monotonic() - self._direct_at
+        return self._clock.monotonic() - self._store_answered_at
 
     @property
-    def _vouched_until(self) -> float:
-        return self._direct_at + self._vouched
+    def _valid_until(self) -> float:
+        return self._store_answered_at + self._validity
 
     @property
-    def _has_store(self) -> bool:
-        is_vouched = self._clock.monotonic() < self._vouched_until
-        return self.in_contact and is_vouched
+    def _is_valid(self) -> bool:
+        is_fresh = self._clock.monotonic() < self._valid_until
+        return self.is_connected and is_fresh
 
-    def catch_up(self, *, longest: float) -> None:
-        """Ask the store itself, for a daemon that asks this one.
+    def catch_up(self, *, timeout: float) -> None:
+        """Read changes from the store on behalf of another daemon.
 
-        Where those that read for all have lost the store, others are asked.
-        Such a one follows another daemon, and would turn to the store only
-        once that has answered it. All who ask meanwhile share one call.
+        If all readers have lost the store, other daemons are called in their
+        place. Such a daemon waits for an answer of a reader itself and would
+        read the store only after that. Concurrent callers share one call to
+        the store.
 
         Parameters
         ----------
-        longest : float
-            Seconds to wait for the store's answer.
+        timeout : float
+            Seconds to wait for the answer of the store.
         """
         if self._catching_up is None:
-            if not self._is_read or not self._source.is_worth_asking():
+            if not self._is_read or not self._source.is_store_due():
                 return
-            self._catching_up = gevent.spawn(self._ask_store)
-        self._catching_up.join(timeout=longest)
+            self._catching_up = gevent.spawn(self._read_store)
+        self._catching_up.join(timeout=timeout)
 
-    def _ask_store(self) -> None:
+    def _read_store(self) -> None:
         after = self.version
         try:
             answer = self._source.changes_now(self.table, after=after)
         except _errors.TopazlugError as error:
             _log.info(
-                "no news of {table} for others: {why}",
+                "could not read {table} for another daemon: {why}",
                 table=self.table,
                 why=error.message,
             )
             return
         finally:
             self._catching_up = None
-        self._take_changes(answer, after=after)
+        self._apply_changes(answer, after=after)
 
-    def _note_loss(self, error: _errors.StoreUnavailable) -> None:
+    def _record_loss(self, error: _errors.StoreUnavailable) -> None:
         if self._lost_at is not None:
             return
         self._lost_at = self._clock.monotonic()
-        self._wake()
+        self._wake_waiting()
         _log.warning(
-            "lost the store's {table}: {why}",
+            "lost table {table} of the store: {why}",
             table=self.table,
             why=error.message,
         )
 
-    def _note_contact(self, answer: _table_source.TableChanges) -> None:
-        direct_at = self._clock.monotonic() - answer.age
-        if direct_at > self._direct_at:
-            self._direct_at = direct_at
-            self._wake()
-        lost_since = answer.lost_since
+    def _record_answer(self, answer: _table_source.TableChanges) -> None:
+        store_answered_at = self._clock.monotonic() - answer.age
+        if store_answered_at > self._store_answered_at:
+            self._store_answered_at = store_answered_at
+            self._wake_waiting()
+        seconds_since_failure = answer.seconds_since_failure
         if self._lost_at is not None:
             now = self._clock.monotonic()
-            if lost_since is None:
-                lost_since = now - self._failed_at
+            if seconds_since_failure is None:
+                seconds_since_failure = now - self._failed_at
             _log.info(
-                "the store's {table} is back after {seconds:.1f} s",
+                "table {table} of the store is back after {seconds:.1f} s",
                 table=self.table,
                 seconds=now - self._lost_at,
             )
             self._lost_at = None
-        if lost_since is not None and self._follower.recovered is not None:
-            self._follower.recovered(lost_since)
+        if (
+            seconds_since_failure is not None
+            and self._listener.recovered is not None
+        ):
+            self._listener.recovered(seconds_since_failure)
--- a/src/topazlug/fleet/_table_relay.py
+++ b/src/topazlug/fleet/_table_relay.py
@@ -1,8 +1,8 @@
-"""News of the store's tables, from daemons that read it to those that don't.
+"""Relays tables from daemons that read the store to those that do not.
 
-Each daemon that reads the store itself costs calls all the time, and the
-store's rate is shared. In a large fleet a few read and the others ask them,
-in the way in which they would ask the store.
+Each daemon that reads the store makes calls all the time, and all of them
+share the store's rate limit. In a large fleet only a few daemons read the
+store. The others send them the requests that they would send to the store.
 """
 
 import base64
@@ -21,22 +21,22 @@
 from topazlug import _logs
 from topazlug._generated import messages
 from topazlug.fleet import _reading_plan
-from topazlug.fleet import _reading_round
+from topazlug.fleet import _source_search
 from topazlug.fleet import _table_feed
 from topazlug.fleet import _table_source
 from topazlug.peers import _peers
 
 _log = _logs.logger("fleet")
-# A reader answers at the latest after this; together with the slack it bounds
-# how old a daemon's tables get when its reader is frozen or cut off.
-_WAIT_SECONDS = 1.0
-_SLACK_SECONDS = 0.5
-# A daemon that has no news itself asks the store for the one that asks it,
-# and says that it has none if that takes longer: then the next is asked. A
-# store's answer takes some milliseconds.
-CATCH_UP_SECONDS = 0.12
+# A reader answers within this time. Together with the slack it bounds the age
+# of a daemon's tables when its reader is frozen or cut off.
+_MAX_WAIT_SECONDS = 1.0
+_ANSWER_SLACK_SECONDS = 0.5
+# A daemon without a valid copy reads the store on behalf of the caller. If
+# that takes longer, it replies that it cannot answer, and the caller tries the
+# next daemon. The store usually answers within some milliseconds.
+CATCH_UP_TIMEOUT_SECONDS = 0.12
 _ROWS = msgspec.msgpack.Decoder(list[_table_source.Row])
-_NOT_KNOWN = messages.ChangesReply(known=False)
+_UNKNOWN_REPLY = messages.ChangesReply(known=False)
 
 
 @final
@@ -47,65 +47,72 @@
     ----------
     links : PeerLinks
         Streams to peers.
-    asked : callable
-        Gets the table of each ask that this daemon has no news for.
+    on_miss : callable
+        Called with the table of each request for which this daemon has no
+        valid copy.
     """
 
     def __init__(
-        self, *, links: _peers.PeerLinks, asked: Callable[[str], None]
+        self, *, links: _peers.PeerLinks, on_miss: Callable[[str], None]
     ) -> None:
-        self._asked = asked
-        self._offered = event.Event()
+        self._on_miss = on_miss
+        self._feed_added = event.Event()
         self._feed_by_table: dict[str, _table_feed.TableFeed] = {}
-        self._last_by_table: dict[str, _Packed] = {}
-        links.handle(messages.ChangesAsk, self._on_ask)
+        self._packed_by_table: dict[str, _PackedRows] = {}
+        links.handle(messages.ChangesAsk, self._on_request)
 
-    def offer(self, feed: _table_feed.TableFeed) -> None:
-        """Answer for a table from a feed's copy."""
+    def add_feed(self, feed: _table_feed.TableFeed) -> None:
+        """Answer requests for a table from a feed's copy."""
         self._feed_by_table[feed.table] = feed
-        self._offered.set()
-        self._offered.clear()
+        self._feed_added.set()
+        self._feed_added.clear()
 
-    def _on_ask(
-        self, sender: _ids.DaemonId, ask: Any, reply: _peers.Reply
+    def _on_request(
+        self, sender: _ids.DaemonId, request: Any, reply: _peers.Reply
     ) -> None:
-        # The answer may take a second; the stream's reader must not wait.
-        gevent.spawn(self._answer, ask, reply)
+        # Answering may take a second, which must not block the stream.
+        gevent.spawn(self._answer, request, reply)
 
-    def _answer(self, ask: messages.ChangesAsk, reply: _peers.Reply) -> None:
-        wait = min(ask.wait, _WAIT_SECONDS)
-        if ask.table not in self._feed_by_table:
-            # Whoever asks has started at the same time as this daemon.
-            self._offered.wait(wait)
-        feed = self._feed_by_table.get(ask.table)
+    def _answer(
+        self, request: messages.ChangesAsk, reply: _peers.Reply
+    ) -> None:
+        wait = min(request.wait, _MAX_WAIT_SECONDS)
+        if request.table not in self._feed_by_table:
+            # The other daemon started at the same time as this one.
+            self._feed_added.wait(wait)
+        feed = self._feed_by_table.get(request.table)
         found = None
         if feed is not None:
-            found = feed.changes_since(ask.after, wait=wait, age=ask.age)
+            found = feed.changes_since(
+                request.after, wait=wait, age=request.age
+            )
             if found is None:
-                self._asked(ask.table)
-                feed.catch_up(longest=CATCH_UP_SECONDS)
-                found = feed.changes_since(ask.after, wait=0.0)
-        reply(_NOT_KNOWN if found is None else self._reply(ask, found))
+                self._on_miss(request.table)
+                feed.catch_up(timeout=CATCH_UP_TIMEOUT_SECONDS)
+                found = feed.changes_since(request.after, wait=0.0)
+        reply(_UNKNOWN_REPLY if found is None else self._reply(request, found))
 
     def _reply(
-        self, ask: messages.ChangesAsk, found: _table_source.TableChanges
+        self, request: messages.ChangesAsk, found: _table_source.TableChanges
     ) -> messages.ChangesReply:
-        """Give the answer; the same rows are packed once for all who ask.
+        """Return the reply; rows are packed once for all daemons.
 
-        A change of 150 KB takes 3 ms to pack, and sixty daemons wait for it
+        Packing a change of 150 KB takes 3 ms, and sixty daemons wait for it
         at the same time.
         """
         if not found.rows:
             return messages.ChangesReply(
                 known=True, version=found.version, age=found.age
             )
-        last = self._last_by_table.get(ask.table)
-        if last is not None and last.rows == found.rows:
-            packed = last.text
+        cached = self._packed_by_table.get(request.table)
+        if cached is not None and cached.rows == found.rows:
+            packed = cached.text
         else:
             body = zlib.compress(msgspec.msgpack.encode(list(found.rows)))
             packed = base64.b64encode(body).decode()
-            self._last_by_table[ask.table] = _Packed(list(found.rows), packed)
+            self._packed_by_table[request.table] = _PackedRows(
+                list(found.rows), packed
+            )
         return messages.ChangesReply(
             known=True,
             version=found.version,
@@ -116,25 +123,25 @@
 
 
 @final
-class _Packed(msgspec.Struct, frozen=True):
+class _PackedRows(msgspec.Struct, frozen=True):
     rows: list[_table_source.Row]
     text: str
 
 
 @final
 class RelayedTables:
-    """A source of tables that goes where the fleet's plan says.
+    """Reads tables from the peers or the store that the plan selects.
 
     Parameters
     ----------
     store : TableSource
         The store.
     links : callable
-        Gives the streams to peers; None before this daemon has joined.
+        Returns the streams to peers; None before this daemon has joined.
     plan : ReadingPlan
-        Says whom to ask.
+        Decides where to read.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -149,17 +156,19 @@
         self._links = links
         self._plan = plan
         self._clock = clock
-        # When the store was lost, and when the last call that failed began.
+        # When the store was lost, and when the last failed call started.
         self._store_lost_at: float | None = None
         self._failed_at = 0.0
 
     def rows(self, table: str) -> _table_source.TableChanges:
-        """Read a table whole; see `RelayedSource`."""
+        """Read all rows of a table; see `RelayedSource`."""
         links = self._links()
         if links is None:
             return self._store.rows(table)
-        wanted = messages.ChangesAsk(table=table, after=0, wait=_WAIT_SECONDS)
-        return self._search(links, wanted, whole=True)
+        request = messages.ChangesAsk(
+            table=table, after=0, wait=_MAX_WAIT_SECONDS
+        )
+        return self._read(links, request, whole=True)
 
     def changes(
         self, table: str, *, after: int, wait: float, age: float = 0.0
@@ -168,105 +177,111 @@
         links = self._links()
         if links is None:
             return self._store.changes(table, after=after, wait=wait)
-        wanted = messages.ChangesAsk(
+        request = messages.ChangesAsk(
             table=table, after=after, wait=wait, age=age
         )
-        return self._search(links, wanted, whole=False)
+        return self._read(links, request, whole=False)
 
-    def is_worth_asking(self) -> bool:
-        """Say whether the store may be asked; see `RelayedSource`."""
+    def is_store_due(self) -> bool:
+        """Return whether the store may be called; see `RelayedSource`."""
         return self._plan.store_is_due
 
     def changes_now(
         self, table: str, *, after: int
     ) -> _table_source.TableChanges:
-        """Ask the store itself; see `RelayedSource`."""
-        step = _reading_plan.AskStore(longest=0.0)
-        outcome = _reading_plan.Outcome.LOST
-        began = self._clock.monotonic()
+        """Read changes from the store directly; see `RelayedSource`."""
+        step = _reading_plan.ReadStore(max_wait=0.0)
+        outcome = _reading_plan.Outcome.STORE_LOST
+        called_at = self._clock.monotonic()
         try:
             found = self._store.changes(table, after=after, wait=0.0)
             outcome = _reading_plan.Outcome.ANSWERED
         finally:
-            seconds = self._clock.monotonic() - began
-            self._plan.note(step, outcome, seconds=seconds)
+            seconds = self._clock.monotonic() - called_at
+            self._plan.record(step, outcome, seconds=seconds)
         return found
 
-    def _search(
+    def _read(
         self,
         links: _peers.PeerLinks,
-        wanted: messages.ChangesAsk,
+        request: messages.ChangesAsk,
         *,
         whole: bool,
     ) -> _table_source.TableChanges:
-        """Ask one after the other until someone has an answer.
+        """Try one source after the other until one answers.
 
         Parameters
         ----------
-        wanted : ChangesAsk
-            What is asked.
+        request : ChangesAsk
+            The request to send.
         whole : bool
-            Whether the whole table is wanted, whatever is held.
+            Whether to read the whole table instead of its changes.
         """
-        search = _reading_round.Round(self._plan, wanted.table)
+        search = _source_search.SourceSearch(self._plan, request.table)
         why: Exception | None = None
         while (step := search.next()) is not None:
-            began = self._clock.monotonic()
+            called_at = self._clock.monotonic()
             try:
-                if isinstance(step, _reading_plan.AskStore):
-                    found = self._ask_store(step, wanted, whole=whole)
+                if isinstance(step, _reading_plan.ReadStore):
+                    found = self._read_store(step, request, whole=whole)
                 else:
-                    found = self._ask_peer(
-                        links, step.peer, wanted, whole=whole
+                    found = self._read_peer(
+                        links, step.peer, request, whole=whole
                     )
             except _errors.StoreUnavailable as error:
-                outcome, why = _reading_plan.Outcome.LOST, error
+                outcome, why = _reading_plan.Outcome.STORE_LOST, error
             except _errors.PeerUnreachable as error:
-                outcome, why = _reading_plan.Outcome.SILENT, error
+                outcome, why = _reading_plan.Outcome.NO_ANSWER, error
             else:
                 outcome = _reading_plan.Outcome.ANSWERED
-            seconds = self._clock.monotonic() - began
-            search.note(step, outcome, seconds=seconds)
+            seconds = self._clock.monotonic() - called_at
+            search.record(step, outcome, seconds=seconds)
             is_answered = outcome is _reading_plan.Outcome.ANSWERED
-            lost_since = None
-            if isinstance(step, _reading_plan.AskStore) and is_answered:
-                lost_since = self._note_answer(wanted)
-            elif isinstance(step, _reading_plan.AskStore):
-                self._note_failure(wanted, why, began=began)
+            seconds_since_failure = None
+            if isinstance(step, _reading_plan.ReadStore) and is_answered:
+                seconds_since_failure = self._record_store_answer(request)
+            elif isinstance(step, _reading_plan.ReadStore):
+                self._record_store_failure(request, why, called_at=called_at)
             if is_answered:
-                return msgspec.structs.replace(found, lost_since=lost_since)
+                return msgspec.structs.replace(
+                    found, seconds_since_failure=seconds_since_failure
+                )
             _log.debug(
-                "no news of {table}: {why}", table=wanted.table, why=str(why)
+                "could not read {table}: {why}",
+                table=request.table,
+                why=str(why),
             )
         raise _errors.StoreUnavailable(
-            f"nobody who was asked has the store: {why}"
+            f"neither the store nor a peer returned the table: {why}"
         ) from why
 
-    def _note_failure(
+    def _record_store_failure(
         self,
-        wanted: messages.ChangesAsk,
+        request: messages.ChangesAsk,
         why: Exception | None,
         *,
-        began: float,
+        called_at: float,
     ) -> None:
-        """Note that the store itself gave no answer.
+        """Record and log that the store did not answer.
 
-        The feed notes a loss only if no other daemon has an answer either.
+        The feed records a loss only if no other daemon answers either.
         """
-        self._failed_at = began
+        self._failed_at = called_at
         if self._store_lost_at is not None:
             return
         self._store_lost_at = self._clock.monotonic()
         _log.warning(
-            "no answer of the store for {table} in {seconds:.1f} s: {why}",
-            table=wanted.table,
-            seconds=self._store_lost_at - began,
-            after=wanted.after,
+            "no answer from the store for {table} in {seconds:.1f} s: {why}",
+            table=request.table,
+            seconds=self._store_lost_at - called_at,
+            after=request.after,
             why=str(why),
         )
 
-    def _note_answer(self, wanted: messages.ChangesAsk) -> float | None:
-        """Note that the store answers; give what `lost_since` says."""
+    def _record_store_answer(
+        self, request: messages.ChangesAsk
+    ) -> float | None:
+        """Record an answer; return the value of `seconds_since_failure`."""
         lost_at = self._store_lost_at
         if lost_at is None:
             return None
@@ -274,44 +289,49 @@
         self._store_lost_at = None
         _log.info(
             "the store answers for {table} again after {seconds:.1f} s",
-            table=wanted.table,
+            table=request.table,
             seconds=now - lost_at,
         )
         return now - self._failed_at
 
-    def _ask_store(
+    def _read_store(
         self,
-        step: _reading_plan.AskStore,
-        wanted: messages.ChangesAsk,
+        step: _reading_plan.ReadStore,
+        request: messages.ChangesAsk,
         *,
         whole: bool,
     ) -> _table_source.TableChanges:
         if step.pause:
             self._clock.sleep(step.pause)
         if whole:
-            return self._store.rows(wanted.table)
-        wait = min(wanted.wait, step.longest)
-        return self._store.changes(wanted.table, after=wanted.after, wait=wait)
+            return self._store.rows(request.table)
+        wait = min(request.wait, step.max_wait)
+        return self._store.changes(
+            request.table, after=request.after, wait=wait
+        )
 
-    def _ask_peer(
+    def _read_peer(
         self,
         links: _peers.PeerLinks,
         peer: _ids.DaemonId,
-        wanted: messages.ChangesAsk,
+        request: messages.ChangesAsk,
         *,
         whole: bool,
     ) -> _table_source.TableChanges:
-        """Ask a daemon; raises StoreUnavailable or PeerUnreachable."""
-        wait = min(wanted.wait, _WAIT_SECONDS)
-        ask = msgspec.structs.replace(wanted, wait=wait)
+        """Read from a peer; raise StoreUnavailable or PeerUnreachable."""
+        wait = min(request.wait, _MAX_WAIT_SECONDS)
+        peer_request = msgspec.structs.replace(request, wait=wait)
         try:
-            answer = links.call(peer, ask, timeout=wait + _SLACK_SECONDS)
+            answer = links.call(
+                peer, peer_request, timeout=wait + _ANSWER_SLACK_SECONDS
+            )
         except _errors.PeerUnreachable:
-            # A stream to a daemon that is cut off stays open for minutes.
+            # Otherwise a stream to an unreachable daemon stays open for
+            # minutes.
             links.disconnect(peer)
             raise
         if not isinstance(answer, messages.ChangesReply) or not answer.known:
-            raise _errors.StoreUnavailable(f"{peer} has lost the store")
+            raise _errors.StoreUnavailable(f"daemon {peer} lost the store")
         rows: list[_table_source.Row] = []
         if answer.packed:
             body = zlib.decompress(base64.b64decode(answer.packed))
--- a/src/topazlug/fleet/_table_source.py
+++ b/src/topazlug/fleet/_table_source.py
@@ -1,4 +1,4 @@
-"""Tables of the platform's store, as the forwarding daemon reads them."""
+"""Interfaces for reading and writing tables of the platform's store."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -8,23 +8,22 @@
 
 from topazlug import _errors
 
-# An answer to a call that waits for changes comes at most so much later than
-# the call was asked to wait; after that it is given up.
+# A call that waits for changes times out this long after its wait.
 ANSWER_SLACK_SECONDS = 0.6
 
 
 @final
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One row, or word that it was dropped.
+    """One row, or the marker that it was deleted.
 
     Attributes
     ----------
     key : str
         Unique in its table.
     data : bytes
-        What it holds.
+        Its content.
     deleted : bool
-        Whether it is gone.
+        Whether it was deleted.
     """
 
     key: str
@@ -34,25 +33,25 @@
 
 @final
 class TableChanges(msgspec.Struct, frozen=True):
-    """Rows of a table, or those that changed, up to a version.
+    """All rows of a table, or those changed up to a version.
 
     Attributes
     ----------
     version : int
-        Version of the store that the rows lead to.
+        Version of the store after these changes.
     rows : sequence of Row
         In the order of their changes.
     whole : bool
-        Whether these are all rows of the table, though changes were asked
-        for.
+        Whether these are all rows of the table although only changes were
+        requested.
     relayed : bool
-        Whether another daemon told them, and not the store.
+        Whether they came from another daemon instead of the store.
     age : float
-        Seconds since the store's last word that the one who told them knew
-        of.
-    lost_since : float or None
-        Seconds since the last failed call to the store began, if this is
-        the first answer after it.
+        Seconds since the last answer of the store on which these rows are
+        based.
+    seconds_since_failure : float or None
+        Seconds since the start of the last failed call to the store, if
+        this is the first answer after it.
     """
 
     version: int
@@ -60,28 +59,28 @@
     whole: bool = False
     relayed: bool = False
     age: float = 0.0
-    lost_since: float | None = None
+    seconds_since_failure: float | None = None
 
 
 @final
 class HistoryLost(_errors.TopazlugError):
-    """The changes since a version are gone; the table is read whole."""
+    """The store no longer has the changes since a version."""
 
     code = _errors.Code.STORE_UNAVAILABLE
 
 
 @final
 class RowExists(_errors.TopazlugError):
-    """A row that was to be new is there already."""
+    """A row that must be new already exists."""
 
     code = _errors.Code.STORE_CONFLICT
 
 
 class TableSource(Protocol):
-    """Where a table is read."""
+    """A source of tables."""
 
     def rows(self, table: str) -> TableChanges:
-        """Read all rows; raises StoreUnavailable."""
+        """Read all rows; raise StoreUnavailable without an answer."""
 
     def changes(self, table: str, *, after: int, wait: float) -> TableChanges:
         """Wait for changes after a version.
@@ -89,17 +88,18 @@
         Raises
         ------
         HistoryLost
-            They are not known any more.
+            The changes are no longer available.
         StoreUnavailable
-            There is no whole answer `ANSWER_SLACK_SECONDS` after the wait.
+            No complete answer arrived within `ANSWER_SLACK_SECONDS` after
+            the wait.
         """
 
 
 class RelayedSource(Protocol):
-    """Where a table is read at other daemons, or at the store."""
+    """A source that reads tables from other daemons or from the store."""
 
     def rows(self, table: str) -> TableChanges:
-        """Read all rows; raises StoreUnavailable."""
+        """Read all rows; raise StoreUnavailable without an answer."""
 
     def changes(
         self, table: str, *, after: int, wait: float, age: float
@@ -113,46 +113,46 @@
         after : int
             The version.
         wait : float
-            Longest wait in seconds.
+            Maximum wait in seconds.
         age : float
-            Seconds since the store's last word that is known of. Another
-            daemon that knows of a later one says so at once.
+            Age of the caller's copy in seconds. A daemon whose copy is
+            clearly newer answers at once.
         """
 
-    def is_worth_asking(self) -> bool:
-        """Say whether the store has not turned this daemon away just now."""
+    def is_store_due(self) -> bool:
+        """Return whether the last failed call to the store is long ago."""
 
     def changes_now(self, table: str, *, after: int) -> TableChanges:
-        """Ask the store itself for changes, without a wait for news.
+        """Read changes from the store directly, without waiting for some.
 
         Raises
         ------
         StoreUnavailable
-            There is no whole answer.
+            No complete answer arrived.
         """
 
 
 class TableStore(TableSource, Protocol):
-    """The platform's store itself."""
+    """The platform's store."""
 
     def write(
         self, table: str, rows: Sequence[Row], *, new: Sequence[str] = ()
     ) -> None:
-        """Write rows at once, all or none.
+        """Write rows atomically.
 
         Parameters
         ----------
         table : str
             Their table.
         rows : sequence of Row
-            The rows; those that are marked as deleted are dropped.
+            The rows; those that are marked as deleted are deleted.
         new : sequence of str
             Keys that must not exist yet.
 
         Raises
         ------
         RowExists
-            One of `new` does.
+            A key in `new` already exists.
         StoreUnavailable
-            There is no whole answer; it may have been written.
+            No complete answer arrived; the rows may have been written.
         """
--- a/tests/topazlug/fleet/reading_replay.py
+++ b/tests/topazlug/fleet/read_simulation.py
@@ -1,8 +1,8 @@
-"""Fleets that read one table by `ReadingPlan`, in simulated time.
+"""Simulation of fleets that read one table by `ReadingPlan`.
 
-Each daemon's feed is a generator that yields for how long it sleeps, or whose
-news it waits for; the store and the streams between daemons are modelled by
-their delays. Nothing here waits in real time.
+Each daemon's feed is a generator that yields either the seconds to sleep, or
+the peer to wait for and the latest time. The store and the streams between
+daemons are modelled by their delays. Time is simulated.
 """
 
 import heapq
@@ -12,23 +12,23 @@
 
 from topazlug import _ids
 from topazlug.fleet import _reading_plan
-from topazlug.fleet import _reading_round
+from topazlug.fleet import _source_search
 from topazlug.fleet import _staleness_bounds
 from topazlug.fleet import _table_relay
 
-ASK_SECONDS = 0.005
-STORE_SECONDS = 0.004
-# A call that the store takes and never answers ends so much later than it was
-# asked to wait; one for the whole table, at once.
+PEER_CALL_SECONDS = 0.005
+STORE_CALL_SECONDS = 0.004
+# A call that the store never answers times out this long after its wait.
 STORE_SLACK_SECONDS = 0.6
+# Timeout of a call for the whole table, which does not wait for changes.
 WHOLE_TABLE_SECONDS = 2.0
 PEER_SLACK_SECONDS = 0.5
 PEER_WAIT_SECONDS = 1.0
-SILENT_PEER_SECONDS = PEER_WAIT_SECONDS + PEER_SLACK_SECONDS
+PEER_TIMEOUT_SECONDS = PEER_WAIT_SECONDS + PEER_SLACK_SECONDS
 TABLE = "servers"
-NEWER_SECONDS = 0.5
-NEWS = _staleness_bounds.StalenessBounds(in_force=4.0, unreachable=5.0)
-GAP_SECONDS = 0.2
+MIN_AGE_GAIN_SECONDS = 0.5
+BOUNDS = _staleness_bounds.StalenessBounds(in_force=4.0, unreachable=5.0)
+MIN_INTERVAL_SECONDS = 0.2
 
 Outcome = _reading_plan.Outcome
 
@@ -51,28 +51,28 @@
 
 
 class Store:
-    """Changes at given moments; away for some daemons at given times.
+    """A store that changes, and is unavailable to some daemons, at set times.
 
-    While it is away it says nothing; while it resets, each call ends at once.
-    Of calls that wait for news when that begins, `resets_waiting` says
-    whether they end too, or are taken and never answered.
+    While it is unavailable it does not answer. While it resets connections,
+    each call fails at once. `resets_waiting` determines whether calls that
+    are already waiting for changes then fail too or are never answered.
     """
 
     def __init__(
         self,
         *,
         changes=(),
-        away=(),
+        unavailable=(),
         resets=(),
         resets_waiting=True,
-        forgets_at=(),
+        history_lost_at=(),
         slow=(),
     ):
         self.changes = sorted(changes)
-        self.away = away
+        self.unavailable = unavailable
         self.resets = resets
         self.resets_waiting = resets_waiting
-        self.forgets_at = forgets_at
+        self.history_lost_at = history_lost_at
         self.slow = slow
         self.calls = []
 
@@ -80,18 +80,21 @@
         return sum(at <= now for at in self.changes)
 
     def is_unavailable(self, daemon, now):
-        return _is_in(self.away, daemon, now)
+        return _is_in(self.unavailable, daemon, now)
 
     def is_resetting(self, daemon, now):
         return _is_in(self.resets, daemon, now)
 
     def lost_at(self, daemon, begin, end):
-        """Give when a call that waits meanwhile is lost, and if by reset."""
+        """Return when a waiting call is lost, and whether by a reset."""
         found = [
             (at, is_reset)
-            for times, is_reset in ((self.away, False), (self.resets, True))
-            for at, _, is_hit in times
-            if begin < at <= end and is_hit(daemon)
+            for times, is_reset in (
+                (self.unavailable, False),
+                (self.resets, True),
+            )
+            for at, _, is_affected in times
+            if begin < at <= end and is_affected(daemon)
         ]
         return min(found, default=(math.inf, False))
 
@@ -99,12 +102,12 @@
         for begin, end, seconds in self.slow:
             if begin <= now < end:
                 return seconds
-        return STORE_SECONDS
+        return STORE_CALL_SECONDS
 
     def call(self, daemon, now):
         self.calls.append((now, daemon))
 
-    def most_in_a_second(self):
+    def max_calls_per_second(self):
         times = sorted(at for at, _ in self.calls)
         return max(
             sum(first <= at < first + 1.0 for at in times[index:])
@@ -120,106 +123,108 @@
         self.fleet = fleet
         self.number = number
         self.name = _ids.DaemonId(f"d{number}")
-        # When each version was known here.
+        # When this daemon received each version.
         self.known_at = {0: 0.0}
         self.start()
 
     def start(self):
-        """Begin with nothing, as a process that has just started."""
+        """Start without any rows, like a new process."""
         self.plan = _reading_plan.ReadingPlan(
             daemon_id=self.name,
             directory=self.fleet.directory,
             clock=self.fleet.clock,
-            chance=self.fleet.random.random,
+            random_fraction=self.fleet.random.random,
         )
         self.version = 0
         self.has_read = False
-        self.has_lost = False
+        self.has_lost_store = False
         self.read_at = -math.inf
         self.is_catching_up = False
 
     @property
-    def has_store(self):
-        return not self.has_lost and self.fleet.clock.now < self.vouched_until
+    def is_valid(self):
+        return (
+            not self.has_lost_store and self.fleet.clock.now < self.valid_until
+        )
 
     @property
-    def vouched_until(self):
-        return self.read_at + self.fleet.news.validity
+    def valid_until(self):
+        return self.read_at + self.fleet.bounds.validity
 
     @property
     def wait(self):
-        """Give how long the feed's next call waits for news."""
-        if self.has_lost:
+        """Return how long the feed's next call waits for changes."""
+        if self.has_lost_store:
             return 0.0
         if self.fleet.directory.is_small:
-            return self.fleet.news.direct_wait
-        return self.fleet.news.reader_wait
-
-    def take(self, version, *, direct_at):
-        self.has_read, self.has_lost = True, False
-        is_new = direct_at > self.read_at
-        self.read_at = max(direct_at, self.read_at)
-        for one in range(self.version + 1, version + 1):
-            self.known_at.setdefault(one, self.fleet.clock.now)
+            return self.fleet.bounds.direct_wait
+        return self.fleet.bounds.reader_wait
+
+    def update(self, version, *, store_answered_at):
+        self.has_read, self.has_lost_store = True, False
+        is_new = store_answered_at > self.read_at
+        self.read_at = max(store_answered_at, self.read_at)
+        for new_version in range(self.version + 1, version + 1):
+            self.known_at.setdefault(new_version, self.fleet.clock.now)
         if version > self.version or is_new:
             self.version = max(version, self.version)
-            self.fleet.wake(self)
+            self.fleet.resume_waiting(self)
 
     def restart(self, at):
-        """Be gone at once, and back with nothing after a while."""
+        """Stop at once, and start again without any rows at a later time."""
         self.fleet.end_feed(self)
         self.start()
-        self.has_lost = True
-        self.fleet.wake(self)
+        self.has_lost_store = True
+        self.fleet.resume_waiting(self)
         self.fleet.begin_feed(self, at)
 
     def feed(self):
         clock = self.fleet.clock
-        self.has_lost = False
+        self.has_lost_store = False
         yield self.fleet.random.uniform(0.0, 0.3)
         while True:
-            began = clock.now
+            started_at = clock.now
             if (yield from self._search()):
-                yield max(0.0, GAP_SECONDS - (clock.now - began))
+                yield max(0.0, MIN_INTERVAL_SECONDS - (clock.now - started_at))
                 continue
-            self.has_lost = True
-            self.fleet.wake(self)
+            self.has_lost_store = True
+            self.fleet.resume_waiting(self)
             yield self.fleet.random.uniform(0.05, 0.25)
 
     def _search(self):
         clock = self.fleet.clock
-        search = _reading_round.Round(self.plan, TABLE)
+        search = _source_search.SourceSearch(self.plan, TABLE)
         wait = self.wait
         while (step := search.next()) is not None:
-            began = clock.now
-            if isinstance(step, _reading_plan.AskStore):
-                outcome = yield from self._ask_store(step, wait)
+            started_at = clock.now
+            if isinstance(step, _reading_plan.ReadStore):
+                outcome = yield from self._read_store(step, wait)
             else:
-                outcome = yield from self._ask(step.peer, wait)
-            search.note(step, outcome, seconds=clock.now - began)
+                outcome = yield from self._read_peer(step.peer, wait)
+            search.record(step, outcome, seconds=clock.now - started_at)
             if outcome is Outcome.ANSWERED:
                 return True
         return False
 
-    def _ask_store(self, step, wait):
+    def _read_store(self, step, wait):
         store, clock = self.fleet.store, self.fleet.clock
         yield step.pause
         store.call(self.name, clock.now)
-        longest = min(step.longest, wait)
-        silent_until = clock.now + longest + STORE_SLACK_SECONDS
+        max_wait = min(step.max_wait, wait)
+        gives_up_at = clock.now + max_wait + STORE_SLACK_SECONDS
         if not self.has_read:
-            longest = 0.0
-            silent_until = clock.now + WHOLE_TABLE_SECONDS
+            max_wait = 0.0
+            gives_up_at = clock.now + WHOLE_TABLE_SECONDS
         if store.is_resetting(self.number, clock.now):
-            yield ASK_SECONDS
-            return Outcome.LOST
+            yield PEER_CALL_SECONDS
+            return Outcome.STORE_LOST
         if store.is_unavailable(self.number, clock.now):
-            yield silent_until - clock.now
-            return Outcome.LOST
-        if any(self.read_at < at <= clock.now for at in store.forgets_at):
+            yield gives_up_at - clock.now
+            return Outcome.STORE_LOST
+        if any(self.read_at < at <= clock.now for at in store.history_lost_at):
             yield store.delay(clock.now)
             store.call(self.name, clock.now)
-        end = clock.now + longest
+        end = clock.now + max_wait
         answered_at = end
         if store.version_at(clock.now) > self.version:
             answered_at = clock.now
@@ -232,108 +237,111 @@
             if is_reset and store.resets_waiting:
                 yield lost_at - clock.now
             else:
-                yield silent_until - clock.now
-            return Outcome.LOST
+                yield gives_up_at - clock.now
+            return Outcome.STORE_LOST
         yield answered_at - clock.now
-        self.take(store.version_at(clock.now), direct_at=clock.now)
+        self.update(store.version_at(clock.now), store_answered_at=clock.now)
         return Outcome.ANSWERED
 
-    def _ask(self, name, wait):
+    def _read_peer(self, name, wait):
         clock = self.fleet.clock
         peer = self.fleet.daemon_by_name[name]
-        if self.fleet.is_refusing(peer.number, clock.now):
-            yield ASK_SECONDS
-            return Outcome.SILENT
+        if self.fleet.is_refusing_connections(peer.number, clock.now):
+            yield PEER_CALL_SECONDS
+            return Outcome.NO_ANSWER
         wait = min(wait, PEER_WAIT_SECONDS)
-        if self.fleet.is_dark(peer.number, clock.now):
+        if self.fleet.is_unresponsive(peer.number, clock.now):
             yield wait + PEER_SLACK_SECONDS
-            return Outcome.SILENT
-        yield ASK_SECONDS
+            return Outcome.NO_ANSWER
+        yield PEER_CALL_SECONDS
         end = clock.now + wait
-        if not peer.has_read and not peer.has_lost:
+        if not peer.has_read and not peer.has_lost_store:
             yield peer, end
-        known_at = max(self.read_at, 0.0) + NEWER_SECONDS
-        while peer.has_store and peer.version <= self.version:
+        known_at = max(self.read_at, 0.0) + MIN_AGE_GAIN_SECONDS
+        while peer.is_valid and peer.version <= self.version:
             if clock.now >= end or peer.read_at > known_at:
                 break
-            yield peer, min(end, peer.vouched_until)
-        if not peer.has_store:
+            yield peer, min(end, peer.valid_until)
+        if not peer.is_valid:
             yield from self._let_catch_up(peer)
-        if not peer.has_store:
-            return Outcome.LOST
-        self.take(peer.version, direct_at=peer.read_at)
+        if not peer.is_valid:
+            return Outcome.STORE_LOST
+        self.update(peer.version, store_answered_at=peer.read_at)
         return Outcome.ANSWERED
 
     def _let_catch_up(self, peer):
-        peer.plan.note_asked(TABLE)
+        peer.plan.record_miss(TABLE)
         now = self.fleet.clock.now
         if not peer.is_catching_up:
             if not peer.has_read or not peer.plan.store_is_due:
                 return
             peer.is_catching_up = True
             self.fleet.schedule(now, peer.catch_up())
-        yield peer, now + _table_relay.CATCH_UP_SECONDS
+        yield peer, now + _table_relay.CATCH_UP_TIMEOUT_SECONDS
 
     def catch_up(self):
         store, clock = self.fleet.store, self.fleet.clock
-        began, after = clock.now, self.version
+        started_at, after = clock.now, self.version
         store.call(self.name, clock.now)
-        outcome = Outcome.LOST
+        outcome = Outcome.STORE_LOST
         if store.is_resetting(self.number, clock.now):
-            yield ASK_SECONDS
+            yield PEER_CALL_SECONDS
         elif store.is_unavailable(self.number, clock.now):
             yield STORE_SLACK_SECONDS
         else:
             yield store.delay(clock.now)
             outcome = Outcome.ANSWERED
-        step = _reading_plan.AskStore(longest=0.0)
-        self.plan.note(step, outcome, seconds=clock.now - began)
+        step = _reading_plan.ReadStore(max_wait=0.0)
+        self.plan.record(step, outcome, seconds=clock.now - started_at)
         self.is_catching_up = False
         if outcome is Outcome.ANSWERED and self.version == after:
-            self.take(store.version_at(clock.now), direct_at=clock.now)
-        self.fleet.wake(self)
+            self.update(
+                store.version_at(clock.now), store_answered_at=clock.now
+            )
+        self.fleet.resume_waiting(self)
         yield math.inf
 
 
 def _is_in(times, number, now):
     return any(
-        begin <= now < end and is_hit(number) for begin, end, is_hit in times
+        begin <= now < end and is_affected(number)
+        for begin, end, is_affected in times
     )
 
 
-def _restarting(fleet, restart):
-    _, end, is_hit = restart
+def _restart_daemons(fleet, restart):
+    _, end, is_affected = restart
     for daemon in fleet.daemons:
-        if is_hit(daemon.number):
+        if is_affected(daemon.number):
             daemon.restart(end)
     yield math.inf
 
 
 class Fleet:
-    """Runs so many daemons before a store."""
+    """Simulates a number of daemons that share a store."""
 
     def __init__(
         self,
         count,
         store,
         *,
-        dark=(),
-        refusing=(),
+        unresponsive=(),
+        refusing_connections=(),
         restarts=(),
         seed=1,
-        news=NEWS,
+        bounds=BOUNDS,
     ):
         self.clock = Clock()
-        self.news = news
+        self.bounds = bounds
         self.random = random.Random(seed)
         self.directory = Directory(count)
         self.store = store
-        self._dark = dark
-        # Those that restart refuse connections meanwhile.
-        self._refusing = [*refusing, *restarts]
+        self._unresponsive = unresponsive
+        # Restarting daemons refuse connections meanwhile.
+        self._refusing_connections = [*refusing_connections, *restarts]
         self._restarts = restarts
         self.daemons = [Daemon(self, number) for number in range(count)]
-        self.daemon_by_name = {one.name: one for one in self.daemons}
+        self.daemon_by_name = {daemon.name: daemon for daemon in self.daemons}
         self._due = []
         self._numbers = itertools.count()
         self._waiting_by_name = {}
@@ -346,18 +354,18 @@
 
     def end_feed(self, daemon):
         feed = self._feed_by_name.pop(daemon.name)
-        self._due = [one for one in self._due if one[2] is not feed]
+        self._due = [entry for entry in self._due if entry[2] is not feed]
         heapq.heapify(self._due)
         for waiting in self._waiting_by_name.values():
             waiting.pop(id(feed), None)
 
-    def is_dark(self, number, now):
-        return _is_in(self._dark, number, now)
+    def is_unresponsive(self, number, now):
+        return _is_in(self._unresponsive, number, now)
 
-    def is_refusing(self, number, now):
-        return _is_in(self._refusing, number, now)
+    def is_refusing_connections(self, number, now):
+        return _is_in(self._refusing_connections, number, now)
 
-    def wake(self, daemon):
+    def resume_waiting(self, daemon):
         for feed in self._waiting_by_name.pop(daemon.name, {}).values():
             self.schedule(self.clock.now, feed)
 
@@ -368,12 +376,12 @@
         for daemon in self.daemons:
             self.begin_feed(daemon, 0.0)
         for restart in self._restarts:
-            self.schedule(restart[0], _restarting(self, restart))
+            self.schedule(restart[0], _restart_daemons(self, restart))
         last_by_feed = {}
         while self._due and self._due[0][0] <= seconds:
             at, number, feed = heapq.heappop(self._due)
             if last_by_feed.get(feed, -1) > number:
-                # It was woken before its wait was over.
+                # The feed was resumed before this wait ended.
                 continue
             self.clock.now = max(self.clock.now, at)
             self._step(feed, last_by_feed)
@@ -392,16 +400,18 @@
             last_by_feed[feed] = self._due_number()
 
     def _due_number(self):
-        # The number given last; what was scheduled before it is out of date.
+        # Number of the latest entry; earlier entries of a feed are obsolete.
         number = next(self._numbers)
         return number - 1
 
-    def lateness(self, *, since=0.0, among=None):
-        """Give the longest time that a daemon took to know a change."""
-        late = 0.0
+    def max_propagation_delay(self, *, since=0.0, among=None):
+        """Return the maximum time until a daemon received a change."""
+        max_delay = 0.0
         for version, at in enumerate(self.store.changes, start=1):
             if at < since:
                 continue
             for daemon in among or self.daemons:
-                late = max(late, daemon.known_at.get(version, math.inf) - at)
-        return late
+                max_delay = max(
+                    max_delay, daemon.known_at.get(version, math.inf) - at
+                )
+        return max_delay
--- a/tests/topazlug/fleet/store_fakes.py
+++ b/tests/topazlug/fleet/store_fakes.py
@@ -1,4 +1,4 @@
-"""A store of tables in memory, for feeds and directories."""
+"""An in-memory store of tables, for feeds and directories."""
 
 import gevent
 from gevent import event
@@ -10,18 +10,18 @@
 
 
 class FakeTables:
-    """Tables with one counter of versions; may be away, stale or forget."""
+    """Tables with a common version that can fail in different ways."""
 
     def __init__(self):
         self.version = 0
         self.log = []
-        self.forgotten = 0
+        self.oldest_version = 0
         self.is_unavailable = False
-        self.stale = None
-        self.whole = None
-        self.stale_reads = 0
+        self.stale_answer = None
+        self.whole_answer = None
+        self.stale_read_count = 0
         self.calls = 0
-        self._news = event.Event()
+        self._changed_event = event.Event()
 
     def write(self, table, rows, *, new=()):
         self._call()
@@ -29,8 +29,8 @@
             raise _table_source.RowExists("exists")
         self.version += 1
         self.log += [(self.version, table, row) for row in rows]
-        self._news.set()
-        self._news.clear()
+        self._changed_event.set()
+        self._changed_event.clear()
 
     def put(self, table, key, data):
         self.write(table, [Row(key, data)])
@@ -41,7 +41,7 @@
     def _call(self):
         self.calls += 1
         if self.is_unavailable:
-            raise _errors.StoreUnavailable("away")
+            raise _errors.StoreUnavailable("unavailable")
 
     def _held(self, table):
         held = {}
@@ -54,25 +54,28 @@
 
     def rows(self, table):
         self._call()
-        if self.stale is not None:
-            self.stale_reads += 1
-            return self.stale
+        if self.stale_answer is not None:
+            self.stale_read_count += 1
+            return self.stale_answer
         return _table_source.TableChanges(
             self.version, list(self._held(table).values())
         )
 
     def changes(self, table, *, after, wait, age=0.0):
         self._call()
-        if after < self.forgotten:
-            raise _table_source.HistoryLost("gone")
-        if self.whole is not None and after != self.whole.version:
-            return self.whole
+        if after < self.oldest_version:
+            raise _table_source.HistoryLost("history lost")
+        if (
+            self.whole_answer is not None
+            and after != self.whole_answer.version
+        ):
+            return self.whole_answer
         rows = self._since(table, after)
         if not rows:
-            self._news.wait(min(wait, 0.02))
+            self._changed_event.wait(min(wait, 0.02))
             gevent.sleep(0)
             if self.is_unavailable:
-                raise _errors.StoreUnavailable("away")
+                raise _errors.StoreUnavailable("unavailable")
             rows = self._since(table, after)
         return _table_source.TableChanges(self.version, rows)
 
--- a/tests/topazlug/fleet/test_fleet_directory.py
+++ b/tests/topazlug/fleet/test_fleet_directory.py
@@ -1,4 +1,4 @@
-"""Joining a fleet, its secret, and who reads the store for whom."""
+"""Joining a fleet, its secret, and the order of readers."""
 
 import pytest
 
@@ -8,46 +8,46 @@
 from topazlug.fleet import _fleet_directory
 
 
-def directory(name, *, relays=True):
+def make_directory(name, *, relays=True):
     return _fleet_directory.FleetDirectory(
         daemon_id=_ids.DaemonId(name),
         own_row=_fleet_directory.DaemonRow("127.0.0.1", 7340, relays),
     )
 
 
-def look(store, one):
+def update_from_store(store, directory):
     found = store.rows(_fleet_directory.TABLE)
-    one.update({row.key: row.data for row in found.rows})
+    directory.update({row.key: row.data for row in found.rows})
 
 
-def fleet(count, *, slow=()):
+def make_fleet(count, *, not_relaying=()):
     store = store_fakes.FakeTables()
-    made = [
-        directory(f"d{number}", relays=number not in slow)
+    directories = [
+        make_directory(f"d{number}", relays=number not in not_relaying)
         for number in range(count)
     ]
-    for one in made:
-        one.join(store)
-    for one in made:
-        look(store, one)
-    return made
+    for directory in directories:
+        directory.join(store)
+    for directory in directories:
+        update_from_store(store, directory)
+    return directories
 
 
 class TestJoining:
     def test_all_have_one_secret(self):
-        made = fleet(5)
-        assert len({one.secret for one in made}) == 1
-        assert len(made[0].secret) >= 16
-        assert len(made[0].daemons_by_id) == 5
+        directories = make_fleet(5)
+        assert len({directory.secret for directory in directories}) == 1
+        assert len(directories[0].secret) >= 16
+        assert len(directories[0].daemons_by_id) == 5
 
-    def test_race_for_the_secret_has_one_winner(self):
-        """Symptom: daemons refuse each other's streams.
+    def test_only_one_secret_is_written(self):
+        """Guards against daemons that reject each other's streams.
 
-        Sequence: two daemons find no secret and both write one. Cause: the
-        write was not under the condition that there is none.
+        Two daemons find no secret and both try to write one. The write must
+        be conditional on its absence.
         """
         store = store_fakes.FakeTables()
-        first, second = directory("a"), directory("b")
+        first, second = make_directory("a"), make_directory("b")
         rows = store.rows
         raced = []
 
@@ -62,54 +62,56 @@
         second.join(store)
         assert second.secret == first.secret
 
-    def test_store_is_away(self):
+    def test_unavailable_store_raises(self):
         store = store_fakes.FakeTables()
         store.is_unavailable = True
         with pytest.raises(_errors.StoreUnavailable):
-            directory("a").join(store)
+            make_directory("a").join(store)
 
-    def test_row_that_cannot_be_read_is_left_out(self):
-        one = directory("a")
-        one.update({"daemon/b": b"?", "secret": b"s" * 16})
-        assert list(one.daemons_by_id) == ["a"]
+    def test_invalid_row_is_ignored(self):
+        directory = make_directory("a")
+        directory.update({"daemon/b": b"?", "secret": b"s" * 16})
+        assert list(directory.daemons_by_id) == ["a"]
 
 
-class TestStartingAgain:
-    def test_row_that_is_there_is_not_written_again(self):
-        """Symptom: hundreds of writes a second after a loss of power.
+class TestRestart:
+    def test_unchanged_row_is_not_written_again(self):
+        """Guards against hundreds of writes per second after a power loss.
 
-        Sequence: all daemons start again under the same names and
-        addresses. Cause: each wrote its row, which all readers were told of.
+        All daemons restart with the same names and addresses. Each write of
+        a row is sent to all readers.
         """
         store = store_fakes.FakeTables()
-        directory("a").join(store)
+        make_directory("a").join(store)
         written = store.version
-        again = directory("a")
+        again = make_directory("a")
         again.join(store)
         assert store.version == written
-        assert again.was_known and again.secret
+        assert again.was_registered and again.secret
 
-    def test_row_that_changed_is_written(self):
+    def test_changed_row_is_written(self):
         store = store_fakes.FakeTables()
-        directory("a").join(store)
-        again = directory("a", relays=False)
+        make_directory("a").join(store)
+        again = make_directory("a", relays=False)
         again.join(store)
-        third = directory("b")
+        third = make_directory("b")
         third.join(store)
-        assert not again.was_known
+        assert not again.was_registered
         assert not third.daemons_by_id["a"].relays
 
 
 class TestReadingOrder:
-    def test_all_agree(self):
-        made = fleet(60)
-        order = made[0].reading_order()
+    def test_all_daemons_have_the_same_order(self):
+        directories = make_fleet(60)
+        order = directories[0].reading_order()
         assert len(order) == 60
-        assert all(one.reading_order() == order for one in made)
-
-    def test_fast_links_come_first(self):
-        slow = set(range(30))
-        order = fleet(60, slow=slow)[0].reading_order()
-        names = {f"d{number}" for number in slow}
+        assert all(
+            directory.reading_order() == order for directory in directories
+        )
+
+    def test_relaying_daemons_come_first(self):
+        not_relaying = set(range(30))
+        order = make_fleet(60, not_relaying=not_relaying)[0].reading_order()
+        names = {f"d{number}" for number in not_relaying}
         assert not names & set(order[:30])
         assert names == set(order[30:])
--- a/tests/topazlug/fleet/test_reading_plan.py
+++ b/tests/topazlug/fleet/test_reading_plan.py
@@ -1,11 +1,11 @@
-"""How many calls to the store a fleet makes, and how old its tables get."""
+"""Number of calls of a fleet to the store, and the age of its tables."""
 
 import pytest
 
-from tests.topazlug.fleet import reading_replay
+from tests.topazlug.fleet import read_simulation
 from topazlug.fleet import _reading_plan
 
-# Bound of the largest deployments for a change to be in force, in seconds.
+# Bound of the largest deployments for a change to be in force.
 IN_FORCE_SECONDS = 4.0
 LARGE = (69, 195, 880)
 SIZES = (9, *LARGE)
@@ -15,169 +15,181 @@
     return _reading_plan.reader_count(count)
 
 
-def rate(count):
-    """Give the calls a second of a calm fleet, for one table."""
-    reading = count if count <= 16 else readers(count)
-    return reading / reading_replay.NEWS.reader_wait
+def calls_per_second(count):
+    """Return the calls per second for one table without any failure."""
+    reader_total = count if count <= 16 else readers(count)
+    return reader_total / read_simulation.BOUNDS.reader_wait
 
 
 def is_any(number):
     return True
 
 
-class TestCalm:
+class TestAvailableStore:
     @pytest.mark.parametrize("count", SIZES)
-    def test_a_few_read_for_all(self, count):
-        store = reading_replay.Store(changes=[5.0, 9.0, 9.05, 14.0])
-        fleet = reading_replay.Fleet(count, store).run(20.0)
-        assert fleet.lateness() < 1.0
-        reading = count if count <= 16 else readers(count)
-        # Four changes, and at the start all that were not yet read.
-        assert len(store.calls) <= 20.0 * rate(count) + 6 * reading + 2
+    def test_only_readers_call_the_store(self, count):
+        store = read_simulation.Store(changes=[5.0, 9.0, 9.05, 14.0])
+        fleet = read_simulation.Fleet(count, store).run(20.0)
+        assert fleet.max_propagation_delay() < 1.0
+        reader_total = count if count <= 16 else readers(count)
+        # Four changes, and the first reads at the start.
+        assert (
+            len(store.calls)
+            <= 20.0 * calls_per_second(count) + 6 * reader_total + 2
+        )
 
 
-class TestStoreIsAway:
+class TestUnavailableStore:
     @pytest.mark.parametrize("count", LARGE)
     def test_calls_stay_few(self, count):
-        """Symptom: a thousand calls in one second of an outage.
+        """Guards against a thousand calls per second during an outage.
 
-        Sequence: the store falls silent for all; readers say that they
-        lost it; all daemons turn to it at once, and again and again. Cause:
-        how many may was nobody's decision.
+        The store stops answering. When the readers report that they lost it,
+        the other daemons must not all call the store, once or repeatedly.
         """
-        store = reading_replay.Store(
-            changes=[5.0, 12.0, 16.0], away=[(8.0, 14.0, is_any)]
+        store = read_simulation.Store(
+            changes=[5.0, 12.0, 16.0], unavailable=[(8.0, 14.0, is_any)]
         )
-        fleet = reading_replay.Fleet(count, store).run(22.0)
+        fleet = read_simulation.Fleet(count, store).run(22.0)
         probes = 20.0 / 3
         substitutes = 2 * 5 / 0.6
         expected = readers(count) / 0.6 + substitutes + probes
         assert store.calls_between(8.0, 14.0) <= 6.0 * expected
-        assert fleet.lateness(since=16.0) < IN_FORCE_SECONDS
-        # What changed meanwhile is known soon after the store's return.
-        late = [daemon.known_at[2] for daemon in fleet.daemons]
-        assert max(late) < 14.0 + IN_FORCE_SECONDS
+        assert fleet.max_propagation_delay(since=16.0) < IN_FORCE_SECONDS
+        # A change during the outage arrives soon after the store's return.
+        known_at = [daemon.known_at[2] for daemon in fleet.daemons]
+        assert max(known_at) < 14.0 + IN_FORCE_SECONDS
 
     @pytest.mark.parametrize("count", SIZES)
     @pytest.mark.parametrize("seed", range(3))
-    def test_daemons_turned_away_hear_from_those_that_are_served(
-        self, count, seed
-    ):
-        """Symptom: a part of the fleet holds an old table for seconds.
+    def test_daemons_without_access_receive_changes(self, count, seed):
+        """Guards against tables that stay outdated in part of the fleet.
 
-        Sequence: the store turns away a third of the daemons, some readers
-        among them. Cause: nobody told them what the others read.
+        The store rejects a third of the daemons, including some readers.
+        These must receive the changes from the others.
         """
-        store = reading_replay.Store(
+        store = read_simulation.Store(
             changes=[5.0, 9.0, 12.0],
-            away=[(8.0, 16.0, lambda number: number % 3 == seed)],
+            unavailable=[(8.0, 16.0, lambda number: number % 3 == seed)],
         )
-        fleet = reading_replay.Fleet(count, store, seed=seed).run(18.0)
+        fleet = read_simulation.Fleet(count, store, seed=seed).run(18.0)
         among = fleet.daemons if count > 16 else None
         if among is None:
-            # Each daemon of a small fleet reads the store itself.
-            among = [one for one in fleet.daemons if one.number % 3 != seed]
-        assert fleet.lateness(among=among) < IN_FORCE_SECONDS
+            # Each daemon of a small fleet reads the store directly.
+            among = [
+                daemon for daemon in fleet.daemons if daemon.number % 3 != seed
+            ]
+        assert fleet.max_propagation_delay(among=among) < IN_FORCE_SECONDS
         if count > 16:
-            calm = 10.0 * rate(count) + 5 * readers(count)
+            calm = 10.0 * calls_per_second(count) + 5 * readers(count)
             again = 10.0 * readers(count) / 0.8
             assert store.calls_between(8.0, 18.0) <= calm + again
 
     @pytest.mark.parametrize("count", LARGE)
-    def test_all_readers_are_turned_away(self, count):
-        """The daemons that the store still serves are found by asking."""
-        few = readers(count)
-        store = reading_replay.Store(
-            changes=[5.0, 14.0], away=[(8.0, 20.0, lambda one: one < few)]
+    def test_all_readers_lose_access(self, count):
+        """Other daemons to which the store is available are found."""
+        n_readers = readers(count)
+        store = read_simulation.Store(
+            changes=[5.0, 14.0],
+            unavailable=[(8.0, 20.0, lambda number: number < n_readers)],
         )
-        fleet = reading_replay.Fleet(count, store).run(19.0)
-        assert fleet.lateness() < IN_FORCE_SECONDS
+        fleet = read_simulation.Fleet(count, store).run(19.0)
+        assert fleet.max_propagation_delay() < IN_FORCE_SECONDS
         substitutes = 2 * (12.0 / 0.2)
-        again = 12.0 * few / 0.6
+        again = 12.0 * n_readers / 0.6
         assert store.calls_between(8.0, 19.0) <= substitutes + again
 
 
-class TestHistoryIsForgotten:
+class TestLostHistory:
     @pytest.mark.parametrize("count", LARGE)
-    def test_one_reads_for_all(self, count):
-        store = reading_replay.Store(
-            changes=[5.0, 8.0, 12.0], forgets_at=[7.0, 10.0, 13.0]
+    def test_one_reader_reads_for_all(self, count):
+        store = read_simulation.Store(
+            changes=[5.0, 8.0, 12.0], history_lost_at=[7.0, 10.0, 13.0]
         )
-        fleet = reading_replay.Fleet(count, store).run(18.0)
-        assert fleet.lateness() < 1.0
+        fleet = read_simulation.Fleet(count, store).run(18.0)
+        assert fleet.max_propagation_delay() < 1.0
         extra = 3 * readers(count) + 6 * readers(count) + 2
-        assert len(store.calls) <= 18.0 * rate(count) + extra
+        assert len(store.calls) <= 18.0 * calls_per_second(count) + extra
 
 
-class TestStoreIsSlow:
+class TestSlowStore:
     @pytest.mark.parametrize("count", LARGE)
     def test_calls_stay_few(self, count):
-        store = reading_replay.Store(
+        store = read_simulation.Store(
             changes=[5.0, 9.0, 12.0], slow=[(7.0, 14.0, 0.25)]
         )
-        fleet = reading_replay.Fleet(count, store).run(18.0)
-        assert fleet.lateness() < 1.5
-        assert len(store.calls) <= 18.0 * rate(count) + 6 * readers(count) + 2
+        fleet = read_simulation.Fleet(count, store).run(18.0)
+        assert fleet.max_propagation_delay() < 1.5
+        assert (
+            len(store.calls)
+            <= 18.0 * calls_per_second(count) + 6 * readers(count) + 2
+        )
 
 
-class TestStartingAgain:
+class TestRestart:
     @pytest.mark.parametrize("count", LARGE)
-    def test_readers_that_start_again_send_nobody_to_the_store(self, count):
-        """Symptom: thousands of calls after a loss of power.
+    def test_restarting_readers_cause_no_direct_calls(self, count):
+        """Guards against thousands of calls after a power loss.
 
-        Sequence: all daemons start again; readers, which have read nothing
-        yet, refuse connections for a moment. Cause: a refusal was taken for
-        being cut off, and each daemon turned to the store for seconds.
+        All daemons restart, and readers refuse connections for a moment. A
+        daemon must not conclude from this that it is cut off and read the
+        store directly for seconds.
         """
-        few = readers(count)
-        store = reading_replay.Store(changes=[5.0, 8.3, 14.0])
-        fleet = reading_replay.Fleet(
+        n_readers = readers(count)
+        store = read_simulation.Store(changes=[5.0, 8.3, 14.0])
+        fleet = read_simulation.Fleet(
             count,
             store,
-            refusing=[
-                (8.0, 8.9, lambda one: one < few),
-                (8.0, 8.6, lambda one: one >= few),
+            refusing_connections=[
+                (8.0, 8.9, lambda number: number < n_readers),
+                (8.0, 8.6, lambda number: number >= n_readers),
             ],
         ).run(16.0)
-        assert fleet.lateness() < IN_FORCE_SECONDS
-        # Daemons of the order may be asked in place of readers for a while.
+        assert fleet.max_propagation_delay() < IN_FORCE_SECONDS
+        # Substitutes may be tried in place of readers for a while.
         substitutes = 2 * 1.0 / 0.2
-        calm = 8.0 * rate(count) + 4 * few
-        assert store.calls_between(8.0, 16.0) <= calm + substitutes + 2 * few
+        calm = 8.0 * calls_per_second(count) + 4 * n_readers
+        assert (
+            store.calls_between(8.0, 16.0)
+            <= calm + substitutes + 2 * n_readers
+        )
 
 
-class TestDarkDaemons:
+class TestUnresponsiveDaemons:
     @pytest.mark.parametrize("count", LARGE)
-    def test_all_readers_go_dark(self, count):
-        """Symptom: tables stay old when the few that read them are gone."""
-        few = readers(count)
-        store = reading_replay.Store(
-            changes=[5.0, 14.0], away=[(8.0, 99.0, lambda one: one < few)]
+    def test_all_readers_become_unresponsive(self, count):
+        """Guards against outdated tables after the loss of all readers."""
+        n_readers = readers(count)
+        store = read_simulation.Store(
+            changes=[5.0, 14.0],
+            unavailable=[(8.0, 99.0, lambda number: number < n_readers)],
         )
-        fleet = reading_replay.Fleet(
-            count, store, dark=[(8.0, 99.0, lambda one: one < few)]
+        fleet = read_simulation.Fleet(
+            count,
+            store,
+            unresponsive=[(8.0, 99.0, lambda number: number < n_readers)],
         ).run(22.0)
-        alive = fleet.daemons[few:]
-        assert fleet.lateness(among=alive) < IN_FORCE_SECONDS
+        alive = fleet.daemons[n_readers:]
+        assert fleet.max_propagation_delay(among=alive) < IN_FORCE_SECONDS
 
     @pytest.mark.parametrize("count", LARGE)
-    def test_daemon_that_is_cut_off_asks_the_store(self, count):
-        """Symptom: a daemon that the store serves has an old table.
+    def test_isolated_daemon_reads_the_store(self, count):
+        """Guards against an outdated table although the store is available.
 
-        Sequence: the way to all other daemons is cut, that to the store is
-        not. Cause: silence of peers was taken for the store's.
+        A daemon is cut off from all others but not from the store. It must
+        not conclude that the store is lost because no peer answers.
         """
-        store = reading_replay.Store(changes=[5.0, 14.0])
-        fleet = reading_replay.Fleet(count, store)
-        alone = fleet.daemons[-1]
-        ask = alone._ask
+        store = read_simulation.Store(changes=[5.0, 14.0])
+        fleet = read_simulation.Fleet(count, store)
+        isolated = fleet.daemons[-1]
+        read_peer = isolated._read_peer
 
         def cut_off(name, wait):
             if fleet.clock.now < 8.0:
-                return (yield from ask(name, wait))
-            yield reading_replay.SILENT_PEER_SECONDS
-            return _reading_plan.Outcome.SILENT
+                return (yield from read_peer(name, wait))
+            yield read_simulation.PEER_TIMEOUT_SECONDS
+            return _reading_plan.Outcome.NO_ANSWER
 
-        alone._ask = cut_off
+        isolated._read_peer = cut_off
         fleet.run(22.0)
-        assert fleet.lateness(among=[alone]) < IN_FORCE_SECONDS
+        assert fleet.max_propagation_delay(among=[isolated]) < IN_FORCE_SECONDS
--- a/tests/topazlug/fleet/test_row_reader.py
+++ b/tests/topazlug/fleet/test_row_reader.py
@@ -1,4 +1,4 @@
-"""Rows that another writer has spoilt, and what is said of them."""
+"""Decoding and logging of rows with invalid data."""
 
 import logbook
 import pytest
@@ -20,7 +20,7 @@
 
 
 class TestRowReader:
-    def test_bad_row_leaves_the_others(self, reader):
+    def test_invalid_row_does_not_affect_others(self, reader):
         assert reader.read({"a": b"1", "b": b"x", "c": b"3"}) == [1, 3]
 
     def test_unchanged_row_is_not_decoded_again(self, clock):
@@ -34,11 +34,10 @@
         reader.read({"a": b"1", "b": b"3"})
         assert decoded == ["a", "b", "b"]
 
-    def test_spoilt_row_is_told_of_once_in_a_while(self, reader, clock):
-        """Symptom: one row fills the log.
+    def test_invalid_row_is_logged_once_per_interval(self, reader, clock):
+        """Guards against a row that floods the log.
 
-        Sequence: another writer changes a spoilt row ten times a second.
-        Cause: each change was told of.
+        Another writer replaces an invalid row ten times a second.
         """
         with logbook.TestHandler() as handler:
             for number in range(200):
@@ -46,7 +45,7 @@
                 clock.advance(0.1)
         assert len(handler.records) == 1
 
-    def test_many_spoilt_rows_are_told_of_in_part(self, reader):
+    def test_number_of_logged_rows_is_limited(self, reader):
         with logbook.TestHandler() as handler:
             reader.read({str(number): b"x" for number in range(500)})
         assert 0 < len(handler.records) <= 20
--- a/tests/topazlug/fleet/test_table_copy.py
+++ b/tests/topazlug/fleet/test_table_copy.py
@@ -1,4 +1,4 @@
-"""A copy of a table, and what it still knows of its changes."""
+"""Replacing and changing a copy of a table, and the changes that it keeps."""
 
 import pytest
 
@@ -15,9 +15,9 @@
 
 @pytest.fixture
 def copy():
-    made = _table_copy.TableCopy("op")
-    made.replace(changes(5, Row("a", b"1"), Row("b", b"1")))
-    return made
+    table_copy = _table_copy.TableCopy("op")
+    table_copy.replace(changes(5, Row("a", b"1"), Row("b", b"1")))
+    return table_copy
 
 
 class TestTableCopy:
@@ -27,8 +27,8 @@
         assert copy.rows() == [Row("b", b"2")]
         assert copy.version == 8
 
-    def test_older_table_is_refused(self, copy):
-        """Keys that were taken away would be let in again."""
+    def test_older_table_is_rejected(self, copy):
+        """Guards against revoked keys that become valid again."""
         with pytest.raises(_errors.StoreUnavailable):
             copy.replace(changes(4, Row("a", b"0")))
         assert copy.data_by_key["a"] == b"1"
@@ -40,11 +40,11 @@
         assert copy.since(8) == [Row("c", b"1")]
         assert copy.since(9) == []
 
-    def test_changes_before_the_whole_table_are_not_known(self, copy):
+    def test_changes_before_the_whole_table_are_not_kept(self, copy):
         assert copy.since(4) is None
 
-    def test_oldest_changes_are_forgotten(self, copy):
-        for version in range(6, 6 + 2 * _table_copy.KEPT_CHANGES):
+    def test_oldest_changes_are_discarded(self, copy):
+        for version in range(6, 6 + 2 * _table_copy.MAX_KEPT_CHANGES):
             copy.apply(changes(version, Row("b", b"%d" % version)))
         assert copy.since(6) is None
         assert len(copy.since(copy.version - 10)) == 10
--- a/tests/topazlug/fleet/test_table_feed.py
+++ b/tests/topazlug/fleet/test_table_feed.py
@@ -1,4 +1,4 @@
-"""A copy of a table that is whole and never goes back."""
+"""Keeping a complete copy of a table that never returns to older rows."""
 
 import gevent
 from gevent import event
@@ -24,7 +24,7 @@
             source=self.store,
             table=TABLE,
             wait=lambda: wait,
-            follower=_table_feed.TableListener(
+            listener=_table_feed.TableListener(
                 changed=lambda data: self.seen.append(dict(data)),
                 recovered=self._count,
             ),
@@ -34,7 +34,7 @@
         )
         self.greenlet = gevent.spawn(self.feed.run)
 
-    def _count(self, lost_since):
+    def _count(self, seconds_since_failure):
         self.recovered += 1
 
     def wait_for(self, data):
@@ -45,17 +45,17 @@
 
 @pytest.fixture
 def rig():
-    made = Rig()
-    yield made
-    made.greenlet.kill()
+    new_rig = Rig()
+    yield new_rig
+    new_rig.greenlet.kill()
 
 
-class TestFault:
-    def test_fault_in_taking_rows_ends_no_feed(self):
-        """Symptom: a daemon takes no news while one row stays.
+class TestListenerError:
+    def test_listener_error_does_not_end_the_feed(self):
+        """Guards against a row that blocks all further changes.
 
-        Sequence: taking the rows raises; the feed starts again a second
-        later and meets the same rows. Cause: the error ended the feed.
+        The listener raises on the rows. If the error ended the feed, it
+        would restart a second later and fail on the same rows.
         """
         rig = Rig()
         try:
@@ -67,7 +67,7 @@
                     raise RecursionError("nested too deeply")
                 taken(dict(data))
 
-            rig.feed._follower.changed = fail
+            rig.feed._listener.changed = fail
             rig.store.put(TABLE, "a", b"bad")
             rig.store.put(TABLE, "a", b"good")
             rig.wait_for({"a": b"good"})
@@ -85,48 +85,47 @@
         rig.store.drop(TABLE, "a")
         rig.wait_for({"b": b"2"})
 
-    def test_lost_history_is_read_whole(self, rig):
+    def test_whole_table_is_read_after_lost_history(self, rig):
         rig.wait_for({})
         rig.store.is_unavailable = True
-        routing_fixtures.wait_until(lambda: not rig.feed.in_contact)
+        routing_fixtures.wait_until(lambda: not rig.feed.is_connected)
         rig.store.is_unavailable = False
         rig.store.put(TABLE, "a", b"1")
-        rig.store.forgotten = rig.store.version + 1
+        rig.store.oldest_version = rig.store.version + 1
         rig.wait_for({"a": b"1"})
         assert rig.recovered == 1
 
-    def test_older_copy_is_refused(self, rig):
-        """Symptom: a replica that left gets requests again.
+    def test_older_table_is_rejected(self, rig):
+        """Guards against new requests to a replica that has left.
 
-        Sequence: the store drops its history; the copy that is read next
-        is from before the replica left. Cause: it was taken as it is.
+        The store drops its history, and the next read of the whole table
+        returns rows from before the replica left.
         """
         rig.store.put(TABLE, "a", b"1")
         rig.wait_for({"a": b"1"})
         rig.store.drop(TABLE, "a")
         rig.wait_for({})
-        rig.store.stale = _table_source.TableChanges(
+        rig.store.stale_answer = _table_source.TableChanges(
             1, [_table_source.Row("a", b"1")]
         )
-        rig.store.forgotten = rig.store.version + 1
-        # Two reads: the first was refused, or else taken and told.
-        routing_fixtures.wait_until(lambda: rig.store.stale_reads >= 2)
-        rig.store.stale = None
-        rig.store.forgotten = 0
+        rig.store.oldest_version = rig.store.version + 1
+        # At the second read the first answer has been rejected or applied.
+        routing_fixtures.wait_until(lambda: rig.store.stale_read_count >= 2)
+        rig.store.stale_answer = None
+        rig.store.oldest_version = 0
         rig.store.put(TABLE, "b", b"2")
         rig.wait_for({"b": b"2"})
         assert {"a": b"1"} not in rig.seen[1:]
 
 
-class TestAfterALoss:
+class TestAfterLoss:
     def test_first_call_does_not_wait(self):
-        """Symptom: a replica gets requests 2.1 s after it left.
+        """Guards against requests to a replica 2.1 s after it left.
 
-        Sequence: the store is back after an outage and has no news; the
-        feed's call waits 3 s for some, until a replica leaves. Only then
-        the feed notes that the store is back, and keeps the replica for
-        two seconds as one whose entry may have lapsed with the store.
-        Cause: contact was noted with the answer to a call that waits.
+        The store is back after an outage without changes, and the feed's
+        call waits 3 s for some until a replica leaves. If the feed detected
+        the return of the store only then, it would keep the replica for two
+        seconds because its entry might have expired during the outage.
         """
         waits = []
 
@@ -138,7 +137,7 @@
         rig = Rig(store=Tables(), wait=0.5)
         rig.wait_for({})
         rig.store.is_unavailable = True
-        routing_fixtures.wait_until(lambda: not rig.feed.in_contact)
+        routing_fixtures.wait_until(lambda: not rig.feed.is_connected)
         waits.clear()
         rig.store.is_unavailable = False
         routing_fixtures.wait_until(lambda: rig.recovered == 1)
@@ -146,14 +145,14 @@
         rig.greenlet.kill()
 
 
-class TestPauses:
-    def test_return_of_the_store_is_seen_soon(self):
-        """Symptom: a replica gets requests 3 s after it left.
+class TestRetries:
+    def test_pauses_between_retries_stay_short(self):
+        """Guards against requests to a replica 3 s after it left.
 
-        Sequence: a daemon is cut off for 12 s; a replica leaves as the cut
-        heals. The daemon tries the store again 1 s later, and keeps the
-        replica for 2 s more, as one whose entry may have lapsed with the
-        store. Cause: the pauses between its tries had grown to 0.8 s.
+        A daemon is cut off for 12 s, and a replica leaves when that ends. If
+        the pauses between retries grow to 0.8 s, the daemon calls the store
+        1 s later and keeps the replica for 2 s more, because its entry might
+        have expired during the outage.
         """
 
         class Clock:
@@ -173,7 +172,7 @@
             source=store,
             table=TABLE,
             wait=lambda: 1.0,
-            follower=_table_feed.TableListener(changed=lambda data: None),
+            listener=_table_feed.TableListener(changed=lambda data: None),
             clock=Clock(),
         )
         gevent.spawn(feed.run).join()
@@ -181,8 +180,8 @@
         assert max(Clock.slept) <= 0.25
 
 
-class TestForOthers:
-    def test_waits_for_news(self, rig):
+class TestChangesSince:
+    def test_waits_for_changes(self, rig):
         rig.store.put(TABLE, "a", b"1")
         rig.wait_for({"a": b"1"})
         version = rig.feed.version
@@ -193,11 +192,11 @@
         assert [row.key for row in found.rows] == ["b"]
         assert found.version > version
 
-    def test_nothing_while_the_store_is_lost(self, rig):
-        """Symptom: daemons keep an old table while their own way is free.
+    def test_returns_none_while_the_store_is_lost(self, rig):
+        """Guards against outdated tables while the store is available.
 
-        Sequence: the relay is cut off from the store and goes on to say
-        that nothing is new. Cause: its contact was not asked for.
+        A relay that is cut off from the store must not report that there
+        are no changes.
         """
         rig.wait_for({})
         waiting = gevent.spawn(
@@ -207,12 +206,12 @@
         rig.store.is_unavailable = True
         assert waiting.get(timeout=10) is None
 
-    def test_all_rows_for_who_lags_too_much(self, rig):
-        """Symptom: the store refuses calls after it dropped its history.
+    def test_returns_all_rows_if_changes_are_not_kept(self, rig):
+        """Guards against too many calls after the store dropped its history.
 
-        Sequence: relays read the table whole and keep no changes from
-        before; what other daemons hold is older. Cause: each of them was
-        sent to the store.
+        Relays read the whole table and have no changes from before, while
+        the copies of other daemons are older. These daemons must not all
+        call the store.
         """
         rig.store.put(TABLE, "a", b"1")
         rig.wait_for({"a": b"1"})
@@ -224,35 +223,35 @@
             age=found.age,
         )
 
-    def test_all_rows_replace_what_is_held(self, rig):
+    def test_whole_answer_replaces_the_copy(self, rig):
         rig.store.put(TABLE, "a", b"1")
         rig.wait_for({"a": b"1"})
         version = rig.store.version + 1
-        rig.store.whole = _table_source.TableChanges(
+        rig.store.whole_answer = _table_source.TableChanges(
             version, [_table_source.Row("b", b"2")], whole=True
         )
         rig.wait_for({"b": b"2"})
         assert rig.feed.version == version
 
-    def test_older_rows_are_refused(self, rig):
+    def test_older_whole_answer_is_rejected(self, rig):
         rig.store.put(TABLE, "a", b"1")
         rig.store.put(TABLE, "a", b"2")
         rig.wait_for({"a": b"2"})
-        rig.store.whole = _table_source.TableChanges(
+        rig.store.whole_answer = _table_source.TableChanges(
             1, [_table_source.Row("a", b"1")], whole=True
         )
-        routing_fixtures.wait_until(lambda: not rig.feed.in_contact)
-        rig.store.whole = None
+        routing_fixtures.wait_until(lambda: not rig.feed.is_connected)
+        rig.store.whole_answer = None
         rig.store.put(TABLE, "b", b"3")
         rig.wait_for({"a": b"2", "b": b"3"})
 
 
-class TestGap:
-    def test_changes_in_quick_succession_come_in_few_calls(self):
-        """Symptom: the store refuses calls while a fleet starts.
+class TestMinInterval:
+    def test_rapid_changes_arrive_in_few_calls(self):
+        """Guards against too many calls while a fleet starts.
 
-        Sequence: replicas register one after the other; each daemon hears
-        of each by a call of its own. Cause: the next call was made at once.
+        Replicas register one after the other. Without a minimum interval
+        each daemon makes one call per replica.
         """
         rig = Rig(wait=0.02, min_interval=0.2)
         rig.wait_for({})
@@ -267,106 +266,105 @@
 
 
 class Source(store_fakes.FakeTables):
-    """A store whose feed is silent from some moment on."""
+    """A store that stops answering waiting calls once `is_stalled` is set."""
 
     def __init__(self):
         super().__init__()
-        self.is_silent = False
+        self.is_stalled = False
         self.is_due = True
-        self.is_waiting = event.Event()
-        self.is_answering = event.Event()
+        self.has_call_waiting = event.Event()
+        self.may_answer = event.Event()
 
-    def is_worth_asking(self):
+    def is_store_due(self):
         return self.is_due
 
     def changes(self, table, *, after, wait, age=0.0):
-        if self.is_silent:
-            self.is_waiting.set()
-            self.is_answering.wait()
+        if self.is_stalled:
+            self.has_call_waiting.set()
+            self.may_answer.wait()
         return super().changes(table, after=after, wait=wait)
 
     def changes_now(self, table, *, after):
         return super().changes(table, after=after, wait=0.0)
 
 
-class TestSilentStore:
-    """Symptom: daemons use a replica for seconds after it has left.
+class TestStalledStore:
+    """Guards against using a replica for seconds after it has left.
 
-    Sequence of events: the store takes a call that waits for news, and never
-    answers it. The daemon that made it goes on to tell others that there are
-    none. Cause: nothing bounded the age of its word.
+    The store never answers a call that waits for changes. Unless the age of
+    its copy is bounded, the daemon that made the call goes on to report to
+    others that there are no changes.
     """
 
     @pytest.fixture
-    def silent(self):
+    def stalled(self):
         rig = Rig(store=Source(), validity=0.2)
         rig.wait_for({})
-        rig.store.is_silent = True
-        assert rig.store.is_waiting.wait(timeout=10)
+        rig.store.is_stalled = True
+        assert rig.store.has_call_waiting.wait(timeout=10)
         rig.store.put(TABLE, "a", b"1")
         yield rig
         rig.greenlet.kill()
 
-    def test_old_word_is_not_given(self, silent):
-        silent.store.is_due = False
+    def test_expired_copy_is_not_served(self, stalled):
+        stalled.store.is_due = False
         waiting = gevent.spawn(
-            silent.feed.changes_since, silent.feed.version, wait=30.0
+            stalled.feed.changes_since, stalled.feed.version, wait=30.0
         )
         assert waiting.get(timeout=10) is None
-        assert silent.feed.in_contact
+        assert stalled.feed.is_connected
 
-    def test_store_is_asked_for_others(self, silent):
-        silent.feed.catch_up(longest=5.0)
-        found = silent.feed.changes_since(0, wait=0.0)
+    def test_catch_up_reads_the_store(self, stalled):
+        stalled.feed.catch_up(timeout=5.0)
+        found = stalled.feed.changes_since(0, wait=0.0)
         assert [row.key for row in found.rows] == ["a"]
-        silent.wait_for({"a": b"1"})
-
-    def test_nothing_is_asked_just_after_the_store_was_lost(self, silent):
-        silent.store.is_due = False
-        calls = silent.store.calls
-        silent.feed.catch_up(longest=5.0)
-        assert silent.store.calls == calls
-
-    def test_all_who_ask_share_one_call(self, silent):
-        calls = silent.store.calls
-        asking = [
-            gevent.spawn(silent.feed.catch_up, longest=5.0) for _ in range(9)
+        stalled.wait_for({"a": b"1"})
+
+    def test_catch_up_waits_after_a_failed_call(self, stalled):
+        stalled.store.is_due = False
+        calls = stalled.store.calls
+        stalled.feed.catch_up(timeout=5.0)
+        assert stalled.store.calls == calls
+
+    def test_concurrent_catch_ups_share_one_call(self, stalled):
+        calls = stalled.store.calls
+        callers = [
+            gevent.spawn(stalled.feed.catch_up, timeout=5.0) for _ in range(9)
         ]
-        gevent.joinall(asking, timeout=10)
-        assert silent.store.calls == calls + 1
+        gevent.joinall(callers, timeout=10)
+        assert stalled.store.calls == calls + 1
 
-    def test_later_rows_are_not_undone(self, silent):
-        """Symptom: a replica that has left is used again.
+    def test_late_answer_does_not_revert_the_copy(self, stalled):
+        """Guards against using a replica again that has left.
 
-        Sequence: a call for others is on its way; the feed's own brings
-        what it will bring, and a later change of the same row. Cause: rows
-        were taken in the order in which they came.
+        While a call of `catch_up` is in progress, the feed's own call returns
+        the same change and a later one of the same row. The answer that
+        arrives last is the older one.
         """
-        now = silent.store.changes_now
+        changes_now = stalled.store.changes_now
 
         def answer_late(table, *, after):
-            answer = now(table, after=after)
-            silent.store.put(TABLE, "a", b"2")
-            silent.store.is_silent = False
-            silent.store.is_answering.set()
-            silent.wait_for({"a": b"2"})
+            answer = changes_now(table, after=after)
+            stalled.store.put(TABLE, "a", b"2")
+            stalled.store.is_stalled = False
+            stalled.store.may_answer.set()
+            stalled.wait_for({"a": b"2"})
             return answer
 
-        silent.store.changes_now = answer_late
-        silent.feed.catch_up(longest=5.0)
-        assert silent.seen[-1] == {"a": b"2"}
+        stalled.store.changes_now = answer_late
+        stalled.feed.catch_up(timeout=5.0)
+        assert stalled.seen[-1] == {"a": b"2"}
 
-    def test_rows_that_are_left_out_are_no_word_of_the_store(self, silent):
-        """Symptom: others are told that there are no news, and there are.
+    def test_ignored_answer_does_not_update_the_age(self, stalled):
+        """Guards against reporting to others that there are no changes.
 
-        Sequence: an answer is left out, as the copy has moved on; the copy
-        counts as being as new as that answer. Cause: what was left out was
-        taken for contact.
+        An answer is ignored because the copy has changed since the call. The
+        copy must not count as being as new as that answer.
         """
-        before = silent.feed._direct_at
+        before = stalled.feed._store_answered_at
         later = _table_source.TableChanges(
             9, [_table_source.Row("b", b"9")], age=0.0
         )
-        silent.feed._take_changes(later, after=silent.feed.version - 1)
-        assert silent.feed._direct_at == before
-        assert silent.feed.version < 9
+        stalled.feed._apply_changes(later, after=stalled.feed.version - 1)
+        assert stalled.feed._store_answered_at == before
+        assert stalled.feed.version < 9
--- a/tests/topazlug/fleet/test_table_relay.py
+++ b/tests/topazlug/fleet/test_table_relay.py
@@ -1,4 +1,4 @@
-"""News by way of a reader, and without it."""
+"""Reading a table through readers, and without them."""
 
 import gevent
 import logbook
@@ -16,20 +16,20 @@
 from topazlug.peers import _peers
 
 TABLE = "op"
-READERS = [_ids.DaemonId(f"reader-{one}") for one in range(3)]
-FOLLOWER = _ids.DaemonId("follower")
-OTHERS = [_ids.DaemonId(f"other-{one}") for one in range(20)]
+READERS = [_ids.DaemonId(f"reader-{number}") for number in range(3)]
+NON_READER = _ids.DaemonId("follower")
+OTHERS = [_ids.DaemonId(f"other-{number}") for number in range(20)]
 
 
 class Directory:
     is_small = False
 
     def reading_order(self):
-        return [*READERS, *OTHERS, FOLLOWER]
+        return [*READERS, *OTHERS, NON_READER]
 
 
 class Rig:
-    """Three readers of one store, and a follower with a store of its own."""
+    """Three readers of one store, and a non-reader with its own store."""
 
     def __init__(self):
         self.store = store_fakes.FakeTables()
@@ -39,9 +39,9 @@
         self.link_by_name = {}
         self.feeds = [self._reader(name) for name in READERS]
         self.direct = store_fakes.FakeTables()
-        self.source = self._source(FOLLOWER, self.direct)
+        self.source = self._source(NON_READER, self.direct)
         routing_fixtures.wait_until(
-            lambda: all(feed.in_contact for feed in self.feeds)
+            lambda: all(feed.is_connected for feed in self.feeds)
         )
 
     def _source(self, name, store):
@@ -60,14 +60,14 @@
             table=TABLE,
             wait=lambda: 0.02,
             pace=_table_feed.Pace(max_pause=0.05),
-            follower=_table_feed.TableListener(changed=lambda data: None),
+            listener=_table_feed.TableListener(changed=lambda data: None),
             clock=self.clock,
         )
         links = self.link_by_name[name]
         server = _table_relay.RelayServer(
-            links=links, asked=lambda table: None
+            links=links, on_miss=lambda table: None
         )
-        server.offer(feed)
+        server.add_feed(feed)
         self.greenlets.append(gevent.spawn(feed.run))
         return feed
 
@@ -91,26 +91,26 @@
 
 @pytest.fixture
 def rig():
-    made = Rig()
-    yield made
-    made.stop()
+    new_rig = Rig()
+    yield new_rig
+    new_rig.stop()
 
 
-class TestFollower:
-    def test_news_come_without_the_store(self, rig):
-        asked = gevent.spawn(
+class TestNonReader:
+    def test_changes_arrive_without_the_store(self, rig):
+        on_miss = gevent.spawn(
             rig.source.changes, TABLE, after=rig.feeds[0].version, wait=5.0
         )
         gevent.sleep(0.05)
         rig.store.put(TABLE, "config", b"7")
-        found = asked.get(timeout=10)
+        found = on_miss.get(timeout=10)
         assert [(row.key, row.data) for row in found.rows] == [
             ("config", b"7")
         ]
         assert found.relayed
         assert rig.direct.calls == 0
 
-    def test_whole_table_comes_without_the_store(self, rig):
+    def test_whole_table_arrives_without_the_store(self, rig):
         rig.store.put(TABLE, "config", b"7")
         version = rig.store.version
         routing_fixtures.wait_until(
@@ -121,110 +121,122 @@
         assert found.version == version
         assert rig.direct.calls == 0
 
-    def test_readers_that_lost_the_store_send_nobody_to_it(self, rig):
-        """Symptom: 1,000 calls in the second in which the store goes.
+    def test_no_direct_calls_if_readers_lost_the_store(self, rig):
+        """Guards against 1,000 calls in the second of losing the store.
 
-        Sequence: all readers lose the store; each daemon that asks them
-        turns to it. Cause: nothing decided how many may.
+        All readers lose the store. The daemons that read from them must not
+        all call the store.
         """
         rig.store.is_unavailable = True
         routing_fixtures.wait_until(
-            lambda: not any(feed.in_contact for feed in rig.feeds)
+            lambda: not any(feed.is_connected for feed in rig.feeds)
         )
         with pytest.raises(_errors.StoreUnavailable):
             rig.source.changes(TABLE, after=0, wait=1.0)
         assert rig.direct.calls == 0
 
-    def test_silent_readers_are_passed_over(self, rig):
-        """Symptom: a daemon's table is old while its readers are frozen.
+    def test_unresponsive_readers_are_skipped(self, rig):
+        """Guards against an outdated table while the readers are frozen.
 
-        Cause: the ask to a reader had no bound of its own, and a daemon
-        that is cut off from all of them went from one to the next.
+        Each request to a reader needs a timeout, and a daemon that is cut
+        off from all readers must not wait for one after the other.
         """
         for name in READERS:
             rig.link_by_name[name].handle(
                 _table_relay.messages.ChangesAsk, lambda *message: None
             )
         rig.direct.put(TABLE, "config", b"8")
-        began = rig.clock.monotonic()
+        started_at = rig.clock.monotonic()
         found = rig.source.changes(TABLE, after=0, wait=1.0)
         assert [row.data for row in found.rows] == [b"8"]
         assert not found.relayed
-        assert rig.clock.monotonic() - began < 10.0
+        assert rig.clock.monotonic() - started_at < 10.0
 
     def test_same_rows_are_packed_once(self, rig, monkeypatch):
         packed = []
         compress = _table_relay.zlib.compress
 
-        def counted(body):
+        def counting_compress(body):
             packed.append(body)
             return compress(body)
 
-        monkeypatch.setattr(_table_relay.zlib, "compress", counted)
-        links = rig.link_by_name[FOLLOWER]
+        monkeypatch.setattr(_table_relay.zlib, "compress", counting_compress)
+        links = rig.link_by_name[NON_READER]
         rig.store.put(TABLE, "config", b"7")
         routing_fixtures.wait_until(lambda: rig.feeds[0].version == 1)
-        ask = _table_relay.messages.ChangesAsk(table=TABLE, after=0, wait=1.0)
-        answers = [links.call(READERS[0], ask, timeout=5.0) for _ in range(3)]
+        request = _table_relay.messages.ChangesAsk(
+            table=TABLE, after=0, wait=1.0
+        )
+        answers = [
+            links.call(READERS[0], request, timeout=5.0) for _ in range(3)
+        ]
         assert len({answer.packed for answer in answers}) == 1
         assert len(packed) == 1
 
 
 class TestReader:
-    def test_one_that_is_turned_away_hears_from_another(self, rig):
-        """Symptom: a reader's own table is old while the store serves others.
+    def test_reader_without_store_reads_from_another(self, rig):
+        """Guards against an outdated table of a reader.
 
-        Sequence: the store turns one reader away and serves the rest.
-        Cause: a reader knew no way but its own.
+        The store does not serve one reader but serves the others, so the
+        reader must read from one of them.
         """
-        away = store_fakes.FakeTables()
-        away.is_unavailable = True
-        source = rig._source(READERS[0], away)
+        lost_store = store_fakes.FakeTables()
+        lost_store.is_unavailable = True
+        source = rig._source(READERS[0], lost_store)
         rig.store.put(TABLE, "config", b"9")
         found = source.changes(TABLE, after=0, wait=1.0)
         assert [row.data for row in found.rows] == [b"9"]
         assert found.relayed
 
-    def test_loss_that_another_covers_is_logged_once(self, rig):
-        """Symptom: a daemon's table is old, and its log says nothing."""
-        away = store_fakes.FakeTables()
-        away.is_unavailable = True
-        source = rig._source(READERS[0], away)
+    def test_loss_is_logged_once_despite_relayed_answers(self, rig):
+        """Guards against an outdated table without any log line."""
+        lost_store = store_fakes.FakeTables()
+        lost_store.is_unavailable = True
+        source = rig._source(READERS[0], lost_store)
         rig.store.put(TABLE, "config", b"9")
         with logbook.TestHandler() as handler:
             for _ in range(2):
                 source.changes(TABLE, after=0, wait=0.0)
-                rig.clock.sleep(_reading_plan.STORE_AGAIN_SECONDS)
-            away.is_unavailable = False
+                rig.clock.sleep(_reading_plan.STORE_RETRY_SECONDS)
+            lost_store.is_unavailable = False
             for name in READERS[1:]:
                 rig.link_by_name[name].stop()
             routing_fixtures.wait_until(
                 lambda: not source.changes(TABLE, after=0, wait=0.0).relayed
             )
-        told = [record.message for record in handler.records]
-        assert len([one for one in told if "no answer of the" in one]) == 1
-        assert len([one for one in told if "the store answers" in one]) == 1
+        logged = [record.message for record in handler.records]
+        assert (
+            len(
+                [number for number in logged if "no answer from the" in number]
+            )
+            == 1
+        )
+        assert (
+            len([number for number in logged if "the store answers" in number])
+            == 1
+        )
 
-    def test_one_that_hears_from_another_tells_nobody(self, rig):
-        """Symptom: a change never arrives, though all are in contact.
+    def test_relayed_answers_do_not_extend_validity(self, rig):
+        """Guards against a change that never arrives.
 
-        Sequence: two readers lose the store and each hears from the other
-        that there is no news. Cause: what came from a peer was passed on
-        as if the store had just said it.
+        Two readers lose the store, and each receives from the other that
+        there are no changes. An answer of a peer must not be relayed as if
+        the store had just given it.
         """
         feed = rig.feeds[0]
         assert feed.changes_since(feed.version, wait=0.0) is not None
-        feed._source = Relayed(feed.version, clock=rig.clock)
+        feed._source = RelayingSource(feed.version, clock=rig.clock)
         routing_fixtures.wait_until(
             lambda: feed.changes_since(feed.version, wait=0.0) is None
         )
-        assert feed.in_contact
+        assert feed.is_connected
 
-    def test_word_of_the_store_is_passed_on_with_its_age(self, rig):
-        """A reader that another one tells of the store tells it on."""
+    def test_newer_relayed_answers_extend_validity(self, rig):
+        """A reader may relay answers while the store answers another one."""
         feed = rig.feeds[0]
-        feed._vouched = 0.5
-        source = Relayed(feed.version, clock=rig.clock, renewed=True)
+        feed._validity = 0.5
+        source = RelayingSource(feed.version, clock=rig.clock, is_renewed=True)
         feed._source = source
         routing_fixtures.wait_until(
             lambda: source.answered_at - source.began_at > 1.0
@@ -234,24 +246,24 @@
         )
 
 
-class Relayed:
-    """A daemon that has heard of the store, once or again and again."""
+class RelayingSource:
+    """A daemon that got an answer of the store once or repeatedly."""
 
-    def __init__(self, version, *, clock, renewed=False):
+    def __init__(self, version, *, clock, is_renewed=False):
         self.version = version
         self._clock = clock
-        self._renewed = renewed
-        self._heard_at = clock.monotonic()
+        self._is_renewed = is_renewed
+        self._store_answered_at = clock.monotonic()
         self.began_at = self.answered_at = clock.monotonic()
 
     def changes(self, table, *, after, wait, age):
         gevent.sleep(0.01)
         self.answered_at = self._clock.monotonic()
-        if self._renewed:
-            self._heard_at = self._clock.monotonic() - 0.1
+        if self._is_renewed:
+            self._store_answered_at = self._clock.monotonic() - 0.1
         return _table_relay._table_source.TableChanges(
             self.version,
             [],
             relayed=True,
-            age=self._clock.monotonic() - self._heard_at,
+            age=self._clock.monotonic() - self._store_answered_at,
         )
