--- a/src/topazlug/fleet/_table_copy.py
+++ b/src/topazlug/fleet/_table_copy.py
@@ -51,8 +51,8 @@
         """
         if answer.version < self.version:
             raise _errors.StoreUnavailable(
-                f"store returned version {answer.version} of "
-                f"{self._table!r}, older than the copy's {self.version}"
+                f"store returned {self._table!r} at version "
+                f"{answer.version}, older than the copy's {self.version}"
             )
         self.version = answer.version
         self.data_by_key = {row.key: row.data for row in answer.rows}
