--- a/tests/topazlug/fleet_fakes.py
+++ b/tests/topazlug/fleet_fakes.py
@@ -18,9 +18,9 @@
 
     Attributes
     ----------
-    silent : set
+    unresponsive : set
         Daemons that take bytes and never answer.
-    lost : set
+    dropped_types : set
         Types of one-way messages that get lost.
     """
 
@@ -33,8 +33,8 @@
         **routing: Any,
     ) -> None:
         self.clock = claim_fakes.FakeClock()
-        self.silent: set[str] = set()
-        self.lost: set[type] = set()
+        self.unresponsive: set[str] = set()
+        self.dropped_types: set[type] = set()
         self.entry_by_name = {
             name: routing_fixtures.Entry(
                 name,
@@ -64,7 +64,7 @@
 
     def call(self, to, message, *, timeout):
         replies: list[Any] = []
-        if to not in self._fleet.silent:
+        if to not in self._fleet.unresponsive:
             owner = self._fleet.entry_by_name[to].owner
             if isinstance(message, messages.Renew):
                 owner.renew(self._sender, message)
@@ -79,7 +79,10 @@
         return False
 
     def send(self, to, message):
-        if to in self._fleet.silent or type(message) in self._fleet.lost:
+        if (
+            to in self._fleet.unresponsive
+            or type(message) in self._fleet.dropped_types
+        ):
             return
         owner = self._fleet.entry_by_name[to].owner
         if isinstance(message, messages.Release):
--- a/tests/topazlug/routing/test_admission.py
+++ b/tests/topazlug/routing/test_admission.py
@@ -120,7 +120,7 @@
     def test_next_in_rank_after_one_timeout(self, fleet):
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
-        fleet.silent.add("d2")
+        fleet.unresponsive.add("d2")
         place = admit(entry, number)
         assert place.owner != "d2"
         assert fleet.clock.seconds == pytest.approx(0.1)
@@ -132,7 +132,7 @@
         """One slow answer must not cost a second of its chats' context."""
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
-        fleet.silent.add("d2")
+        fleet.unresponsive.add("d2")
         for pause in (0.1, 0.2, 0.4, 0.8, 1.0, 1.0):
             before = fleet.clock.seconds
             admit(entry, number)
@@ -145,9 +145,9 @@
     def test_is_asked_again_after_a_second(self, fleet):
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
-        fleet.silent.add("d2")
+        fleet.unresponsive.add("d2")
         admit(entry, number)
-        fleet.silent.clear()
+        fleet.unresponsive.clear()
         fleet.clock.advance(1.01)
         assert admit(entry, number).owner == "d2"
 
@@ -159,7 +159,7 @@
             targets=some_targets(2, slots=6),
             owners=NAMES[1:],
         )
-        fleet.silent.update(NAMES[1:])
+        fleet.unresponsive.update(NAMES[1:])
         entry = fleet.entry_by_name["d1"]
         places = [admit(entry, 1) for _ in range(6)]
         assert {place.owner for place in places} == {None}
@@ -174,10 +174,10 @@
         fleet = fleet_fakes.FakeFleet(
             "d1", "d2", targets=some_targets(2), owners=["d2"]
         )
-        fleet.silent.add("d2")
+        fleet.unresponsive.add("d2")
         entry = fleet.entry_by_name["d1"]
         admit(entry, 1)
-        fleet.silent.clear()
+        fleet.unresponsive.clear()
         entry.admission.holdings.renew()
         assert fleet.owned_load() == 1
 
@@ -316,7 +316,7 @@
         entry = fleet.entry_by_name["d1"]
         place = admit(entry, chat_owned_by(entry, "d2"))
         entry.admission.holdings.renew()
-        fleet.lost.add(messages.Release)
+        fleet.dropped_types.add(messages.Release)
         entry.admission.release(place)
         assert fleet.owned_load() == 1
         entry.admission.holdings.renew()
@@ -332,12 +332,12 @@
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
         place = admit(entry, number)
-        fleet.lost.add(messages.Release)
+        fleet.dropped_types.add(messages.Release)
         entry.admission.release(place)
-        fleet.silent.add("d2")
+        fleet.unresponsive.add("d2")
         entry.admission.holdings.renew()
         assert fleet.owned_load() == 1
-        fleet.silent.clear()
+        fleet.unresponsive.clear()
         entry.admission.holdings.renew()
         fixtures.wait_until(lambda: fleet.owned_load() == 0)
         assert entry.admission.holdings.renew() == 0
@@ -383,7 +383,7 @@
         fleet.entry_by_name["d3"].owner.take_summary(
             idle, messages.LoadReport(group=fixtures.POOL, loads=[])
         )
-        fleet.lost.add(messages.Release)
+        fleet.dropped_types.add(messages.Release)
         first = admit(entry, number)
         entry.admission.release(first)
         assert first.target.replica != home
