--- a/tests/topazlug/fleet_fakes.py
+++ b/tests/topazlug/fleet_fakes.py
@@ -1,4 +1,4 @@
-"""Daemons that admit, with streams between them as plain calls."""
+"""Daemons that admit requests, with plain calls in place of streams."""
 
 from typing import Any
 from typing import final
@@ -14,14 +14,14 @@
 
 @final
 class FakeFleet:
-    """Entry and owner roles of some daemons, with messages as plain calls.
+    """Entry and owner roles of several daemons; messages are plain calls.
 
     Attributes
     ----------
     unresponsive : set
-        Daemons that take bytes and never answer.
+        Daemons that accept messages and never answer.
     dropped_types : set
-        Types of one-way messages that get lost.
+        Types of one-way messages that are dropped.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         }
 
     def owned_load(self) -> int:
-        """Give the load that all owners count."""
+        """Return the total load that the owners count."""
         return sum(
             ledger.load
             for entry in self.entry_by_name.values()
