--- a/src/topazlug/fleet/_reading_plan.py
+++ b/src/topazlug/fleet/_reading_plan.py
@@ -1,9 +1,9 @@
 """Decides whether a daemon reads a table from the store or from a peer.
 
 Load pattern: hundreds of daemons need the same few rows, and each call to the
-store is costly. If each daemon called the store when it is lost, these calls
-would arrive when the store has the least capacity. So a few daemons read for
-all, and the rate of calls is bounded here for all kinds of failures:
+store is costly. If every daemon that lost the store called it on its own, the
+calls would arrive when the store has the least capacity. So a few daemons read
+for all, and the rate of calls is bounded here for all kinds of failures:
 
 - A few readers serve all other daemons: the first ones of an order that all
   daemons share. The first reader with access to the store reads it, and the
@@ -69,9 +69,9 @@
 # the return of the store within a second.
 STORE_RETRY_SECONDS = 0.8
 # Total rates at which daemons without a working reader call the store. If
-# peers report that they lost the store, it is only probed. If peers do not
-# answer, the store may be available, and the rate is half the limit of the
-# smallest known store.
+# peers report that they lost the store, it is probed at the lower rate. If
+# they do not answer, that says nothing about the store, and the rate is half
+# the limit of the smallest known store.
 _PROBES_PER_SECOND = 20.0
 _DIRECT_CALLS_PER_SECOND = 1000.0
 # Maximum wait of a call by a daemon that no reader answers. After it the
@@ -144,7 +144,7 @@
 class _Avoidance(msgspec.Struct):
     until: float
     outcome: Outcome
-    attempts: int = 1
+    failures: int = 1
 
 
 def reader_count(daemons: int) -> int:
@@ -193,7 +193,10 @@
         self._missed_at_by_table[table] = self._clock.monotonic()
 
     def reads_store(self, table: str) -> bool:
-        """Return whether this daemon reads a table from the store."""
+        """Return whether this daemon reads a table from the store for others.
+
+        It does so as a reader, and for a while after a recorded miss.
+        """
         missed_at = self._missed_at_by_table.get(table, -math.inf)
         if self._clock.monotonic() - missed_at < _READ_AFTER_MISS_SECONDS:
             return True
@@ -211,8 +214,8 @@
         readers = self.readers()
         if self._daemon_id in readers:
             return self._steps_of_reader(readers, table)
-        own = _ranking.chat_hash(self._daemon_id)
-        ranked = _ranking.rank(readers, own, count=len(readers))
+        own_hash = _ranking.chat_hash(self._daemon_id)
+        ranked = _ranking.rank(readers, own_hash, count=len(readers))
         peers: list[Step] = [ReadPeer(_ids.DaemonId(name)) for name in ranked]
         return self._store_steps(table) + peers
 
@@ -231,7 +234,7 @@
     def _steps_of_reader(
         self, readers: list[_ids.DaemonId], table: str
     ) -> list[Step]:
-        """Return the steps of a reader: earlier readers, then the store.
+        """Return the steps of a reader: earlier readers, store, later readers.
 
         So only the first reader with access to the store reads it. The other
         readers relay its answers; their own calls would return the same.
@@ -323,11 +326,11 @@
         """Return whether a peer is avoided for more than a refused connection.
 
         When all daemons restart at once, each refuses connections briefly.
-        If they were replaced by other substitutes for that, all of these
-        would read the store.
+        Trying further substitutes instead would make all of them read the
+        store.
         """
         is_avoided = self.avoidance_reason(peer) is not None
-        return is_avoided and self._avoidance_by_peer[peer].attempts > 0
+        return is_avoided and self._avoidance_by_peer[peer].failures > 0
 
     def record(self, step: Step, outcome: Outcome, *, seconds: float) -> None:
         """Record the outcome of a step and the seconds that it took."""
@@ -363,17 +366,17 @@
         if self._working_substitute == peer:
             self._working_substitute = None
         before = self._avoidance_by_peer.get(peer)
-        attempts = 1
+        failures = 1
         if before is not None and before.outcome is outcome:
-            attempts = before.attempts + 1
+            failures = before.failures + 1
         seconds = _READER_AVOIDED_SECONDS
         if peer not in self.readers():
             seconds = _SUBSTITUTE_AVOIDED_SECONDS
         if outcome is Outcome.NO_ANSWER and elapsed < _REFUSAL_SECONDS:
-            seconds, attempts = _REFUSED_AVOIDED_SECONDS, 0
+            seconds, failures = _REFUSED_AVOIDED_SECONDS, 0
         elif outcome is Outcome.NO_ANSWER:
-            seconds = _NO_ANSWER_AVOIDED_SECONDS * 2.0 ** min(attempts - 1, 8)
+            seconds = _NO_ANSWER_AVOIDED_SECONDS * 2.0 ** min(failures - 1, 8)
             seconds = min(seconds, _MAX_NO_ANSWER_AVOIDED_SECONDS)
         self._avoidance_by_peer[peer] = _Avoidance(
-            now + seconds, outcome, attempts
+            now + seconds, outcome, failures
         )
--- a/src/topazlug/membership/_fact_exchange.py
+++ b/src/topazlug/membership/_fact_exchange.py
@@ -186,14 +186,14 @@
     def _exchange_with(self, peer: _ids.DaemonId) -> None:
         timeout = self._settings.answer_timeout
         request = self._build_heartbeat(peer)
-        asked_at = self._clock.monotonic()
+        sent_at = self._clock.monotonic()
         try:
             answer = self._links.call(peer, request, timeout=timeout)
         except _errors.PeerUnreachable as error:
-            late = self._clock.monotonic() - asked_at - timeout
+            extra_delay = self._clock.monotonic() - sent_at - timeout
             # If the timeout fired late, this process was paused or too busy
             # to read an answer that had already arrived.
-            if late < LOCAL_DELAY_SECONDS:
+            if extra_delay < LOCAL_DELAY_SECONDS:
                 _log.debug("no heartbeat answer from {}: {}", peer, error)
                 self._on_no_answer(peer)
             return
@@ -242,7 +242,7 @@
 
     def _allow_full_reply(self) -> bool:
         # If one daemon differs from all others, each of them requests all
-        # of its facts. This limit bounds the cost to that daemon.
+        # of its facts. This limit bounds the load on that daemon.
         now = self._clock.monotonic()
         if now - self._full_reply_at < FULL_REPLY_INTERVAL_SECONDS:
             return False
