--- a/src/topazlug/fleet/_fleet.py
+++ b/src/topazlug/fleet/_fleet.py
@@ -158,14 +158,14 @@
     def run(self) -> None:
         """Join the fleet, then keep the directory up to date."""
         store = self._new_store()
-        found = self._join(store)
+        table_changes = self._join(store)
         if not self._options.first_start or self.directory.was_registered:
             self._size_known.set()
         self._open_links()
         pause = _FIRST_POLL_SECONDS
         while self.directory.is_small:
             self._clock.sleep(pause)
-            found = self._poll_directory(store) or found
+            table_changes = self._poll_directory(store) or table_changes
             self._size_known.set()
             pause = random.uniform(0.8, 1.2) * _POLL_SECONDS
         self._size_known.set()
@@ -173,7 +173,7 @@
         feed = self._feed(
             _fleet_directory.TABLE, listener, lambda: _DIRECTORY_WAIT_SECONDS
         )
-        feed.start_from(found)
+        feed.start_from(table_changes)
         feed.run()
 
     def _join(
@@ -191,12 +191,14 @@
         self, store: _table_source.TableStore
     ) -> _table_source.TableChanges | None:
         try:
-            found = store.rows(_fleet_directory.TABLE)
+            table_changes = store.rows(_fleet_directory.TABLE)
         except _errors.StoreUnavailable as error:
             _log.info("could not read directory: {why}", why=error.message)
             return None
-        self._update_directory({row.key: row.data for row in found.rows})
-        return found
+        self._update_directory(
+            {row.key: row.data for row in table_changes.rows}
+        )
+        return table_changes
 
     def _update_directory(self, data_by_key: dict[str, bytes]) -> None:
         self.directory.update(data_by_key)
--- a/src/topazlug/fleet/_fleet_directory.py
+++ b/src/topazlug/fleet/_fleet_directory.py
@@ -105,8 +105,8 @@
             msgspec.json.encode(self._own_row),
         )
         for _ in range(_MAX_JOIN_ATTEMPTS):
-            table_rows = store.rows(TABLE)
-            data_by_key = {row.key: row.data for row in table_rows.rows}
+            table_changes = store.rows(TABLE)
+            data_by_key = {row.key: row.data for row in table_changes.rows}
             self.update(data_by_key)
             if self.secret:
                 self.was_registered = (
@@ -114,7 +114,7 @@
                 )
                 if not self.was_registered:
                     store.write(TABLE, [own_row])
-                return table_rows
+                return table_changes
             secret_row = _table_source.Row(
                 _SECRET_KEY, secrets.token_hex(16).encode()
             )
@@ -123,7 +123,7 @@
             except _table_source.RowExists:
                 continue
             self.secret = secret_row.data.decode()
-            return table_rows
+            return table_changes
         raise _errors.StoreUnavailable(
             f"no fleet secret after {_MAX_JOIN_ATTEMPTS} attempts"
         )
--- a/src/topazlug/fleet/_staleness_bounds.py
+++ b/src/topazlug/fleet/_staleness_bounds.py
@@ -2,9 +2,9 @@
 
 Load pattern: all daemons must apply a change within a few seconds, even while
 the store rejects calls of some of them. A call that waits for changes and is
-never answered cannot be told from one without changes. The bound therefore
-determines how long calls wait, and for how long a copy of a table is valid
-after the store's last answer.
+never answered looks like one without changes. The bound therefore determines
+how long calls wait, and for how long a copy of a table is valid after the
+store's last answer.
 """
 
 from typing import final
--- a/src/topazlug/fleet/_table_feed.py
+++ b/src/topazlug/fleet/_table_feed.py
@@ -138,9 +138,9 @@
         """Return whether the last call to the source succeeded."""
         return self._is_read and self._lost_at is None
 
-    def start_from(self, found: _table_source.TableChanges) -> None:
+    def start_from(self, table_changes: _table_source.TableChanges) -> None:
         """Start with a table that has already been read."""
-        self._replace_rows(found)
+        self._replace_rows(table_changes)
 
     def run(self) -> None:
         """Read the table and its changes forever."""
--- a/src/topazlug/fleet/_table_relay.py
+++ b/src/topazlug/fleet/_table_relay.py
@@ -81,44 +81,54 @@
             # The other daemon started at the same time as this one.
             self._feed_added.wait(wait)
         feed = self._feed_by_table.get(request.table)
-        found = None
+        table_changes = None
         if feed is not None:
-            found = feed.changes_since(
+            table_changes = feed.changes_since(
                 request.after, wait=wait, age=request.age
             )
-            if found is None:
+            if table_changes is None:
                 self._on_miss(request.table)
                 feed.catch_up(timeout=CATCH_UP_TIMEOUT_SECONDS)
-                found = feed.changes_since(request.after, wait=0.0)
-        reply(_UNKNOWN_REPLY if found is None else self._reply(request, found))
+                table_changes = feed.changes_since(request.after, wait=0.0)
+        reply(
+            _UNKNOWN_REPLY
+            if table_changes is None
+            else self._reply(request, table_changes)
+        )
 
     def _reply(
-        self, request: messages.ChangesAsk, found: _table_source.TableChanges
+        self,
+        request: messages.ChangesAsk,
+        table_changes: _table_source.TableChanges,
     ) -> messages.ChangesReply:
         """Return the reply; rows are packed once for all daemons.
 
         Packing a change of 150 KB takes 3 ms, and sixty daemons wait for it
         at the same time.
         """
-        if not found.rows:
+        if not table_changes.rows:
             return messages.ChangesReply(
-                known=True, version=found.version, age=found.age
+                known=True,
+                version=table_changes.version,
+                age=table_changes.age,
             )
         cached = self._packed_by_table.get(request.table)
-        if cached is not None and cached.rows == found.rows:
+        if cached is not None and cached.rows == table_changes.rows:
             packed = cached.text
         else:
-            body = zlib.compress(msgspec.msgpack.encode(list(found.rows)))
+            body = zlib.compress(
+                msgspec.msgpack.encode(list(table_changes.rows))
+            )
             packed = base64.b64encode(body).decode()
             self._packed_by_table[request.table] = _PackedRows(
-                list(found.rows), packed
+                list(table_changes.rows), packed
             )
         return messages.ChangesReply(
             known=True,
-            version=found.version,
+            version=table_changes.version,
             packed=packed,
-            whole=found.whole,
-            age=found.age,
+            whole=table_changes.whole,
+            age=table_changes.age,
         )
 
 
@@ -194,12 +204,12 @@
         outcome = _reading_plan.Outcome.STORE_LOST
         called_at = self._clock.monotonic()
         try:
-            found = self._store.changes(table, after=after, wait=0.0)
+            table_changes = self._store.changes(table, after=after, wait=0.0)
             outcome = _reading_plan.Outcome.ANSWERED
         finally:
             seconds = self._clock.monotonic() - called_at
             self._plan.record(step, outcome, seconds=seconds)
-        return found
+        return table_changes
 
     def _read(
         self,
@@ -223,9 +233,11 @@
             called_at = self._clock.monotonic()
             try:
                 if isinstance(step, _reading_plan.ReadStore):
-                    found = self._read_store(step, request, whole=whole)
+                    table_changes = self._read_store(
+                        step, request, whole=whole
+                    )
                 else:
-                    found = self._read_peer(
+                    table_changes = self._read_peer(
                         links, step.peer, request, whole=whole
                     )
             except _errors.StoreUnavailable as error:
@@ -244,7 +256,7 @@
                 self._record_store_failure(request, why, called_at=called_at)
             if is_answered:
                 return msgspec.structs.replace(
-                    found, seconds_since_failure=seconds_since_failure
+                    table_changes, seconds_since_failure=seconds_since_failure
                 )
             _log.debug(
                 "could not read {table}: {why}",
--- a/tests/topazlug/fleet/read_simulation.py
+++ b/tests/topazlug/fleet/read_simulation.py
@@ -87,7 +87,7 @@
 
     def lost_at(self, daemon, begin, end):
         """Return when a waiting call is lost, and whether by a reset."""
-        found = [
+        losses = [
             (at, is_reset)
             for times, is_reset in (
                 (self.unavailable, False),
@@ -96,7 +96,7 @@
             for at, _, is_affected in times
             if begin < at <= end and is_affected(daemon)
         ]
-        return min(found, default=(math.inf, False))
+        return min(losses, default=(math.inf, False))
 
     def delay(self, now):
         for begin, end, seconds in self.slow:
--- a/tests/topazlug/fleet/test_fleet_directory.py
+++ b/tests/topazlug/fleet/test_fleet_directory.py
@@ -16,8 +16,8 @@
 
 
 def update_from_store(store, directory):
-    found = store.rows(_fleet_directory.TABLE)
-    directory.update({row.key: row.data for row in found.rows})
+    table_changes = store.rows(_fleet_directory.TABLE)
+    directory.update({row.key: row.data for row in table_changes.rows})
 
 
 def make_fleet(count, *, not_relaying=()):
@@ -52,11 +52,11 @@
         raced = []
 
         def late_rows(table):
-            found = rows(table)
+            table_changes = rows(table)
             if not raced:
                 raced.append(True)
                 first.join(store)
-            return found
+            return table_changes
 
         store.rows = late_rows
         second.join(store)
--- a/tests/topazlug/fleet/test_row_propagation.py
+++ b/tests/topazlug/fleet/test_row_propagation.py
@@ -80,9 +80,9 @@
         max_delay = 0.0
         for version, at in enumerate(fleet.store.changes, start=1):
             affected = set()
-            for begin, found in self._affected_by_begin.items():
+            for begin, daemons in self._affected_by_begin.items():
                 if begin <= at < begin + OUTAGE_SECONDS:
-                    affected = found
+                    affected = daemons
             for daemon in fleet.daemons:
                 if daemon.number not in affected:
                     known_at = daemon.known_at.get(version, float("inf"))
--- a/tests/topazlug/fleet/test_table_feed.py
+++ b/tests/topazlug/fleet/test_table_feed.py
@@ -18,14 +18,14 @@
         self, *, store=None, wait=0.02, min_interval=0.0, validity=60.0
     ):
         self.store = store or store_fakes.FakeTables()
-        self.seen = []
+        self.received = []
         self.recovered = 0
         self.feed = _table_feed.TableFeed(
             source=self.store,
             table=TABLE,
             wait=lambda: wait,
             listener=_table_feed.TableListener(
-                changed=lambda data: self.seen.append(dict(data)),
+                changed=lambda data: self.received.append(dict(data)),
                 recovered=self._count,
             ),
             clock=_clock.SystemClock(),
@@ -39,7 +39,7 @@
 
     def wait_for(self, data):
         routing_fixtures.wait_until(
-            lambda: bool(self.seen) and self.seen[-1] == data
+            lambda: bool(self.received) and self.received[-1] == data
         )
 
 
@@ -60,12 +60,12 @@
         rig = Rig()
         try:
             rig.wait_for({})
-            taken = rig.seen.append
+            append_received = rig.received.append
 
             def fail(data):
                 if data.get("a") == b"bad":
                     raise RecursionError("nested too deeply")
-                taken(dict(data))
+                append_received(dict(data))
 
             rig.feed._listener.changed = fail
             rig.store.put(TABLE, "a", b"bad")
@@ -115,7 +115,7 @@
         rig.store.oldest_version = 0
         rig.store.put(TABLE, "b", b"2")
         rig.wait_for({"b": b"2"})
-        assert {"a": b"1"} not in rig.seen[1:]
+        assert {"a": b"1"} not in rig.received[1:]
 
 
 class TestAfterLoss:
@@ -188,9 +188,9 @@
         waiting = gevent.spawn(rig.feed.changes_since, version, wait=10.0)
         gevent.sleep(0)
         rig.store.put(TABLE, "b", b"2")
-        found = waiting.get(timeout=10)
-        assert [row.key for row in found.rows] == ["b"]
-        assert found.version > version
+        table_changes = waiting.get(timeout=10)
+        assert [row.key for row in table_changes.rows] == ["b"]
+        assert table_changes.version > version
 
     def test_returns_none_while_the_store_is_lost(self, rig):
         """Guards against outdated tables while the store is available.
@@ -215,12 +215,12 @@
         """
         rig.store.put(TABLE, "a", b"1")
         rig.wait_for({"a": b"1"})
-        found = rig.feed.changes_since(0, wait=0.0)
-        assert found == _table_source.TableChanges(
+        table_changes = rig.feed.changes_since(0, wait=0.0)
+        assert table_changes == _table_source.TableChanges(
             rig.feed.version,
             [_table_source.Row("a", b"1")],
             whole=True,
-            age=found.age,
+            age=table_changes.age,
         )
 
     def test_whole_answer_replaces_the_copy(self, rig):
@@ -316,8 +316,8 @@
 
     def test_catch_up_reads_the_store(self, stalled):
         stalled.feed.catch_up(timeout=5.0)
-        found = stalled.feed.changes_since(0, wait=0.0)
-        assert [row.key for row in found.rows] == ["a"]
+        table_changes = stalled.feed.changes_since(0, wait=0.0)
+        assert [row.key for row in table_changes.rows] == ["a"]
         stalled.wait_for({"a": b"1"})
 
     def test_catch_up_waits_after_a_failed_call(self, stalled):
@@ -353,7 +353,7 @@
 
         stalled.store.changes_now = answer_late
         stalled.feed.catch_up(timeout=5.0)
-        assert stalled.seen[-1] == {"a": b"2"}
+        assert stalled.received[-1] == {"a": b"2"}
 
     def test_ignored_answer_does_not_update_the_age(self, stalled):
         """Guards against reporting to others that there are no changes.
--- a/tests/topazlug/fleet/test_table_relay.py
+++ b/tests/topazlug/fleet/test_table_relay.py
@@ -98,16 +98,16 @@
 
 class TestNonReader:
     def test_changes_arrive_without_the_store(self, rig):
-        on_miss = gevent.spawn(
+        reading = gevent.spawn(
             rig.source.changes, TABLE, after=rig.feeds[0].version, wait=5.0
         )
         gevent.sleep(0.05)
         rig.store.put(TABLE, "config", b"7")
-        found = on_miss.get(timeout=10)
-        assert [(row.key, row.data) for row in found.rows] == [
+        table_changes = reading.get(timeout=10)
+        assert [(row.key, row.data) for row in table_changes.rows] == [
             ("config", b"7")
         ]
-        assert found.relayed
+        assert table_changes.relayed
         assert rig.direct.calls == 0
 
     def test_whole_table_arrives_without_the_store(self, rig):
@@ -116,9 +116,9 @@
         routing_fixtures.wait_until(
             lambda: all(feed.version == version for feed in rig.feeds)
         )
-        found = rig.source.rows(TABLE)
-        assert [row.data for row in found.rows] == [b"7"]
-        assert found.version == version
+        table_changes = rig.source.rows(TABLE)
+        assert [row.data for row in table_changes.rows] == [b"7"]
+        assert table_changes.version == version
         assert rig.direct.calls == 0
 
     def test_no_direct_calls_if_readers_lost_the_store(self, rig):
@@ -147,9 +147,9 @@
             )
         rig.direct.put(TABLE, "config", b"8")
         started_at = rig.clock.monotonic()
-        found = rig.source.changes(TABLE, after=0, wait=1.0)
-        assert [row.data for row in found.rows] == [b"8"]
-        assert not found.relayed
+        table_changes = rig.source.changes(TABLE, after=0, wait=1.0)
+        assert [row.data for row in table_changes.rows] == [b"8"]
+        assert not table_changes.relayed
         assert rig.clock.monotonic() - started_at < 10.0
 
     def test_same_rows_are_packed_once(self, rig, monkeypatch):
@@ -185,9 +185,9 @@
         lost_store.is_unavailable = True
         source = rig._source(READERS[0], lost_store)
         rig.store.put(TABLE, "config", b"9")
-        found = source.changes(TABLE, after=0, wait=1.0)
-        assert [row.data for row in found.rows] == [b"9"]
-        assert found.relayed
+        table_changes = source.changes(TABLE, after=0, wait=1.0)
+        assert [row.data for row in table_changes.rows] == [b"9"]
+        assert table_changes.relayed
 
     def test_loss_is_logged_once_despite_relayed_answers(self, rig):
         """Guards against an outdated table without any log line."""
--- a/tests/topazlug/membership/test_facts.py
+++ b/tests/topazlug/membership/test_facts.py
@@ -113,11 +113,11 @@
         fact = make_fact(State.live)
         fact_set.merge(fact)
         fact_set.schedule_retransmits(fact, fleet_size=880)
-        taken = 0
+        transmissions = 0
         while fact_set.has_pending:
             assert fact_set.take_pending(5) == [fact]
-            taken += 1
-        assert taken == 30
+            transmissions += 1
+        assert transmissions == 30
 
     def test_least_transmitted_go_first(self, fact_set):
         for name in "xyz":
