--- a/src/topazlug/fleet/_table_feed.py
+++ b/src/topazlug/fleet/_table_feed.py
@@ -247,7 +247,7 @@
             consider an outdated table current.
         """
         end = self._clock.monotonic() + wait
-        known_at = self._clock.monotonic() - age + _MIN_AGE_GAIN_SECONDS
+        newer_after = self._clock.monotonic() - age + _MIN_AGE_GAIN_SECONDS
         if not self._is_read and self._lost_at is None:
             # The other daemon started at the same time as this one.
             self._changed_event.wait(wait)
@@ -258,7 +258,7 @@
                     self.version, self._copy.rows(), whole=True, age=self.age
                 )
             now = self._clock.monotonic()
-            if rows or now >= end or self._store_answered_at > known_at:
+            if rows or now >= end or self._store_answered_at > newer_after:
                 newest = max(version, self.version)
                 return _table_source.TableChanges(newest, rows, age=self.age)
             self._changed_event.wait(min(end, self._valid_until) - now)
