--- a/bench/capacity/capacity_routing.py
+++ b/bench/capacity/capacity_routing.py
@@ -111,13 +111,13 @@
         clock=_clock.SystemClock(), flap_window=60.0
     )
     taken = sizes.once_millis(lambda: directory_.take_list(listed))
-    told = [_listed_targets.listed_fact(target) for target in listed[:50]]
+    told = [_listed_targets.fact_from_target(target) for target in listed[:50]]
     bare = [_fact_of(target) for target in listed[50:100]]
     with_address = sizes.processor_micros(
-        lambda: sizes.for_each(directory_.take_fact, told), count=50
+        lambda: sizes.for_each(directory_.apply_fact, told), count=50
     )
     without = sizes.processor_micros(
-        lambda: sizes.for_each(directory_.take_fact, bare), count=50
+        lambda: sizes.for_each(directory_.apply_fact, bare), count=50
     )
     owners = _ownership.Ownership()
     daemons = sizes.daemon_ids()
@@ -129,7 +129,7 @@
 
     directory_.on_change(update)
     followed = sizes.processor_micros(
-        lambda: sizes.for_each(directory_.take_fact, bare), count=50
+        lambda: sizes.for_each(directory_.apply_fact, bare), count=50
     )
     group = _ids.GroupName("pool-00")
     looked = sizes.processor_micros(
@@ -241,13 +241,13 @@
 def collecting() -> list[_Slope]:
     """Take the load reports of one pool's owners."""
     clock = _clock.SystemClock()
-    collector = _group_load.Collector(clock=clock, interval=0.1)
+    collector = _group_load.LoadCollector(clock=clock, interval=0.1)
     daemons = sizes.daemon_ids(_PER_POOL)
     reports = [_report(number) for number in range(_PER_POOL)]
 
     def take_all() -> None:
         for daemon, report in zip(daemons, reports):
-            collector.take(daemon, report)
+            collector.add_report(daemon, report)
 
     take_all()
     micros = sizes.processor_micros(take_all, count=_PER_POOL)
@@ -284,7 +284,7 @@
         half minute.
     """
     clock = _SteppedClock()
-    collector = _group_load.Collector(clock=clock, interval=0.1)
+    collector = _group_load.LoadCollector(clock=clock, interval=0.1)
     owners = _ownership.Ownership()
     owners.update(
         daemons=sizes.daemon_ids(), replicas=sizes.replica_ids(_PER_POOL)
@@ -302,7 +302,7 @@
     while due[0][0] < _SETTLE_SECONDS:
         clock.seconds, owner = due[0]
         report = messages.LoadReport(group="pool-00", loads=loads[owner])
-        summary = collector.take(owner, report)
+        summary = collector.add_report(owner, report)
         if clock.seconds > _SETTLE_SECONDS / 2:
             seen.append(summary)
         heapq.heapreplace(due, (clock.seconds + summary.interval, owner))
@@ -330,7 +330,7 @@
     )
     owner = _quota_owner.QuotaOwner(
         team_of=lambda team: row,
-        reachable_part=lambda: 1.0,
+        reachable_fraction=lambda: 1.0,
         clock=_clock.SystemClock(),
     )
     ask = messages.SliceAsk(team="team-00001", want=1, unused=0, running=1)
--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -9,14 +9,14 @@
 from topazlug import _ids
 from topazlug._generated import messages
 from topazlug._generated import table
-from topazlug.capacity import _place_key
+from topazlug.capacity import _slot_key
 from topazlug.configuration import _configuration
 from topazlug.configuration import _table_snapshot
 from topazlug.limits import _quota_owner
 from topazlug.limits import _quotas
 from topazlug.membership import _facts
 from topazlug.membership import _members
-from topazlug.routing import _displaced
+from topazlug.routing import _displaced_chats
 from topazlug.routing import _ledger
 from topazlug.routing import _ownership
 from topazlug.store import _instances
@@ -164,7 +164,7 @@
 
     def directory() -> _targets.TargetDirectory:
         made = _targets.TargetDirectory(clock=_CLOCK, flap_window=60.0)
-        made.take_list(_listed_targets.targets_of(instances))
+        made.take_list(_listed_targets.targets_from_instances(instances))
         return made
 
     targets = sizes.held_bytes(directory)
@@ -186,11 +186,13 @@
 
 def facts() -> list[_Slope]:
     """Hold facts and members."""
-    told = [_listed_targets.listed_fact(target) for target in sizes.targets()]
+    told = [
+        _listed_targets.fact_from_target(target) for target in sizes.targets()
+    ]
     encoded = msgspec.msgpack.encode(told)
 
-    def book() -> _facts.FactBook:
-        made = _facts.FactBook(clock=_CLOCK)
+    def book() -> _facts.FactSet:
+        made = _facts.FactSet(clock=_CLOCK)
         for fact in msgspec.msgpack.decode(encoded, type=list[messages.Fact]):
             made.merge(fact)
         return made
@@ -227,11 +229,11 @@
         found = [_empty_ledger(number) for number in range(_LEDGERS)]
         for ledger in found:
             for number in range(places):
-                key = _place_key.PlaceKey(
+                key = _slot_key.SlotKey(
                     _ids.DaemonId(f"daemon-{number:04}"),
                     _ids.AskNumber(10**6 + number),
                 )
-                held = _ledger.Held(
+                held = _ledger.LedgerEntry(
                     weight=1, team=_ids.TeamName(f"t-{number}"), batch=False
                 )
                 ledger.hold(key, held)
@@ -258,10 +260,10 @@
 def displaced() -> list[_Slope]:
     """Hold displaced chats as they arrive from peers."""
 
-    def chats() -> _displaced.DisplacedChats:
-        made = _displaced.DisplacedChats(capacity=_DISPLACED)
+    def chats() -> _displaced_chats.DisplacedChats:
+        made = _displaced_chats.DisplacedChats(capacity=_DISPLACED)
         for number in range(_DISPLACED):
-            made.note(_displaced_entry(number))
+            made.record(_displaced_entry(number))
         return made
 
     held = sizes.held_bytes(chats) / _DISPLACED
@@ -291,7 +293,7 @@
     def owner() -> _quota_owner.QuotaOwner:
         made = _quota_owner.QuotaOwner(
             team_of=lambda team: row,
-            reachable_part=lambda: 1.0,
+            reachable_fraction=lambda: 1.0,
             clock=_CLOCK,
         )
         for number in range(_HELD):
@@ -307,7 +309,7 @@
             daemon=_ids.DaemonId("me"),
             owner=_quota_owner.QuotaOwner(
                 team_of=lambda team: row,
-                reachable_part=lambda: 1.0,
+                reachable_fraction=lambda: 1.0,
                 clock=_CLOCK,
             ),
             links=_NoLinks(),
@@ -315,7 +317,7 @@
             clock=_CLOCK,
         )
         tickets = [
-            made.take(
+            made.acquire(
                 table.TeamRow(name=f"team-{number:05}"),
                 deadline=_CLOCK.monotonic() + 60,
             )
@@ -351,20 +353,23 @@
     )
     data = _instance_list()
     told = msgspec.msgpack.encode(
-        [_listed_targets.listed_fact(target) for target in sizes.targets()]
+        [
+            _listed_targets.fact_from_target(target)
+            for target in sizes.targets()
+        ]
     )
     before = sizes.resident_bytes()
     holder = _holder(encoded)
     after_table = sizes.resident_bytes()
     instances = _instances.decode(data)
     directory = _targets.TargetDirectory(clock=_CLOCK, flap_window=60.0)
-    directory.take_list(_listed_targets.targets_of(instances))
+    directory.take_list(_listed_targets.targets_from_instances(instances))
     owners = _ownership.Ownership()
     owners.update(
         daemons=sizes.daemon_ids(), replicas=directory.target_by_replica
     )
     after_list = sizes.resident_bytes()
-    book = _facts.FactBook(clock=_CLOCK)
+    book = _facts.FactSet(clock=_CLOCK)
     for fact in msgspec.msgpack.decode(told, type=list[messages.Fact]):
         book.merge(fact)
     after_facts = sizes.resident_bytes()
--- a/src/topazlug/_daemon.py
+++ b/src/topazlug/_daemon.py
@@ -21,7 +21,7 @@
 from topazlug.callers import _caller_server
 from topazlug.callers import _callers
 from topazlug.calls import _attempts
-from topazlug.calls import _call_parts
+from topazlug.calls import _call_assembly
 from topazlug.calls import _chat_calls
 from topazlug.calls import _retry_budget
 from topazlug.calls import _service_calls
@@ -29,10 +29,10 @@
 from topazlug.claims import _claims
 from topazlug.configuration import _table_edits
 from topazlug.crashes import _crash_guard
-from topazlug.crashes import _kept_notes
-from topazlug.crashes import _told_notes
-from topazlug.routing import _place
-from topazlug.routing import _routing_parts
+from topazlug.crashes import _record_distributor
+from topazlug.crashes import _record_sync
+from topazlug.routing import _placement
+from topazlug.routing import _routing_assembly
 from topazlug.targets import _target_gauges
 from topazlug.telemetry import _metrics
 
@@ -69,7 +69,7 @@
             settings.daemon.zone,
         )
         self.fleet = _fleet_parts.FleetParts(settings=settings, clock=clock)
-        self.routing = _routing_parts.RoutingParts(
+        self.routing = _routing_assembly.RoutingAssembly(
             settings=settings, fleet=self.fleet, clock=clock
         )
         self._build_guard()
@@ -83,20 +83,20 @@
             targets=self.routing.targets,
             clock=self.clock,
         )
-        self.routing.on_list(self.guard.take_list)
-        told = _told_notes.ToldNotes(
+        self.routing.on_list(self.guard.handle_list_change)
+        distributor = _record_distributor.RecordDistributor(
             daemon=self.fleet.daemon_id,
             links=self.fleet.links,
             daemons=self.fleet.membership.usable,
-            take=self.guard.take_told,
+            on_records=self.guard.add_peer_records,
         )
-        self._notes = _kept_notes.KeptNotes(
+        self._notes = _record_sync.RecordSync(
             store=self.fleet.new_store(),
-            told=told,
-            take=self.guard.take_shared,
+            distributor=distributor,
+            on_records=self.guard.set_shared_records,
             clock=self.clock,
         )
-        self.guard.sharing = self._notes
+        self.guard.publisher = self._notes
 
     def _build_callers(self) -> None:
         settings = self.settings
@@ -119,14 +119,14 @@
             daemon_id=self.fleet.daemon_id,
             usable=self.fleet.membership.usable,
         )
-        self.claims = _claims.ClaimKeeper(
+        self.claims = _claims.ClaimManager(
             store=claim_store,
             objects=self.fleet.objects,
             daemon_id=self.fleet.daemon_id,
             clock=self.clock,
             max_kept_bytes=settings.limits.max_kept_answer_bytes,
         )
-        parts = _call_parts.CallParts(
+        assembly = _call_assembly.CallAssembly(
             attempts=attempts,
             admission=self.routing.admission,
             connections=self.routing.connections,
@@ -137,9 +137,9 @@
             clock=self.clock,
         )
         self.app = _callers.CallersApp(
-            chats=_chat_calls.ChatCalls(parts=parts, spawn=gevent.spawn),
+            chats=_chat_calls.ChatCalls(assembly=assembly, spawn=gevent.spawn),
             services=_service_calls.ServiceCalls(
-                parts=parts, claims=self.claims
+                assembly=assembly, claims=self.claims
             ),
             configuration=self.fleet.configuration,
             limits=settings.limits,
@@ -222,7 +222,7 @@
             return False
         return self.fleet.instances.refreshed_at is not None
 
-    def _count_retry(self, request: _place.PlaceRequest) -> None:
+    def _count_retry(self, request: _placement.PlacementRequest) -> None:
         request_class = table.RequestClass.interactive
         if request.batch:
             request_class = table.RequestClass.batch
@@ -233,8 +233,8 @@
         owner = self.routing.owner
         watch(_metrics.Gauge.QUEUED, owner.waiting)
         by_group = self.metrics.watch_by_group
-        by_group(_metrics.Gauge.MEAN_LOAD, owner.accounts.mean_by_group)
-        by_group(_metrics.Gauge.SKEW, owner.accounts.skew_by_group)
+        by_group(_metrics.Gauge.MEAN_LOAD, owner.group_limits.mean_by_group)
+        by_group(_metrics.Gauge.SKEW, owner.group_limits.skew_by_group)
         watch(_metrics.Gauge.IN_FLIGHT, lambda: self.app.in_progress)
         watch(_metrics.Gauge.CONNECTIONS, lambda: self.callers.connections)
         watch(
@@ -273,7 +273,7 @@
         self.callers.close()
         self.fleet.leave()
         self._wait_for_requests()
-        self.claims.wait_settled(_LEAVE_SECONDS)
+        self.claims.wait_finalized(_LEAVE_SECONDS)
         gevent.sleep(_LEAVE_SECONDS)
         self.halt()
 
--- a/src/topazlug/_fleet_parts.py
+++ b/src/topazlug/_fleet_parts.py
@@ -91,7 +91,7 @@
             links=self.links,
             instances=self.instances,
             clock=self._clock,
-            revision_of=lambda: self.configuration.revision,
+            current_revision=lambda: self.configuration.revision,
         )
         self.follower = _configuration_follower.ConfigurationFollower(
             daemon_id=self.daemon_id,
@@ -129,7 +129,7 @@
             incarnation=self.incarnation,
         )
 
-    def reachable_part(self) -> float:
+    def reachable_fraction(self) -> float:
         """Give which part of the fleet is on this side of a cut.
 
         A daemon that is silent but still on the platform's list may run on
--- a/src/topazlug/calls/_call_parts.py
+++ b/src/topazlug/calls/_call_assembly.py
@@ -1,4 +1,4 @@
-"""What every kind of caller's call is served with."""
+"""Components shared by all kinds of calls."""
 
 from typing import NamedTuple
 
@@ -7,36 +7,36 @@
 from topazlug.calls import _attempts
 from topazlug.crashes import _crash_guard
 from topazlug.limits import _quotas
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_client
 from topazlug.telemetry import _metrics
 
 
-class CallParts(NamedTuple):
-    """Parts of the daemon that calls share.
+class CallAssembly(NamedTuple):
+    """Components of the daemon that serve all kinds of calls.
 
     Attributes
     ----------
     attempts : Attempts
-        Finds replicas and retries.
+        Sends requests to replicas, with retries.
     admission : Admission
-        Takes places back.
+        Releases placements.
     connections : TargetConnections
         Connections to targets.
     quotas : Quotas
         Ceilings of teams.
     limits : LimitSettings
-        Bounds.
+        Timeouts and other limits.
     metrics : Metrics
-        What is measured.
+        Counters and histograms.
     guard : CrashGuard
-        Refuses requests that crash replicas.
+        Rejects requests that crash replicas.
     clock : Clock
         Time.
     """
 
     attempts: _attempts.Attempts
-    admission: _place.Admission
+    admission: _placement.Admission
     connections: _target_client.TargetConnections
     quotas: _quotas.Quotas
     limits: settings.LimitSettings
--- a/src/topazlug/claims/_claim_commit.py
+++ b/src/topazlug/claims/_claim_commit.py
@@ -1,8 +1,8 @@
-"""Group commit of rows of the table of claims.
+"""Group commit of rows of the claims table.
 
-The table service takes several hundred transactions a second, however many
-rows each writes. So while one transaction of this daemon is under way, the
-writes that arrive wait, and go together in the next.
+The table service handles several hundred transactions a second, however many
+rows each one writes. So writes that arrive while a transaction of this daemon
+is in progress are queued and written together in the next one.
 """
 
 import collections
@@ -22,19 +22,19 @@
 from topazlug.store import _table_client
 
 MAX_BATCH = 64
-MAX_WAITING = 1024
-MIN_INTERVAL = 0.03
-MAX_INTERVAL = 1.0
-RETRY_AFTER = 1.0
-_SLOWER: Final = 2.0
-_FASTER: Final = 0.9
+MAX_QUEUED = 1024
+MIN_INTERVAL_SECONDS = 0.03
+MAX_INTERVAL_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
+_SLOWDOWN_FACTOR: Final = 2.0
+_SPEEDUP_FACTOR: Final = 0.9
 
 _LOG = logbook.Logger("topazlug.claims")
 
 
 @final
 class RowWrite(msgspec.Struct, frozen=True, kw_only=True):
-    """A claim to write, provided that its row is at `version`."""
+    """A claim to write on condition that its row is at `version`."""
 
     key: str
     version: int
@@ -49,74 +49,74 @@
 
 
 @final
-class Refused(msgspec.Struct, frozen=True, kw_only=True):
-    """The write had no effect and never will: the row is `current`."""
+class Rejected(msgspec.Struct, frozen=True, kw_only=True):
+    """The write had no effect and never will; `current` is the row."""
 
     current: _table_client.Row
 
 
-WriteResult = Written | Refused
+WriteResult = Written | Rejected
 
 
-class _Stage(enum.Enum):
-    WAITING = enum.auto()
+class _WriteStage(enum.Enum):
+    QUEUED = enum.auto()
     SENT = enum.auto()
     CANCELLED = enum.auto()
 
 
 @final
-class Ticket:
-    """A write on its way.
+class PendingWrite:
+    """A submitted write and its future result.
 
     Parameters
     ----------
     write : RowWrite
-        What is to be written.
+        The write.
     """
 
     def __init__(self, write: RowWrite) -> None:
         self.write = write
-        self.stage = _Stage.WAITING
+        self.stage = _WriteStage.QUEUED
         self._result = event.AsyncResult()
 
     def cancel(self) -> bool:
-        """Take the write back; False if it has been sent already."""
-        if self.stage is _Stage.SENT:
+        """Cancel the write; return False if it has been sent already."""
+        if self.stage is _WriteStage.SENT:
             return False
-        self.stage = _Stage.CANCELLED
+        self.stage = _WriteStage.CANCELLED
         return True
 
     def result(self, timeout: float | None = None) -> WriteResult | None:
-        """Wait for the result; None if `timeout` seconds pass first.
+        """Return the result; None if `timeout` seconds pass first.
 
         Raises
         ------
         StoreUnavailable
-            The write certainly had no effect.
+            The write had no effect.
         StoreAmbiguous
-            It may have had one, or may still have one.
+            The write may have had an effect, or may still have one.
         """
         self._result.wait(timeout=timeout)
         if not self._result.ready():
             return None
         return self._result.get()
 
-    def set(self, result: WriteResult) -> None:
-        """Say what became of the write."""
+    def set_result(self, result: WriteResult) -> None:
+        """Complete the write with its result."""
         self._result.set(result)
 
-    def fail(self, error: _errors.TopazlugError) -> None:
-        """Say why nothing certain, or certainly nothing, became of it."""
+    def set_error(self, error: _errors.TopazlugError) -> None:
+        """Complete the write with the error that `result` raises."""
         self._result.set_exception(error)
 
 
 @final
-class _Pace:
-    """Time between transactions; grows while the store refuses.
+class _Pacer:
+    """The interval between transactions; grows while the store rejects them.
 
-    Without it each daemon would send as fast as the store answers, and a
-    few daemons with one claim each would use up the write rate of all: seen
-    as 429 while the batches are nearly empty.
+    Without it each daemon would send as fast as the store responds, and a
+    few daemons with one claim each would exhaust the write rate of the
+    fleet: the store responds with 429 although batches are nearly empty.
     """
 
     def __init__(self, *, clock: _clock.Clock, min_interval: float) -> None:
@@ -126,19 +126,19 @@
         self._last = clock.monotonic() - min_interval
 
     def wait(self) -> None:
-        """Sleep until the next transaction may go, and count it."""
+        """Sleep until the next transaction is due, and record its start."""
         wait = self._last + self._interval - self._clock.monotonic()
         if wait > 0.0:
             self._clock.sleep(wait)
         self._last = self._clock.monotonic()
 
-    def taken(self) -> None:
-        faster = self._interval * _FASTER
-        self._interval = max(faster, self._min_interval)
+    def speed_up(self) -> None:
+        interval = self._interval * _SPEEDUP_FACTOR
+        self._interval = max(interval, self._min_interval)
 
-    def refused(self) -> None:
-        slower = max(self._interval, MIN_INTERVAL) * _SLOWER
-        self._interval = min(slower, MAX_INTERVAL)
+    def slow_down(self) -> None:
+        interval = max(self._interval, MIN_INTERVAL_SECONDS) * _SLOWDOWN_FACTOR
+        self._interval = min(interval, MAX_INTERVAL_SECONDS)
 
 
 @final
@@ -150,13 +150,13 @@
     store : TableStore
         The table service.
     clock : Clock
-        Paces the transactions.
+        Times the transactions.
     max_batch : int
-        Most rows of one transaction.
-    max_waiting : int
-        Most claims that wait; writes that end a claim pass this bound.
+        Maximum number of rows in one transaction.
+    max_queued : int
+        Maximum length of the queue; writes that end a claim are exempt.
     min_interval : float
-        Least seconds between the starts of two transactions.
+        Minimum seconds between the starts of two transactions.
     """
 
     def __init__(
@@ -165,154 +165,164 @@
         store: _table_client.TableStore,
         clock: _clock.Clock,
         max_batch: int = MAX_BATCH,
-        max_waiting: int = MAX_WAITING,
-        min_interval: float = MIN_INTERVAL,
+        max_queued: int = MAX_QUEUED,
+        min_interval: float = MIN_INTERVAL_SECONDS,
     ) -> None:
         self._store = store
-        self._pace = _Pace(clock=clock, min_interval=min_interval)
+        self._pacer = _Pacer(clock=clock, min_interval=min_interval)
         self._max_batch = max_batch
-        self._max_waiting = max_waiting
-        self._waiting: collections.deque[Ticket] = collections.deque()
+        self._max_queued = max_queued
+        self._queue: collections.deque[PendingWrite] = collections.deque()
         self._worker: gevent.Greenlet | None = None
 
-    def submit(self, write: RowWrite, *, ends_claim: bool = False) -> Ticket:
-        """Put a write in line.
+    def submit(
+        self, write: RowWrite, *, ends_claim: bool = False
+    ) -> PendingWrite:
+        """Queue a write.
 
         Raises
         ------
         StoreUnavailable
-            The line is full; nothing was written.
+            The queue is full; nothing was written.
         """
-        if not ends_claim and len(self._waiting) >= self._max_waiting:
+        if not ends_claim and len(self._queue) >= self._max_queued:
             raise _errors.StoreUnavailable(
-                f"{len(self._waiting)} claims wait for the table service",
-                retry_after=RETRY_AFTER,
+                f"{len(self._queue)} claims are waiting for the table service",
+                retry_after=RETRY_AFTER_SECONDS,
             )
-        ticket = Ticket(write)
-        self._waiting.append(ticket)
+        pending_write = PendingWrite(write)
+        self._queue.append(pending_write)
         if self._worker is None or self._worker.ready():
             self._worker = gevent.spawn(self._run)
-        return ticket
+        return pending_write
 
     def _run(self) -> None:
-        while self._waiting:
-            self._pace.wait()
-            batch = self._take()
+        while self._queue:
+            self._pacer.wait()
+            batch = self._next_batch()
             if batch:
                 self._commit(batch)
 
-    def _take(self) -> list[Ticket]:
-        ticket_by_key: dict[str, Ticket] = {}
-        later: collections.deque[Ticket] = collections.deque()
-        while self._waiting and len(ticket_by_key) < self._max_batch:
-            ticket = self._waiting.popleft()
-            if ticket.stage is _Stage.CANCELLED:
+    def _next_batch(self) -> list[PendingWrite]:
+        write_by_key: dict[str, PendingWrite] = {}
+        deferred: collections.deque[PendingWrite] = collections.deque()
+        while self._queue and len(write_by_key) < self._max_batch:
+            pending_write = self._queue.popleft()
+            if pending_write.stage is _WriteStage.CANCELLED:
                 continue
-            # Two writes of one row can't be told apart by versions within
-            # one transaction: both would be said to have been written. The
-            # second goes in a later one and meets the first there.
-            if ticket.write.key in ticket_by_key:
-                later.append(ticket)
+            # Within one transaction, versions can't distinguish two writes of
+            # the same row: both would be reported as written. The second is
+            # deferred to a later transaction and conflicts with the first.
+            if pending_write.write.key in write_by_key:
+                deferred.append(pending_write)
                 continue
-            ticket_by_key[ticket.write.key] = ticket
-        self._waiting.extendleft(reversed(later))
-        return list(ticket_by_key.values())
+            write_by_key[pending_write.write.key] = pending_write
+        self._queue.extendleft(reversed(deferred))
+        return list(write_by_key.values())
 
-    def _commit(self, batch: list[Ticket]) -> None:
-        for ticket in batch:
-            ticket.stage = _Stage.SENT
+    def _commit(self, batch: list[PendingWrite]) -> None:
+        for pending_write in batch:
+            pending_write.stage = _WriteStage.SENT
         try:
             versions = self._transact(batch)
         except _table_client.TransactionConflict as conflict:
-            self._pace.taken()
-            self._answer_conflicts(batch, conflict.failed)
+            self._pacer.speed_up()
+            self._complete_conflicts(batch, conflict.failed)
         except _errors.StoreUnavailable as error:
-            self._pace.refused()
-            _fail(batch, error)
+            self._pacer.slow_down()
+            _fail_all(batch, error)
         except _errors.StoreAmbiguous as error:
-            self._settle_all(batch, error)
+            self._resolve_all(batch, error)
         except Exception as error:
-            # A fault of the client that nobody foresaw. Left alone it would
-            # end this greenlet with the batch unanswered: claims hang until
-            # their deadlines, ends of claims for ever.
-            _LOG.exception("batch of {} claims failed", len(batch))
-            self._settle_all(batch, _errors.StoreAmbiguous(repr(error)))
+            # An unexpected error in the client must not end this greenlet
+            # with the batch incomplete: claims would block until their
+            # deadlines, and ends of claims forever.
+            _LOG.exception(
+                "unexpected error while writing a batch of {} claims",
+                len(batch),
+            )
+            self._resolve_all(batch, _errors.StoreAmbiguous(repr(error)))
         else:
-            self._pace.taken()
-            self._answer_written(batch, versions)
+            self._pacer.speed_up()
+            self._complete_written(batch, versions)
 
-    def _transact(self, batch: Iterable[Ticket]) -> dict[str, int]:
-        writes = [ticket.write for ticket in batch]
+    def _transact(self, batch: Iterable[PendingWrite]) -> dict[str, int]:
+        writes = [pending_write.write for pending_write in batch]
         return self._store.transact(
             conditions=[_condition(write) for write in writes],
             puts=[_put(write) for write in writes],
         )
 
-    def _answer_written(
-        self, batch: list[Ticket], versions: dict[str, int]
+    def _complete_written(
+        self, batch: list[PendingWrite], versions: dict[str, int]
     ) -> None:
-        for ticket in batch:
-            name = f"{_claim_rows.TABLE}/{ticket.write.key}"
+        for pending_write in batch:
+            name = f"{_claim_rows.TABLE}/{pending_write.write.key}"
             if name in versions:
-                ticket.set(Written(version=versions[name]))
+                pending_write.set_result(Written(version=versions[name]))
             else:
-                error = _errors.StoreAmbiguous(f"no version given for {name}")
-                gevent.spawn(self._settle, ticket, error)
+                error = _errors.StoreAmbiguous(
+                    f"table service returned no version for {name}"
+                )
+                gevent.spawn(self._resolve, pending_write, error)
 
-    def _answer_conflicts(
-        self, batch: list[Ticket], failed: list[_table_client.Row]
+    def _complete_conflicts(
+        self, batch: list[PendingWrite], failed: list[_table_client.Row]
     ) -> None:
         current_by_key = {row.key: row for row in failed}
-        left = [
-            ticket
-            for ticket in batch
-            if ticket.write.key not in current_by_key
+        unaffected = [
+            pending_write
+            for pending_write in batch
+            if pending_write.write.key not in current_by_key
         ]
-        if len(left) == len(batch):
-            why = "the table service refused a batch and named none of it"
-            _fail(
-                batch, _errors.StoreUnavailable(why, retry_after=RETRY_AFTER)
+        if len(unaffected) == len(batch):
+            why = "table service rejected a batch without naming a row of it"
+            _fail_all(
+                batch,
+                _errors.StoreUnavailable(why, retry_after=RETRY_AFTER_SECONDS),
             )
             return
-        for ticket in batch:
-            current = current_by_key.get(ticket.write.key)
+        for pending_write in batch:
+            current = current_by_key.get(pending_write.write.key)
             if current is not None:
-                ticket.set(Refused(current=current))
-        self._put_back(left)
+                pending_write.set_result(Rejected(current=current))
+        self._requeue(unaffected)
 
-    def _put_back(self, left: list[Ticket]) -> None:
-        for ticket in left:
-            ticket.stage = _Stage.WAITING
-        self._waiting.extendleft(reversed(left))
+    def _requeue(self, unaffected: list[PendingWrite]) -> None:
+        for pending_write in unaffected:
+            pending_write.stage = _WriteStage.QUEUED
+        self._queue.extendleft(reversed(unaffected))
 
-    def _settle_all(
-        self, batch: list[Ticket], error: _errors.StoreAmbiguous
+    def _resolve_all(
+        self, batch: list[PendingWrite], error: _errors.StoreAmbiguous
+    ) -> None:
+        # Each in a greenlet of its own, as slow reads of the store would
+        # otherwise delay all later claims.
+        for pending_write in batch:
+            gevent.spawn(self._resolve, pending_write, error)
+
+    # The response to a write was lost. If this were regarded as a failure, the
+    # outcome for the caller would be not-run although the row may be claimed.
+    # If it were regarded as a success, a request that another attempt has
+    # claimed might be sent a second time. So the row is read: it shows which
+    # attempt wrote it, as each attempt writes only its own id.
+    def _resolve(
+        self, pending_write: PendingWrite, error: _errors.StoreAmbiguous
     ) -> None:
-        # Side by side and beside the line: a store that is slow to answer
-        # reads would otherwise hold up every later claim.
-        for ticket in batch:
-            gevent.spawn(self._settle, ticket, error)
-
-    # The answer to a write was lost. Taken for a failure, the caller would
-    # be told not-run while the row says claimed; taken for a success, a
-    # claim that another holds would send a second time. The row itself
-    # tells, as only its own attempt writes an attempt's id.
-    def _settle(self, ticket: Ticket, error: _errors.StoreAmbiguous) -> None:
-        write = ticket.write
+        write = pending_write.write
         try:
             current = self._store.read(_claim_rows.TABLE, write.key)
         except _errors.StoreUnavailable:
-            ticket.fail(error)
+            pending_write.set_error(error)
             return
-        # The row is as it was before: the write may be lost, or may only
-        # be late and land after this read. Nobody can tell, so nobody is
-        # told that it had no effect.
+        # If the row is unchanged, the write may be lost, or may be delayed and
+        # take effect after this read. It must not be reported as ineffective.
         if current is None or current.version <= write.version:
-            ticket.fail(error)
+            pending_write.set_error(error)
         elif _wrote(write, current):
-            ticket.set(Written(version=current.version))
+            pending_write.set_result(Written(version=current.version))
         else:
-            ticket.set(Refused(current=current))
+            pending_write.set_result(Rejected(current=current))
 
 
 def _condition(write: RowWrite) -> _table_client.Condition:
@@ -325,18 +335,20 @@
     return _table_client.Put(
         table=_claim_rows.TABLE,
         key=write.key,
-        value=_claim_rows.value_of(write.row),
+        value=_claim_rows.row_value(write.row),
     )
 
 
 def _wrote(write: RowWrite, current: _table_client.Row) -> bool:
-    row = _claim_rows.row_of(current.value)
+    row = _claim_rows.parse_row(current.value)
     if row is None:
         return False
-    same_attempt = row.attempt == write.row.attempt
-    return same_attempt and row.state is write.row.state
+    is_same_attempt = row.attempt == write.row.attempt
+    return is_same_attempt and row.state is write.row.state
 
 
-def _fail(batch: Iterable[Ticket], error: _errors.StoreUnavailable) -> None:
-    for ticket in batch:
-        ticket.fail(error)
+def _fail_all(
+    batch: Iterable[PendingWrite], error: _errors.StoreUnavailable
+) -> None:
+    for pending_write in batch:
+        pending_write.set_error(error)
--- a/src/topazlug/claims/_claim_settling.py
+++ b/src/topazlug/claims/_claim_finalizer.py
@@ -1,4 +1,4 @@
-"""Writes that end a claim, repeated in the background."""
+"""Writes that end a claim, retried in the background."""
 
 from typing import final
 
@@ -12,28 +12,28 @@
 from topazlug.claims import _claim_rows
 from topazlug.store import _object_client
 
-SETTLE_SECONDS = 60.0
-OBJECT_SECONDS = 30.0
+FINALIZE_TIMEOUT_SECONDS = 60.0
+OBJECT_TIMEOUT_SECONDS = 30.0
 MAX_PENDING = 1024
 MAX_PENDING_BYTES = 8 * 1024 * 1024
 MAX_ROW_BYTES = 4096
-_FIRST_BACKOFF = 0.1
-_MAX_BACKOFF = 5.0
+_INITIAL_BACKOFF_SECONDS = 0.1
+_MAX_BACKOFF_SECONDS = 5.0
 
 _LOG = logbook.Logger("topazlug.claims")
 
 
 @final
 class HeldRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A row that this daemon's attempt claimed, or may yet come to claim.
+    """A row that an attempt of this daemon has claimed or may still claim.
 
     Attributes
     ----------
     key : str
         Key of the row.
     version : int
-        Its version; for an insert whose fate is open, the version that the
-        insert asks for.
+        Its version; for an insert whose result is unknown, the version that
+        is the insert's condition.
     row : ClaimRow
         The claim.
     """
@@ -44,19 +44,19 @@
 
 
 @final
-class ClaimSettler:
-    """Ends claims without holding up the caller's answer.
+class ClaimFinalizer:
+    """Ends claims without delaying the caller's answer.
 
     Parameters
     ----------
     committer : GroupCommitter
         Writes the rows.
     objects : ObjectStore
-        Keeps large answers.
+        Stores large answers.
     clock : Clock
-        Bounds the retries.
+        Limits the time of retries.
     max_kept_bytes : int
-        Largest answer that is kept.
+        Maximum size of an answer that is stored.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         self._pending_bytes = 0
 
     def wait(self, timeout: float) -> int:
-        """Wait until all is written; return how many claims are left."""
+        """Wait for pending writes; return how many claims are not written."""
         self._jobs.join(timeout=timeout)
         return len(self._jobs)
 
@@ -87,56 +87,58 @@
         headers: list[tuple[str, str]],
         body: bytes,
     ) -> None:
-        """Write the answer of a request that ran; returns at once."""
+        """Write the answer of a request that ran; does not block."""
         size = _size(headers, body)
-        if size > self._max_kept_bytes or not self._has_room(size):
+        if size > self._max_kept_bytes or not self._has_capacity(size):
             headers, body, size = [], b"", self._max_kept_bytes + 1
-        if not self._admits(held):
+        if not self._accepts(held):
             return
         answer = _claim_rows.AnswerRow(
             status=status,
             headers=headers,
-            place=self._place(size),
+            place=self._location_for(size),
             body=body,
         )
         self._pending_bytes += len(body)
         self._jobs.spawn(self._finish, held, answer)
 
     def release(self, held: HeldRow) -> None:
-        """Free the key of an attempt that sent nothing; returns at once.
+        """Release the key of an attempt that sent nothing; does not block.
 
-        For an insert whose fate is open this writes the released row where
-        the insert would go. The insert then finds its condition broken,
-        whenever it arrives.
+        If the result of the insert is unknown, the released row is written
+        in its place. The insert then fails on its condition, whenever it
+        arrives.
         """
-        if self._admits(held):
+        if self._accepts(held):
             self._jobs.spawn(self._release, held)
 
-    def release_late(
-        self, held: HeldRow, ticket: _claim_commit.Ticket
+    def release_once_written(
+        self, held: HeldRow, pending_write: _claim_commit.PendingWrite
     ) -> None:
-        """Free the key once an insert that nobody waits for has landed."""
-        if self._admits(held):
-            self._jobs.spawn(self._release_late, held, ticket)
+        """Release the key once an abandoned insert has been written."""
+        if self._accepts(held):
+            self._jobs.spawn(self._release_once_written, held, pending_write)
 
-    def _has_room(self, size: int) -> bool:
+    def _has_capacity(self, size: int) -> bool:
         return self._pending_bytes + size <= MAX_PENDING_BYTES
 
-    # During a long outage of the store the claims that wait for their end
-    # would fill the memory. A claim left as it is says unknown, which is
-    # true, so dropping its end costs only that.
-    def _admits(self, held: HeldRow) -> bool:
+    # During a long outage of the store, claims that wait for their end would
+    # use up the memory. A claim whose end is discarded remains unknown, which
+    # is safe: only its answer or the release of its key is lost.
+    def _accepts(self, held: HeldRow) -> bool:
         if len(self._jobs) < MAX_PENDING:
             return True
-        _LOG.warning("claim {} stays unknown: too many wait", held.key)
+        _LOG.warning(
+            "outcome of claim {} stays unknown: too many are pending", held.key
+        )
         return False
 
-    def _place(self, size: int) -> _claim_rows.AnswerPlace:
+    def _location_for(self, size: int) -> _claim_rows.AnswerLocation:
         if size > self._max_kept_bytes:
-            return _claim_rows.AnswerPlace.NOWHERE
+            return _claim_rows.AnswerLocation.NOWHERE
         if size > MAX_ROW_BYTES:
-            return _claim_rows.AnswerPlace.OBJECT
-        return _claim_rows.AnswerPlace.ROW
+            return _claim_rows.AnswerLocation.OBJECT
+        return _claim_rows.AnswerLocation.ROW
 
     def _finish(self, held: HeldRow, answer: _claim_rows.AnswerRow) -> None:
         try:
@@ -153,41 +155,41 @@
         attempt: _claim_rows.AttemptId,
         answer: _claim_rows.AnswerRow,
     ) -> _claim_rows.AnswerRow:
-        """Keep a large body; only then may a row point to it."""
-        if answer.place is not _claim_rows.AnswerPlace.OBJECT:
+        """Store a large body, which must precede a row that refers to it."""
+        if answer.place is not _claim_rows.AnswerLocation.OBJECT:
             return answer
         if self._put_object(object_key(attempt), answer.body):
             return msgspec.structs.replace(answer, body=b"")
         return msgspec.structs.replace(
-            answer, place=_claim_rows.AnswerPlace.NOWHERE, body=b""
+            answer, place=_claim_rows.AnswerLocation.NOWHERE, body=b""
         )
 
     def _put_object(self, key: str, body: bytes) -> bool:
-        until = self._clock.monotonic() + OBJECT_SECONDS
-        backoff = _FIRST_BACKOFF
+        deadline = self._clock.monotonic() + OBJECT_TIMEOUT_SECONDS
+        backoff = _INITIAL_BACKOFF_SECONDS
         while True:
             try:
                 self._objects.put(key, body)
                 return True
             except (_errors.StoreUnavailable, _errors.StoreAmbiguous):
-                if self._clock.monotonic() + backoff > until:
+                if self._clock.monotonic() + backoff > deadline:
                     return False
             self._clock.sleep(backoff)
-            backoff = min(backoff * 2, _MAX_BACKOFF)
+            backoff = min(backoff * 2, _MAX_BACKOFF_SECONDS)
 
-    def _release_late(
-        self, held: HeldRow, ticket: _claim_commit.Ticket
+    def _release_once_written(
+        self, held: HeldRow, pending_write: _claim_commit.PendingWrite
     ) -> None:
         try:
-            result = ticket.result()
+            result = pending_write.result()
         except _errors.StoreUnavailable:
             return
         except _errors.StoreAmbiguous:
             self._release(held)
             return
         if isinstance(result, _claim_commit.Written):
-            landed = msgspec.structs.replace(held, version=result.version)
-            self._release(landed)
+            written = msgspec.structs.replace(held, version=result.version)
+            self._release(written)
 
     def _release(self, held: HeldRow) -> None:
         released = msgspec.structs.replace(
@@ -196,36 +198,39 @@
         self._write(held, released)
 
     def _write(self, held: HeldRow, row: _claim_rows.ClaimRow) -> None:
-        until = self._clock.monotonic() + SETTLE_SECONDS
-        backoff = _FIRST_BACKOFF
+        deadline = self._clock.monotonic() + FINALIZE_TIMEOUT_SECONDS
+        backoff = _INITIAL_BACKOFF_SECONDS
         version = held.version
         while True:
             result = self._try_write(held.key, version, row)
             if isinstance(result, _claim_commit.Written):
                 return
-            if isinstance(result, _claim_commit.Refused):
+            if isinstance(result, _claim_commit.Rejected):
                 if not _still_claimed(row, result):
                     return
                 version = result.current.version
-            if self._clock.monotonic() + backoff > until:
-                _LOG.warning("claim {} stays unknown: no answer", held.key)
+            if self._clock.monotonic() + backoff > deadline:
+                _LOG.warning(
+                    "outcome of claim {} stays unknown: writing it timed out",
+                    held.key,
+                )
                 return
             self._clock.sleep(backoff)
-            backoff = min(backoff * 2, _MAX_BACKOFF)
+            backoff = min(backoff * 2, _MAX_BACKOFF_SECONDS)
 
     def _try_write(
         self, key: str, version: int, row: _claim_rows.ClaimRow
     ) -> _claim_commit.WriteResult | None:
         write = _claim_commit.RowWrite(key=key, version=version, row=row)
-        ticket = self._committer.submit(write, ends_claim=True)
+        pending_write = self._committer.submit(write, ends_claim=True)
         try:
-            return ticket.result()
+            return pending_write.result()
         except (_errors.StoreUnavailable, _errors.StoreAmbiguous):
             return None
 
 
 def object_key(attempt: _claim_rows.AttemptId) -> str:
-    """Name the object that keeps an attempt's answer."""
+    """Return the key of the object that stores an attempt's answer."""
     return f"claims/{attempt}"
 
 
@@ -233,13 +238,13 @@
     return len(body) + sum(len(name) + len(text) for name, text in headers)
 
 
-# A released row is written where an insert of open fate would go. When the
-# insert had landed after all, the row shows the same attempt as claimed, at
-# a later version: that is the one to end.
+# A released row is written in place of an insert whose result is unknown. If
+# the insert took effect after all, the row shows the same attempt as claimed
+# at a later version; the release must then be written at that version.
 def _still_claimed(
-    row: _claim_rows.ClaimRow, refused: _claim_commit.Refused
+    row: _claim_rows.ClaimRow, rejected: _claim_commit.Rejected
 ) -> bool:
-    current = _claim_rows.row_of(refused.current.value)
+    current = _claim_rows.parse_row(rejected.current.value)
     if current is None or current.attempt != row.attempt:
         return False
     return current.state is _claim_rows.ClaimState.CLAIMED
--- a/src/topazlug/claims/_claim_sweep.py
+++ b/src/topazlug/claims/_claim_sweep.py
@@ -1,8 +1,8 @@
-"""Deletes claims whose lifetime has passed.
+"""Deletes expired claims.
 
-One daemon of the fleet does so. That two think it is theirs, while the
-daemons disagree about who is there, costs reads and does no harm: each
-delete asks for the version that was judged.
+One daemon of the fleet is the sweeper. While the views of the membership
+differ, two daemons may sweep. This costs reads but does no harm, as each
+delete is conditional on the version that was read.
 """
 
 from collections.abc import Callable
@@ -20,30 +20,30 @@
 from topazlug.store import _table_client
 
 PAGE_ROWS = 500
-PAGE_INTERVAL = 1.0
-BATCH_ROWS = 64
-# Clocks of two daemons differ, and a write sent before `expires` may land
-# late. Deleted too early, a row would let the key be claimed again while
-# its first holder still believes it may send.
-MARGIN = datetime.timedelta(hours=1)
+PAGE_INTERVAL_SECONDS = 1.0
+MAX_BATCH_ROWS = 64
+# The clocks of daemons differ, and a write sent before `expires` may take
+# effect late. If a row were deleted too early, the key could be claimed again
+# while its first holder may still send.
+EXPIRY_MARGIN = datetime.timedelta(hours=1)
 
 _LOG = logbook.Logger("topazlug.claims")
 
 
 @final
 class ClaimSweeper:
-    """Walks the table of claims, one page at a time.
+    """Scans the claims table, one page at a time.
 
     Parameters
     ----------
     store : TableStore
         The table service.
     clock : Clock
-        Judges what has expired, and paces the walk.
+        Determines which claims have expired, and times the scan.
     daemon_id : DaemonId
         This daemon.
     usable : callable
-        Gives the ids of the daemons that are there, this one included.
+        Returns the ids of the daemons that are up, including this one.
     page_interval : float
         Seconds between two pages.
     """
@@ -55,7 +55,7 @@
         clock: _clock.Clock,
         daemon_id: _ids.DaemonId,
         usable: Callable[[], Collection[_ids.DaemonId]],
-        page_interval: float = PAGE_INTERVAL,
+        page_interval: float = PAGE_INTERVAL_SECONDS,
     ) -> None:
         self._store = store
         self._clock = clock
@@ -69,11 +69,11 @@
         """Sweep until the greenlet is killed."""
         while True:
             self._clock.sleep(self._page_interval)
-            if sweeper_of(self._usable()) == self._daemon_id:
+            if choose_sweeper(self._usable()) == self._daemon_id:
                 self.sweep_page()
 
     def sweep_page(self) -> None:
-        """Delete what has expired on the next page of the table."""
+        """Delete the expired claims on the next page of the table."""
         try:
             page = self._store.scan(
                 _claim_rows.TABLE, after=self._after, limit=PAGE_ROWS
@@ -81,38 +81,38 @@
         except _errors.StoreUnavailable:
             return
         expired = [row for row in page.rows if self._has_expired(row)]
-        for start in range(0, len(expired), BATCH_ROWS):
-            self._delete(expired[start : start + BATCH_ROWS])
+        for start in range(0, len(expired), MAX_BATCH_ROWS):
+            self._delete(expired[start : start + MAX_BATCH_ROWS])
         self._after = page.rows[-1].key if page.more else ""
 
     def _has_expired(self, row: _table_client.Row) -> bool:
-        claim = _claim_rows.row_of(row.value)
+        claim = _claim_rows.parse_row(row.value)
         if claim is None:
             return False
-        return claim.expires + MARGIN < self._clock.now()
+        return claim.expires + EXPIRY_MARGIN < self._clock.now()
 
     def _delete(self, rows: list[_table_client.Row]) -> None:
         try:
             self._store.transact(
                 conditions=[_unchanged(row) for row in rows],
                 puts=[],
-                deletes=[_delete_of(row) for row in rows],
+                deletes=[_deletion(row) for row in rows],
             )
         except (
             _table_client.TransactionConflict,
             _errors.StoreUnavailable,
             _errors.StoreAmbiguous,
         ) as error:
-            # The next walk meets again whatever is still there.
-            _LOG.info("expired claims stay for now: {}", error)
+            # The next scan finds the rows that are still there.
+            _LOG.info("deleting expired claims failed: {}", error)
             return
         self.deleted += len(rows)
 
 
-def sweeper_of(
+def choose_sweeper(
     daemon_ids: Collection[_ids.DaemonId],
 ) -> _ids.DaemonId | None:
-    """Choose who sweeps: the highest hash; None if nobody is there."""
+    """Return the daemon with the highest hash; None if there is none."""
     return max(daemon_ids, key=_rank, default=None)
 
 
@@ -126,5 +126,5 @@
     )
 
 
-def _delete_of(row: _table_client.Row) -> _table_client.Delete:
+def _deletion(row: _table_client.Row) -> _table_client.Delete:
     return _table_client.Delete(table=row.table, key=row.key)
--- /dev/null
+++ b/src/topazlug/crashes/_crash_records.py
@@ -0,0 +1,197 @@
+"""Records of replica crashes that daemons share as rows of a table.
+
+The row of a crash is written by one daemon and never changes. Only a row
+that concerns one fingerprint as a whole (its requests are blocked, or one of
+them was answered) may be written by several. So no two daemons have to agree
+on a row.
+"""
+
+import datetime
+import functools
+from typing import NewType
+from typing import final
+
+import msgspec
+import xxhash
+
+from topazlug import _ids
+from topazlug.targets import _target
+
+TABLE = "crashes"
+# A block and the crashes that led to it expire after a day. A request that
+# is still being sent is then tried again.
+RETENTION = datetime.timedelta(days=1)
+_CRASH_PREFIX = "crash/"
+_ANSWERED_PREFIX = "answered/"
+_BLOCK_PREFIX = "block/"
+
+IncarnationName = NewType("IncarnationName", str)
+# Distinguishes the attempts of callers.
+AttemptTag = NewType("AttemptTag", str)
+
+
+def incarnation_name(incarnation: _target.ReplicaProcess) -> IncarnationName:
+    """Return the name of a replica's incarnation in rows."""
+    return IncarnationName(f"{incarnation.replica}@{incarnation.incarnation}")
+
+
+def attempt_tag(attempt: str) -> AttemptTag:
+    """Return a short name of a caller's attempt."""
+    return AttemptTag(xxhash.xxh3_64_hexdigest(attempt.encode())[:8])
+
+
+@final
+class Suspect(msgspec.Struct, frozen=True, array_like=True):
+    """A request that ran on a replica when the replica crashed.
+
+    Attributes
+    ----------
+    fingerprint : Fingerprint
+        The request.
+    attempt : AttemptTag
+        The caller's attempt.
+    seconds : float
+        How long it had been running on the replica.
+    """
+
+    fingerprint: _ids.Fingerprint
+    attempt: AttemptTag
+    seconds: float
+
+
+@final
+class Crash(msgspec.Struct, frozen=True, kw_only=True, tag="crash"):
+    """A crash of a replica, with the requests that one daemon ran on it.
+
+    Attributes
+    ----------
+    start : IncarnationName
+        The incarnation of the replica that crashed.
+    daemon : DaemonId
+        The daemon that sent the requests.
+    at : datetime
+        When the record was written, by that daemon's clock.
+    group : GroupName
+        Pool or service of the replica.
+    replicas : int
+        Number of replicas in the group.
+    suspects : list of Suspect
+        The daemon's requests on the replica.
+    """
+
+    start: IncarnationName
+    daemon: _ids.DaemonId
+    at: datetime.datetime
+    group: _ids.GroupName
+    replicas: int
+    suspects: list[Suspect]
+
+
+@final
+class Answered(msgspec.Struct, frozen=True, kw_only=True, tag="answered"):
+    """A suspected request got a complete answer, so it crashes no replica.
+
+    Attributes
+    ----------
+    fingerprint : Fingerprint
+        The request.
+    starts : list of IncarnationName
+        Incarnations that crashed before the answer. These crashes no longer
+        count against the request.
+    at : datetime
+        When the record was written.
+    """
+
+    fingerprint: _ids.Fingerprint
+    starts: list[IncarnationName]
+    at: datetime.datetime
+
+
+@final
+class Block(msgspec.Struct, frozen=True, kw_only=True, tag="block"):
+    """A request that crashes the replicas that run it.
+
+    Attributes
+    ----------
+    fingerprint : Fingerprint
+        The request.
+    starts : list of IncarnationName
+        Incarnations that the request crashed.
+    at : datetime
+        When the record was written.
+    group : GroupName
+        Pool or service of the replicas.
+    released : bool
+        Whether an operator has unblocked the request. Its earlier crashes
+        remain explained, so blocking it again takes as many new ones.
+    """
+
+    fingerprint: _ids.Fingerprint
+    starts: list[IncarnationName]
+    at: datetime.datetime
+    group: _ids.GroupName
+    released: bool = False
+
+
+CrashRecord = Crash | Answered | Block
+_DECODER = msgspec.json.Decoder(CrashRecord)
+
+
+@functools.singledispatch
+def record_key(record: CrashRecord) -> str:
+    """Return the key of a record's row.
+
+    Raises
+    ------
+    TypeError
+        The argument is not a crash record.
+    """
+    raise TypeError(f"{type(record).__name__} is not a crash record")
+
+
+@record_key.register
+def _key_of_crash(record: Crash) -> str:
+    return f"{_CRASH_PREFIX}{record.start}/{record.daemon}"
+
+
+@record_key.register
+def _key_of_answered(record: Answered) -> str:
+    return f"{_ANSWERED_PREFIX}{record.fingerprint}"
+
+
+@record_key.register
+def _key_of_block(record: Block) -> str:
+    return f"{_BLOCK_PREFIX}{record.fingerprint}"
+
+
+def released_block(block: Block, *, now: datetime.datetime) -> Block:
+    """Return a copy of a block that is released.
+
+    Its time is later than that of the block even if the clock of the daemon
+    that releases it is behind.
+    """
+    later = block.at + datetime.timedelta(milliseconds=1)
+    return msgspec.structs.replace(block, at=max(now, later), released=True)
+
+
+def encode(record: CrashRecord) -> bytes:
+    """Return the data of a record's row."""
+    return msgspec.json.encode(record)
+
+
+def decode(key: str, data: bytes) -> CrashRecord:
+    """Return the record in a row.
+
+    Raises
+    ------
+    ValueError
+        The data is not a crash record, or the key is not that of the record.
+    """
+    record = _DECODER.decode(data)
+    if record_key(record) != key:
+        raise ValueError(
+            f"the record of {record_key(record)!r} is stored at {key!r}"
+        )
+    if record.at.tzinfo is None:
+        raise ValueError(f"timestamp {record.at} has no time zone")
+    return record
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -28,9 +28,9 @@
 from topazlug.forwarding import _wire
 from topazlug.limits import _retry_share
 from topazlug.peers import _peers
-from topazlug.placement import _context
+from topazlug.placement import _context_locator
 from topazlug.placement import _mechanisms
-from topazlug.placement import _owned_admission
+from topazlug.placement import _owner_admission
 from topazlug.placement import _owners
 from topazlug.placement import _replica_list
 from topazlug.placement import _replica_view
@@ -101,9 +101,9 @@
             clock=clock, flap_window=_FLAP_SECONDS
         )
         self.views = _replica_view.ReplicaViews(
-            clock=clock, without=options.without
+            clock=clock, disabled=options.disabled
         )
-        self.contexts = _context.ContextMemory(
+        self.contexts = _context_locator.ContextLocator(
             targets=self.targets, clock=clock
         )
         self.budget = _retry_share.RetryShare(
@@ -114,18 +114,18 @@
             clock=clock,
         )
         self.replicas = _replica_list.ReplicaList(
-            changed=self._take_replicas,
+            on_change=self._take_replicas,
             unreachable=options.news.unreachable,
             clock=clock,
         )
-        self._admission = _owned_admission.OwnedAdmission(
-            alone=_view_admission.ViewAdmission(
+        self._admission = _owner_admission.OwnerAdmission(
+            view_admission=_view_admission.ViewAdmission(
                 targets=self.targets, views=self.views
             ),
             targets=self.targets,
             views=self.views,
             clock=clock,
-            without=options.without,
+            disabled=options.disabled,
         )
         self._owners: _owners.FleetOwners | None = None
         self._fleet = _fleet.Fleet(
@@ -137,8 +137,8 @@
                 first_start=options.first_start,
             ),
             new_store=new_store,
-            joined=self._join_owners,
-            sized=self._take_size,
+            on_joined=self._join_owners,
+            on_size=self._take_size,
             clock=clock,
         )
         self._connections = _target_client.TargetConnections(
@@ -146,7 +146,7 @@
             clock=clock,
             wire=replica_wire,
             idle_per_target=_IDLE_PER_REPLICA,
-            take_word=self.targets.take_word,
+            handle_report=self.targets.handle_report,
         )
         self._crashes = _crash_parts.CrashParts(
             daemon=options.daemon,
@@ -154,7 +154,7 @@
             targets=self.targets,
             new_store=new_store,
             daemons=lambda: self._fleet.directory.daemons_by_id,
-            refuses=_mechanisms.Mechanism.CRASH_GUARD not in options.without,
+            refuses=_mechanisms.Mechanism.CRASH_GUARD not in options.disabled,
             clock=clock,
         )
         self.metrics = _metrics.Metrics(
@@ -172,7 +172,7 @@
             targets=self.targets,
             views=self.views,
             wire=replica_wire,
-            without=options.without,
+            disabled=options.disabled,
         )
         self._app = _app.ForwardingApp(
             forwarder=parts.build(),
@@ -210,7 +210,7 @@
                 held=self.tables.version,
             )
             return
-        self.targets.cold.take_groups(table.cold_start_by_group)
+        self.targets.cold.set_cold_starts(table.cold_start_by_group)
         self._open_gate()
         self._callers.head_seconds = table.bounds.head_timeout
         self._callers.idle_seconds = table.bounds.idle_timeout
@@ -228,13 +228,13 @@
             drained=sorted(zones - before),
             returned=sorted(before - zones),
         )
-        self.targets.take_drains(_targets.Drains(zones=zones))
+        self.targets.set_drains(_targets.Drains(zones=zones))
 
     def _take_replicas(self, targets: list[_targets.Target]) -> None:
         before = self.targets.target_by_replica
         _replica_list.log_changes(before, targets)
         self._end_starts(targets)
-        self._crashes.guard.take_list(before, targets)
+        self._crashes.guard.handle_list_change(before, targets)
         self.views.take_list(targets)
         self.contexts.take_list(targets)
         self.targets.take_list(targets)
@@ -254,7 +254,7 @@
                 replica=target.replica,
                 start=target.incarnation,
             )
-            self._connections.end_start(before[target.replica])
+            self._connections.drop_connections(before[target.replica])
 
     def _open_gate(self) -> None:
         if self.is_ready():
@@ -285,30 +285,30 @@
             targets=self.targets,
             clock=self._clock,
         )
-        self._owners.take_daemons(self._fleet.directory.daemons_by_id)
+        self._owners.update_daemons(self._fleet.directory.daemons_by_id)
         self._greenlets += self._owners.start()
         self._crashes.join(links)
-        if _mechanisms.Mechanism.OWNERS not in self._options.without:
+        if _mechanisms.Mechanism.OWNERS not in self._options.disabled:
             self._admission.asks = self._owners.asks
-            self.targets.on_word(self._owners.asks.tell_backoff)
+            self.targets.on_report(self._owners.asks.report_backoff)
 
     def _take_size(self, daemons: int) -> None:
         if self._owners is not None:
-            self._owners.take_daemons(self._fleet.directory.daemons_by_id)
+            self._owners.update_daemons(self._fleet.directory.daemons_by_id)
         # Rows of daemons that are gone stay, so this is never too low once
         # all have joined; before, the fleet may still be growing.
         self.budget.daemons = max(_FLEET_LEAST, daemons)
-        seconds = _replica_view.REPORT_SECONDS
-        if daemons > _fleet_directory.SMALL_FLEET:
-            seconds = _replica_view.LARGE_FLEET_REPORT_SECONDS
-        self.views.count_reports_for(seconds)
+        seconds = _replica_view.REPORT_LIFETIME_SECONDS
+        if daemons > _fleet_directory.MAX_SMALL_FLEET:
+            seconds = _replica_view.LARGE_FLEET_REPORT_LIFETIME_SECONDS
+        self.views.set_report_lifetime(seconds)
 
     def follow(
         self,
         table: str,
-        follower: _table_feed.TableFollower,
+        follower: _table_feed.TableListener,
         *,
-        pace: _table_feed.Pace = _table_feed.USUAL,
+        pace: _table_feed.Pace = _table_feed.DEFAULT_PACE,
     ) -> None:
         """Follow a table of the platform's store from now on."""
         feed = self._fleet.feed(table, follower, pace=pace)
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -8,10 +8,10 @@
 from topazlug import _errors
 from topazlug.forwarding import _call
 from topazlug.forwarding import _wire
-from topazlug.placement import _context
+from topazlug.placement import _context_locator
 from topazlug.placement import _mechanisms
 from topazlug.placement import _replica_view
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_answer
 from topazlug.targets import _target_client
 from topazlug.targets import _targets
@@ -20,7 +20,9 @@
 class NoteUnreached(Protocol):
     """Takes word of a replica that took no connection."""
 
-    def __call__(self, place: _place.Place, *, is_silent: bool) -> None:
+    def __call__(
+        self, place: _placement.Placement, *, is_silent: bool
+    ) -> None:
         """Note it, and whether it did not refuse it either."""
 
 
@@ -57,7 +59,7 @@
         Known replicas.
     views : ReplicaViews
         Gets load, latency and outcomes.
-    contexts : ContextMemory
+    contexts : ContextLocator
         Knows where prompts' contexts lie.
     wire : ReplicaWire
         Names on the wire.
@@ -69,7 +71,7 @@
         an answer, and the seconds that this took.
     clock : Clock
         Time.
-    without : frozenset of Mechanism
+    disabled : frozenset of Mechanism
         What is switched off.
     """
 
@@ -79,14 +81,14 @@
         connections: _target_client.TargetConnections,
         targets: _targets.TargetDirectory,
         views: _replica_view.ReplicaViews,
-        contexts: _context.ContextMemory,
+        contexts: _context_locator.ContextLocator,
         wire: _wire.ReplicaWire,
         note_unreached: NoteUnreached,
-        note_head: Callable[[_place.Place, int, int, float], None],
+        note_head: Callable[[_placement.Placement, int, int, float], None],
         clock: _clock.Clock,
-        without: _mechanisms.Without = _mechanisms.NONE,
+        disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
-        self._copies = _mechanisms.Mechanism.COPIES not in without
+        self._copies = _mechanisms.Mechanism.COPIES not in disabled
         self._note_unreached = note_unreached
         self._note_head = note_head
         self._connections = connections
@@ -99,7 +101,7 @@
     def send(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         *,
         head_timeout: float,
         resume_after: int | None,
@@ -115,7 +117,7 @@
         RequestError
             It may have run.
         """
-        view = self._views.of_start(place.target)
+        view = self._views.of_incarnation(place.target)
         sent_at = self._clock.monotonic()
         try:
             answer = self._connections.exchange(
@@ -144,7 +146,7 @@
     def _request(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         resume_after: int | None,
     ) -> _target_client.TargetRequest:
         source = None
@@ -176,14 +178,14 @@
     def _note(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         sent_at: float,
     ) -> None:
-        view = self._views.of_start(place.target)
+        view = self._views.of_incarnation(place.target)
         seconds = self._clock.monotonic() - sent_at
         view.note_latency(seconds)
-        self._targets.reach.note_answer(place.target)
+        self._targets.reachability.record_answer(place.target)
         load = self._wire.load(answer)
         if load is not None:
             view.note_report(load.running + load.waiting)
--- a/src/topazlug/forwarding/_forwarder.py
+++ b/src/topazlug/forwarding/_forwarder.py
@@ -19,7 +19,7 @@
 from topazlug.limits import _retry_share
 from topazlug.placement import _mechanisms
 from topazlug.placement import _replica_view
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _target_answer
 
 _log = _logs.logger("forwarding")
@@ -73,7 +73,7 @@
         What is counted.
     clock : Clock
         Time.
-    without : frozenset of Mechanism
+    disabled : frozenset of Mechanism
         What is switched off.
     """
 
@@ -81,7 +81,7 @@
         self,
         *,
         attempts: _attempts.Attempts,
-        admission: _place.Admission,
+        admission: _placement.Admission,
         exchange: _exchange.Exchange,
         resumer: _event_relay.StreamResumer,
         guard: _crash_guard.CrashGuard,
@@ -89,9 +89,11 @@
         budget: _retry_share.RetryShare,
         measures: _measures.Measures,
         clock: _clock.Clock,
-        without: _mechanisms.Without = _mechanisms.NONE,
+        disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
-        self._second_tries = _mechanisms.Mechanism.SECOND_TRIES not in without
+        self._second_tries = (
+            _mechanisms.Mechanism.EARLY_RETRIES not in disabled
+        )
         self._attempts = attempts
         self._admission = admission
         self._exchange = exchange
@@ -114,7 +116,7 @@
         # ends each replica which runs it ended eleven of them in eleven
         # seconds, with two to twelve others at each.
         self._guard.check(call.fingerprint)
-        tried: list[_place.Place] = []
+        tried: list[_placement.Placement] = []
         attempt = functools.partial(self._attempt, call, tried)
         with _caller_watch.watched(call.socket):
             try:
@@ -135,8 +137,8 @@
     def _attempt(
         self,
         call: _call.ForwardedCall,
-        tried: list[_place.Place],
-        place: _place.Place,
+        tried: list[_placement.Placement],
+        place: _placement.Placement,
     ) -> _caller_answer.CallerAnswer:
         if not tried:
             self._measures.sent(call)
@@ -157,7 +159,10 @@
                 raise
 
     def _patience(
-        self, call: _call.ForwardedCall, place: _place.Place, tried: int
+        self,
+        call: _call.ForwardedCall,
+        place: _placement.Placement,
+        tried: int,
     ) -> float:
         """Give how long one replica's answer is awaited.
 
@@ -170,9 +175,9 @@
             return left
         if not route.repeatable or tried >= route.max_replicas:
             return left
-        if not self._budget.has_left(call.group):
+        if not self._budget.can_retry(call.group):
             return left
-        usual = self._views.of_start(place.target).latency
+        usual = self._views.of_incarnation(place.target).latency
         late = max(
             _SECOND_TRY_OBJECTIVES * route.objective,
             _SECOND_TRY_LATENCIES * usual,
@@ -182,19 +187,19 @@
     def _whole(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
     ) -> _caller_answer.CallerAnswer:
         """Read an answer whole, or its first part if it is very long."""
         left = call.deadline - self._clock.monotonic()
-        chunks = answer.chunks(silence=left, deadline=call.deadline)
+        chunks = answer.chunks(receive_timeout=left, deadline=call.deadline)
         head = bytearray()
         for data in chunks:
             head += data
             if len(head) > _MAX_BUFFERED_BYTES:
                 return self._long(call, place, answer, bytes(head), chunks)
         failed = answer.status >= _SERVER_ERROR
-        self._views.of_start(place.target).note_outcome(failed=failed)
+        self._views.of_incarnation(place.target).note_outcome(failed=failed)
         if failed and call.route.repeatable:
             raise _exchange.AnsweredWithFailure(answer, bytes(head))
         self._admission.release(place)
@@ -205,7 +210,7 @@
     def _long(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         head: bytes,
         chunks: Iterator[bytes],
@@ -230,7 +235,7 @@
     def _stream(
         self,
         call: _call.ForwardedCall,
-        place: _place.Place,
+        place: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         tried: int,
     ) -> _caller_answer.CallerAnswer:
--- /dev/null
+++ b/src/topazlug/placement/_owner_admission.py
@@ -0,0 +1,273 @@
+"""Places requests by the owners' counts, or by own views if no owner replies.
+
+Each replica's load is counted by one daemon, its owner. A daemon that sees
+only a small part of the requests would assume that a full replica is empty;
+the owner counts all of them. If the owner does not reply, the request does
+not wait for another one: this daemon's own view decides.
+"""
+
+from typing import final
+
+import msgspec
+
+from topazlug import _clock
+from topazlug import _errors
+from topazlug import _ids
+from topazlug import _logs
+from topazlug._generated import messages
+from topazlug.placement import _mechanisms
+from topazlug.placement import _owner_search
+from topazlug.placement import _replica_view
+from topazlug.placement import _view_admission
+from topazlug.routing import _owner_client
+from topazlug.routing import _placement
+from topazlug.targets import _targets
+
+_log = _logs.logger("forwarding")
+# Fraction of a request's latency objective that it may spend waiting here for
+# free capacity; the rest is for the answer.
+_MAX_WAIT_FRACTION = 0.4
+# Minimum Retry-After; callers do not retry sooner.
+_MIN_RETRY_AFTER_SECONDS = 0.2
+# A response head that took more than this fraction of the latency objective
+# is slow: the requests queued behind it will be late.
+_SLOW_FRACTION = 0.5
+
+
+@final
+class OwnerAdmission:
+    """Admits requests by asking the replicas' owners.
+
+    Parameters
+    ----------
+    view_admission : ViewAdmission
+        Decides where no owner replies.
+    targets : TargetDirectory
+        Replicas that may get new work.
+    views : ReplicaViews
+        Load and health of replicas as seen by this daemon.
+    clock : Clock
+        Time.
+    disabled : frozenset of Mechanism
+        Mechanisms that are switched off.
+
+    Attributes
+    ----------
+    asks : OwnerClient or None
+        Sends admission requests to owners; None until this daemon has joined
+        its fleet.
+    """
+
+    def __init__(
+        self,
+        *,
+        view_admission: _view_admission.ViewAdmission,
+        targets: _targets.TargetDirectory,
+        views: _replica_view.ReplicaViews,
+        clock: _clock.Clock,
+        disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
+    ) -> None:
+        self._clock = clock
+        self._disabled = disabled
+        self._view_admission = view_admission
+        self._targets = targets
+        self._views = views
+        self._search = _owner_search.OwnerSearch(
+            view_admission=view_admission,
+            targets=targets,
+            views=views,
+            clock=clock,
+            disabled=disabled,
+        )
+        self.asks: _owner_client.OwnerClient | None = None
+        # Replicas whose last answer reported waiting requests.
+        self._queueing_replicas: set[_ids.ReplicaId] = set()
+
+    def admit(
+        self, request: _placement.PlacementRequest
+    ) -> _placement.Placement:
+        """Choose a replica and hold a slot there.
+
+        Raises
+        ------
+        NoTarget
+            The group has no usable replica that was not tried.
+        Overloaded
+            No replica has free capacity for the request's rank.
+        """
+        asks = self.asks
+        if asks is None:
+            return self._view_admission.admit(request)
+        if not request.keeps_context:
+            return self._place_by_latency(asks, request)
+        if _mechanisms.Mechanism.RANK_LIMITS in self._disabled:
+            request = msgspec.structs.replace(request, rank=-1)
+        place = self._ask_owners(asks, request)
+        return self._place_by_view(asks, request) if place is None else place
+
+    def _place_by_latency(
+        self,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+    ) -> _placement.Placement:
+        """Place a request of a group whose replicas keep no context.
+
+        Owners are asked only if all replicas have just started, as only they
+        count the requests that a cold replica got in the last second.
+        """
+        if self._view_admission.warm(self._view_admission.candidates(request)):
+            return self._view_admission.admit(request)
+        place = self._ask_owners(asks, request)
+        return self._view_admission.admit(request) if place is None else place
+
+    def _place_by_view(
+        self,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+    ) -> _placement.Placement:
+        """Place a request without an owner's reply, and report it later.
+
+        The next renewal reports the slot to the owner. Otherwise an owner
+        that recovers would count too little load, by all requests that were
+        placed meanwhile, and admit as many again.
+        """
+        place = self._view_admission.admit(request)
+        place.ask = asks.new_number()
+        asks.held_placements.placement_by_ask[place.ask] = place
+        return place
+
+    def _ask_owners(
+        self,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+    ) -> _placement.Placement | None:
+        """Ask owners, and once more if a reserved slot is due soon enough.
+
+        A slot is reserved for a rejected request. If it is due while the
+        answer can still be on time, the request waits for it here instead
+        of at its caller: that needs no new connection and does not use up
+        the single retry that most callers make.
+        """
+        max_wait = request.latency_objective * _MAX_WAIT_FRACTION
+        if _mechanisms.Mechanism.ADMISSION_WAIT in self._disabled:
+            max_wait = 0.0
+        try:
+            return self._search.search(asks, request)
+        except _owner_search.Full as full:
+            if full.seconds > max_wait:
+                raise self._rejection(asks, request, full) from full
+            self._reserve(asks, request, full.home, full.seconds)
+            self._clock.sleep(full.seconds)
+        try:
+            return self._search.search(asks, request)
+        except _owner_search.Full as full:
+            raise self._rejection(asks, request, full) from full
+
+    def _rejection(
+        self,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+        full: _owner_search.Full,
+    ) -> _errors.Overloaded:
+        """Return the error for a request that no replica has capacity for.
+
+        A slot is reserved for its retry only if that can still be on time:
+        a slot given to a request that is late anyway is lost to one that is
+        not.
+        """
+        seconds = max(_MIN_RETRY_AFTER_SECONDS, full.seconds)
+        if seconds <= request.latency_objective:
+            self._reserve(asks, request, full.home, seconds)
+        return _errors.Overloaded(
+            f"no replica of {request.group} has free capacity for rank "
+            f"{request.rank}",
+            retry_after=seconds,
+        )
+
+    def _reserve(
+        self,
+        asks: _owner_client.OwnerClient,
+        request: _placement.PlacementRequest,
+        home: _ids.ReplicaId,
+        seconds: float,
+    ) -> None:
+        if _mechanisms.Mechanism.RESERVATIONS not in self._disabled:
+            asks.report_rejection(request, home, seconds=seconds)
+
+    def note_unreached(
+        self, place: _placement.Placement, *, is_silent: bool
+    ) -> None:
+        """Handle a failed connection to a replica.
+
+        The replica may be restarting, which its entry shows only seconds
+        later. Its owner is notified, as it must not send a restarted replica
+        all of its chats at once.
+
+        Parameters
+        ----------
+        place : Place
+            Where the request was to run.
+        is_silent : bool
+            Whether the connection timed out rather than being refused.
+        """
+        target = place.target
+        if is_silent and self._targets.reachability.record_timeout(target):
+            _log.warning("zone {zone} is unreachable", zone=target.zone)
+        self._targets.cold.presume_cold([target])
+        if self.asks is not None:
+            self.asks.report_unreached(place.target.replica)
+
+    def note_head(
+        self,
+        place: _placement.Placement,
+        running: int,
+        waiting: int,
+        seconds: float,
+    ) -> None:
+        """Report the load in a response head to the replica's owner.
+
+        Reports only that a context was read, that requests wait on the
+        replica, and once that none waits any more. This includes requests that
+        were placed without the owner, as it could not keep those within its
+        limits.
+
+        Parameters
+        ----------
+        place : Place
+            Where the answer comes from.
+        running, waiting : int
+            Requests that the replica reports as running and as waiting.
+        seconds : float
+            Time until the head arrived.
+        """
+        if self.asks is None:
+            return
+        replica = place.target.replica
+        was_queueing = replica in self._queueing_replicas
+        if waiting:
+            self._queueing_replicas.add(replica)
+        else:
+            self._queueing_replicas.discard(replica)
+        if not (place.reads_context or waiting or was_queueing):
+            return
+        report = messages.EngineWord(
+            replica=replica,
+            running=running,
+            waiting=waiting,
+            slow=seconds > place.request.latency_objective * _SLOW_FRACTION,
+            read=place.request.chat if place.reads_context else 0,
+        )
+        place.reads_context = False
+        self.asks.report_response_head(replica, report)
+
+    def release(self, place: _placement.Placement) -> None:
+        """Release a slot; further calls do nothing."""
+        if place.released:
+            return
+        # Slots that no owner counts are numbered separately, so another
+        # slot may be held under the same number.
+        if self.asks is not None:
+            held = self.asks.held_placements.placement_by_ask
+            if held.get(place.ask) is place:
+                self.asks.held_placements.release(place)
+        self._view_admission.release(place)
--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -1,8 +1,8 @@
-"""The entry daemon's role: find a place for a request.
+"""The entry role: admission of requests through the owners of replicas.
 
-The entry daemon asks the owners of the replicas in the chat's rank, one
-after the other. It talks to the replica itself, so no stream crosses two
-daemons.
+The entry daemon sends admission requests to the owners of the replicas in the
+chat's ranking, one after the other. It connects to the chosen replica itself,
+so no response is relayed by a second daemon.
 """
 
 from collections.abc import Callable
@@ -17,96 +17,109 @@
 from topazlug import _ids
 from topazlug._generated import messages
 from topazlug._generated import settings as _settings_types
-from topazlug.routing import _holdings
-from topazlug.routing import _no_target
+from topazlug.routing import _held_placements
+from topazlug.routing import _no_usable_replica
 from topazlug.routing import _owner
-from topazlug.routing import _owner_asks
+from topazlug.routing import _owner_client
 from topazlug.routing import _ownership
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 from topazlug.targets import _targets
 
 _log = logbook.Logger("admission")
 
-# A returning chat waits so long for the replica that holds its context.
-# Recomputing the context costs more, and where places come free often, as
-# each 70 ms at 15 requests/s, most such waits end with one.
-_CONTEXT_WAIT = 0.2
-_REDIRECTS = 1
-_FULL_SECONDS = 0.25
-_NO_TARGET_SECONDS = 1.0
-_SEARCHES = 4
-_MOVED = (messages.Verdict.not_owner, messages.Verdict.expired)
+# Maximum wait of a returning chat for the replica that holds its context.
+# Recomputing the context takes longer. At 15 requests/s, a slot is released
+# every 70 ms, so most of these waits succeed.
+_CONTEXT_WAIT_SECONDS = 0.2
+_MAX_REDIRECTS = 1
+# How long a reply that a replica is full is reused for other requests.
+_FULL_CACHE_SECONDS = 0.25
+_NO_TARGET_RETRY_SECONDS = 1.0
+_MAX_SEARCHES = 4
+_OWNERSHIP_CHANGED = (messages.Verdict.not_owner, messages.Verdict.expired)
 
 
 class _Full(NamedTuple):
-    """A replica that had no free slot, and until when that counts."""
+    """A replica's load when it was full, and when that record expires."""
 
     load: int
     until: float
 
 
-class _Round:
-    """What one request has learned while it looks for a place."""
+class _Search:
+    """State of one search for a replica."""
 
     def __init__(self, ranked: list[_ids.ReplicaId]) -> None:
         self.ranked = ranked
-        self.asked: set[_ids.ReplicaId] = set()
+        self.requested: set[_ids.ReplicaId] = set()
         self.load_by_replica: dict[_ids.ReplicaId, int] = {}
-        self.seat: _ids.ReplicaId | None = None
+        self.displaced_to: _ids.ReplicaId | None = None
         self.retry_after = 0.0
-        self.place: _place.Place | None = None
-        self.is_worth_repeating = False
-        self.has_old_loads = False
+        self.placement: _placement.Placement | None = None
+        self.should_retry = False
+        self.has_stale_loads = False
 
-    def note(
+    def record_rejection(
         self, replica: _ids.ReplicaId, reply: messages.AdmitReply
     ) -> None:
         self.retry_after = max(self.retry_after, reply.retry_after)
         self.load_by_replica[replica] = reply.load
 
     @property
-    def least(self) -> _ids.ReplicaId | None:
-        """Give the replica that said it has the least load."""
+    def least_loaded(self) -> _ids.ReplicaId | None:
+        """Replica with the lowest reported load, None if none replied."""
         loads = self.load_by_replica
         return min(loads, key=loads.__getitem__) if loads else None
 
-    def total(self, replicas: int) -> int:
-        """Give the group's load if all owners have just told theirs.
+    def group_load(self, replicas: int) -> int:
+        """Return the group's load if all its replicas' owners replied.
 
-        The mean that owners go by lags. When calls come in a burst, each
-        owner still counts the others as idle and all refuse, though one of
-        them must lie below the true mean; the caller would wait for the
-        next report.
+        The mean that owners use lags. In a burst, each owner still assumes
+        that the replicas of others are idle, and all reject the request,
+        although one replica must be below the true mean. Without this total,
+        the request would wait for the next load report.
+
+        Returns
+        -------
+        int
+            Load units; 0 if a replica's load is missing or out of date.
         """
-        if self.has_old_loads or len(self.load_by_replica) < replicas:
+        if self.has_stale_loads or len(self.load_by_replica) < replicas:
             return 0
         return sum(self.load_by_replica.values())
 
 
 @final
 class OwnersAdmission:
-    """Finds places by asking owners.
+    """Admits requests through the owners of replicas.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     owner : Owner
-        This daemon's own ledgers.
+        This daemon's owner role.
     ownership : Ownership
-        Who owns what.
+        Owners of all replicas.
     targets : TargetDirectory
-        Which replicas may get new work.
+        Replicas and their health.
     links : Links
-        Streams to peers.
+        Connections to peers.
     routing : RoutingSettings
-        Settings.
+        Number of candidates and owner timeout.
     clock : Clock
-        Time.
+        Source of time.
     fleet_size : callable
-        Gives the number of usable daemons.
+        Returns the number of usable daemons.
+
+    Attributes
+    ----------
+    held_placements : HeldPlacements
+        Placements that this daemon holds with owners.
+    admitted_without_owner : int
+        Requests admitted while no owner replied.
     """
 
     def __init__(
@@ -116,7 +129,7 @@
         owner: _owner.Owner,
         ownership: _ownership.Ownership,
         targets: _targets.TargetDirectory,
-        links: _holdings.Links,
+        links: _held_placements.Links,
         routing: _settings_types.RoutingSettings,
         clock: _clock.Clock,
         fleet_size: Callable[[], int],
@@ -125,7 +138,7 @@
         self._routing = routing
         self._clock = clock
         self._fleet_size = fleet_size
-        self._asks = _owner_asks.OwnerAsks(
+        self._client = _owner_client.OwnerClient(
             daemon=daemon,
             owner=owner,
             ownership=ownership,
@@ -133,51 +146,61 @@
             timeout=routing.owner_timeout,
             clock=clock,
         )
-        self.holdings = self._asks.holdings
-        self._full: dict[_ids.ReplicaId, _Full] = {}
-        self.decided_alone = 0
+        self.held_placements = self._client.held_placements
+        self._full_by_replica: dict[_ids.ReplicaId, _Full] = {}
+        self.admitted_without_owner = 0
 
-    def admit(self, request: _place.PlaceRequest) -> _place.Place:
-        """Find a place, asking the owners in the chat's rank.
+    def admit(
+        self, request: _placement.PlacementRequest
+    ) -> _placement.Placement:
+        """Choose a replica through the owners in the chat's ranking.
 
         Raises
         ------
         Overloaded
-            None is free and none will be before the deadline.
+            No slot is free, nor expected to be before the deadline.
+        DeadlineExceeded
+            The deadline passed during the search.
         NoTarget
             The group has no usable replica.
         """
-        for _ in range(_SEARCHES):
+        for _ in range(_MAX_SEARCHES):
             search = self._search(request)
-            if search.place is not None:
-                self.holdings.place_by_ask[search.place.ask] = search.place
-                self._asks.note_displacement(
-                    search.place, home=search.ranked[0], seat=search.seat
+            if search.placement is not None:
+                self.held_placements.placement_by_ask[search.placement.ask] = (
+                    search.placement
                 )
-                return search.place
-            if not search.is_worth_repeating:
+                self._client.report_displacement(
+                    search.placement,
+                    home=search.ranked[0],
+                    displaced_to=search.displaced_to,
+                )
+                return search.placement
+            if not search.should_retry:
                 break
         raise _errors.Overloaded(
-            f"no place is free on {request.group}",
+            f"no slot is free on {request.group}",
             retry_after=max(0.5, search.retry_after),
         )
 
-    def _search(self, request: _place.PlaceRequest) -> _Round:
-        """Ask for a place once, in the order of the ranks of now."""
+    def _search(self, request: _placement.PlacementRequest) -> _Search:
+        """Search once, in the current ranking of the chat."""
         ranked = self._rank(request)
         if not ranked:
-            raise _no_target.none_usable(
-                self._targets, request, retry_after=_NO_TARGET_SECONDS
+            raise _no_usable_replica.no_usable_replica_error(
+                self._targets, request, retry_after=_NO_TARGET_RETRY_SECONDS
             )
-        search = _Round(ranked)
-        search.place = self._try_ranked(request, search)
-        if search.place is None:
-            search.place = self._wait(request, search)
-        if search.place is None and search.least is None:
-            search.place = self._decide_alone(request, ranked)
+        search = _Search(ranked)
+        search.placement = self._try_ranked(request, search)
+        if search.placement is None:
+            search.placement = self._wait_in_queue(request, search)
+        if search.placement is None and search.least_loaded is None:
+            search.placement = self._admit_without_owner(request, ranked)
         return search
 
-    def _rank(self, request: _place.PlaceRequest) -> list[_ids.ReplicaId]:
+    def _rank(
+        self, request: _placement.PlacementRequest
+    ) -> list[_ids.ReplicaId]:
         usable = self._targets.usable(request.group)
         candidates = [name for name in usable if name not in request.excluded]
         count = max(self._routing.candidates, min(len(candidates), 8))
@@ -185,122 +208,140 @@
         return [_ids.ReplicaId(name) for name in best]
 
     def _try_ranked(
-        self, request: _place.PlaceRequest, search: _Round
-    ) -> _place.Place | None:
+        self, request: _placement.PlacementRequest, search: _Search
+    ) -> _placement.Placement | None:
         for replica in search.ranked:
             if self._clock.monotonic() > request.deadline:
-                raise _errors.DeadlineExceeded("no place before the deadline")
-            place = self._try(request, search, replica)
-            if place is not None:
-                return place
+                raise _errors.DeadlineExceeded(
+                    "no slot was free before the deadline"
+                )
+            placement = self._try_replica(request, search, replica)
+            if placement is not None:
+                return placement
         return None
 
-    def _try(
+    def _try_replica(
         self,
-        request: _place.PlaceRequest,
-        search: _Round,
+        request: _placement.PlacementRequest,
+        search: _Search,
         replica: _ids.ReplicaId,
         *,
-        redirects: int = _REDIRECTS,
-    ) -> _place.Place | None:
-        if replica in search.asked:
+        redirects: int = _MAX_REDIRECTS,
+    ) -> _placement.Placement | None:
+        if replica in search.requested:
             return None
         if replica != search.ranked[0] and self._is_known_full(replica):
-            search.load_by_replica[replica] = self._full[replica].load
-            search.has_old_loads = True
+            search.load_by_replica[replica] = self._full_by_replica[
+                replica
+            ].load
+            search.has_stale_loads = True
             return None
         is_home = replica == search.ranked[0]
-        has_context = replica == (search.seat or search.ranked[0])
-        answer = self._asks.ask(
+        has_context = replica == (search.displaced_to or search.ranked[0])
+        owner_reply = self._client.ask(
             request,
             replica,
             home=is_home and redirects > 0,
-            wait=_CONTEXT_WAIT if request.returning and has_context else 0.0,
+            wait=(
+                _CONTEXT_WAIT_SECONDS
+                if request.returning and has_context
+                else 0.0
+            ),
         )
-        if answer is None:
+        if owner_reply is None:
             return None
-        ask, owner, reply = answer
+        ask, owner, reply = owner_reply
         if reply.verdict is messages.Verdict.elsewhere:
-            seat = _ids.ReplicaId(reply.replica)
-            search.seat = seat
-            place = None
-            if seat not in request.excluded:
-                place = self._try(request, search, seat, redirects=0)
-            if place is not None:
-                return place
-            # The displaced seat is full: the home itself is asked again,
-            # and this time counts the chat as its own.
-            return self._try(request, search, replica, redirects=0)
-        search.asked.add(replica)
+            displaced_to = _ids.ReplicaId(reply.replica)
+            search.displaced_to = displaced_to
+            placement = None
+            if displaced_to not in request.excluded:
+                placement = self._try_replica(
+                    request, search, displaced_to, redirects=0
+                )
+            if placement is not None:
+                return placement
+            # The replica that the chat was displaced to did not admit it.
+            # Try the home again, without a redirect.
+            return self._try_replica(request, search, replica, redirects=0)
+        search.requested.add(replica)
         if reply.backoff > 0:
-            self._targets.take_told_backoff(replica, reply.backoff)
+            self._targets.apply_peer_backoff(replica, reply.backoff)
             search.retry_after = max(search.retry_after, reply.backoff)
             return None
         if reply.verdict is messages.Verdict.granted:
-            return self._new_place(request, replica, ask, owner, home=is_home)
+            return self._new_placement(
+                request, replica, ask, owner, home=is_home
+            )
         if reply.verdict in (
             messages.Verdict.full,
             messages.Verdict.over_bound,
         ):
-            search.note(replica, reply)
+            search.record_rejection(replica, reply)
         if reply.verdict is messages.Verdict.full:
-            until = self._clock.monotonic() + _FULL_SECONDS
-            self._full[replica] = _Full(reply.load, until)
+            until = self._clock.monotonic() + _FULL_CACHE_SECONDS
+            self._full_by_replica[replica] = _Full(reply.load, until)
         return None
 
     def _is_known_full(self, replica: _ids.ReplicaId) -> bool:
-        """Say whether a replica was full a moment ago.
+        """Return whether a replica was full within `_FULL_CACHE_SECONDS`.
 
-        Under overload every call would ask every owner only to hear the
-        same: five times the messages, just when there are most calls. Its
-        place, when one comes free, is for those who wait in its queue.
+        Under overload, every request would otherwise be sent to every owner
+        and rejected: five times the messages, when there are most requests.
+        A slot that is released meanwhile goes to the replica's queue.
         """
-        full = self._full.get(replica)
+        full = self._full_by_replica.get(replica)
         return full is not None and self._clock.monotonic() < full.until
 
-    def _wait(
-        self, request: _place.PlaceRequest, search: _Round
-    ) -> _place.Place | None:
-        """Queue at the replica that had the least load."""
-        replica = search.least
+    def _wait_in_queue(
+        self, request: _placement.PlacementRequest, search: _Search
+    ) -> _placement.Placement | None:
+        """Wait in the queue of the replica with the lowest load."""
+        replica = search.least_loaded
         if replica is None:
             return None
         wait = request.deadline - self._clock.monotonic()
         if wait <= 0:
-            raise _errors.DeadlineExceeded("no place before the deadline")
+            raise _errors.DeadlineExceeded(
+                "no slot was free before the deadline"
+            )
         replicas = len(self._targets.in_service(request.group))
-        answer = self._asks.ask(
+        owner_reply = self._client.ask(
             request,
             replica,
             home=False,
             wait=wait,
-            total=search.total(replicas),
+            total=search.group_load(replicas),
         )
-        if answer is None:
-            # The owner died or fell silent while the ask waited there; the
-            # call has time left and another owner may have a place.
-            search.is_worth_repeating = True
+        if owner_reply is None:
+            # The owner stopped responding while the request was queued. There
+            # is time left, and another owner may have free slots.
+            search.should_retry = True
             return None
-        ask, owner, reply = answer
+        ask, owner, reply = owner_reply
         if reply.verdict is messages.Verdict.granted:
             is_home = replica == search.ranked[0]
-            place = self._new_place(request, replica, ask, owner, home=is_home)
-            search.is_worth_repeating = place is None
-            return place
-        search.is_worth_repeating = reply.verdict in _MOVED
-        search.note(replica, reply)
+            placement = self._new_placement(
+                request, replica, ask, owner, home=is_home
+            )
+            search.should_retry = placement is None
+            return placement
+        search.should_retry = reply.verdict in _OWNERSHIP_CHANGED
+        search.record_rejection(replica, reply)
         return None
 
-    def _decide_alone(
-        self, request: _place.PlaceRequest, ranked: list[_ids.ReplicaId]
-    ) -> _place.Place | None:
-        """Admit without any owner, within this daemon's share of the slots.
-
-        With no owner in reach, as in a cut between zones, refusing all
-        would be silence. Shares of the slots add up to no more than all of
-        them, so the engines still aren't swamped.
+    def _admit_without_owner(
+        self,
+        request: _placement.PlacementRequest,
+        ranked: list[_ids.ReplicaId],
+    ) -> _placement.Placement | None:
+        """Admit without an owner, within this daemon's share of the slots.
+
+        If no owner is reachable, as in a partition between zones, the
+        alternative is to reject everything. The shares of all daemons add up
+        to about the slots of the replica, so engines aren't overloaded.
         """
-        held = self.holdings.load_by_replica()
+        held = self.held_placements.load_by_replica()
         for replica in ranked:
             target = self._targets.target_by_replica.get(replica)
             if target is None:
@@ -308,37 +349,38 @@
             share = math.ceil(target.slots / max(1, self._fleet_size()))
             if held.get(replica, 0) >= share:
                 continue
-            self.decided_alone += 1
-            ask = self._asks.new_number()
+            self.admitted_without_owner += 1
+            ask = self._client.new_number()
             home = replica == ranked[0]
-            return self._new_place(request, replica, ask, None, home=home)
+            return self._new_placement(request, replica, ask, None, home=home)
         return None
 
-    def _new_place(
+    def _new_placement(
         self,
-        request: _place.PlaceRequest,
+        request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
         ask: _ids.AskNumber,
         owner: _ids.DaemonId | None,
         *,
         home: bool,
-    ) -> _place.Place | None:
+    ) -> _placement.Placement | None:
         target = self._targets.target_by_replica.get(replica)
-        # It may have gone, or asked for quiet, while its owner was asked.
-        if target is None or self._targets.quiet.wants_nothing(target):
+        # Meanwhile the replica may have been removed, be leaving, or have
+        # requested a backoff.
+        if target is None or self._targets.reported.is_unavailable(target):
             if owner is not None:
-                self.holdings.send_release(owner, ask)
+                self.held_placements.send_release(owner, ask)
             return None
-        return _place.Place(
+        return _placement.Placement(
             target=target, ask=ask, owner=owner, request=request, home=home
         )
 
-    def tell_backoff(
-        self, target: _targets.Target, word: _target_word.TargetWord
+    def report_backoff(
+        self, target: _targets.Target, status: _target_report.TargetReport
     ) -> None:
-        """Tell a target's owner of a backoff that it asked for."""
-        self._asks.tell_backoff(target, word)
+        """Report a backoff requested of this daemon to the target's owner."""
+        self._client.report_backoff(target, status)
 
-    def release(self, place: _place.Place) -> None:
-        """Give a place back; a second time does nothing."""
-        self.holdings.release(place)
+    def release(self, placement: _placement.Placement) -> None:
+        """Release a placement; does nothing if it was released before."""
+        self.held_placements.release(placement)
--- a/src/topazlug/routing/_ledger.py
+++ b/src/topazlug/routing/_ledger.py
@@ -1,8 +1,8 @@
-"""What one replica carries, as its owner counts it.
+"""The load of one replica, counted by its owner.
 
-A place is one request that was let in and has not ended. The owner's count
-is exact while all entry daemons ask the same owner; it is soft state that
-entry daemons renew, so nothing of it has to last.
+The ledger has an entry for each request that was admitted and has not ended.
+The count is exact while all entry daemons use the same owner. It is soft state
+that entry daemons renew, so it need not be stored.
 """
 
 import collections
@@ -17,21 +17,22 @@
 from topazlug._generated import messages
 from topazlug.capacity import _cold_rate
 from topazlug.capacity import _context_reads
-from topazlug.capacity import _place_key
-from topazlug.capacity import _rank_room
-from topazlug.capacity import _returns
+from topazlug.capacity import _rank_limits
+from topazlug.capacity import _reservations
 from topazlug.capacity import _shared_backoff
+from topazlug.capacity import _slot_key
 from topazlug.limits import _fair_queue
 
 _INTERVAL_SMOOTHING = 0.1
-_BATCH_TURN = 8
-_REPORTS_KEPT = 3
-# Work that is not held to a limit by rank.
+# Every eighth grant from the queues goes to batch work.
+_BATCH_TURN_INTERVAL = 8
+_MAX_REPORTS = 3
+# Rank of work that is not subject to limits by rank.
 UNRANKED = -1
 
 
-class Held(msgspec.Struct, gc=False):
-    """One place in use."""
+class LedgerEntry(msgspec.Struct, gc=False):
+    """Slots held by one admitted request."""
 
     weight: int
     team: _ids.TeamName
@@ -40,18 +41,18 @@
     rank: int = UNRANKED
 
 
-class Waiting(msgspec.Struct):
-    """One ask in the queue."""
+class QueuedRequest(msgspec.Struct):
+    """One admission request in the queue."""
 
-    key: _place_key.PlaceKey
-    held: Held
+    key: _slot_key.SlotKey
+    entry: LedgerEntry
     deadline: float
     grant: Callable[[], None]
-    refuse: Callable[[messages.Verdict], None]
+    reject: Callable[[messages.Verdict], None]
 
 
-class Judgement(enum.Enum):
-    """What a ledger says to one more place."""
+class Fit(enum.Enum):
+    """Whether one more request fits on a replica."""
 
     FREE = enum.auto()
     OVER_BOUND = enum.auto()
@@ -60,7 +61,7 @@
 
 @final
 class ReplicaLedger:
-    """Places of one replica.
+    """Admitted and queued requests of one replica.
 
     Parameters
     ----------
@@ -69,13 +70,26 @@
     group : GroupName
         Its pool or service.
     slots : int
-        Load units that the replica runs at once.
+        Load units that the replica can run concurrently.
     batch_slots : int
-        How many of them batch work may take.
+        Slots that batch work may use.
     queue_capacity : int
-        Asks that may wait, for each request class.
+        Maximum number of queued requests, for each request class.
     incarnation : int
-        The start of the replica that this is of.
+        Incarnation of the replica's process.
+
+    Attributes
+    ----------
+    load : int
+        Load units held by admitted requests.
+    batch_load : int
+        Load units of these that batch work holds.
+    uncertain_until : float
+        Monotonic time until which the count may be too low.
+    entry_by_key : dict
+        Admitted requests.
+    queued_by_key : dict
+        Queued requests.
     """
 
     def __init__(
@@ -95,43 +109,45 @@
         self.batch_slots = batch_slots
         self.load = 0
         self.batch_load = 0
-        self.careful_until = 0.0
-        self.reads = _context_reads.ContextReads()
-        self.room = _rank_room.RankRoom(slots=slots)
-        self.cold = _cold_rate.ColdRate()
-        self.returns = _returns.Returns()
+        self.uncertain_until = 0.0
+        self.context_reads = _context_reads.ContextReads()
+        self.rank_limits = _rank_limits.RankLimits(slots=slots)
+        self.cold_rate = _cold_rate.ColdRateLimiter()
+        self.reservations = _reservations.Reservations()
         self.backoff = _shared_backoff.SharedBackoff()
-        self.held_by_key: dict[_place_key.PlaceKey, Held] = {}
-        self.waiting_by_key: dict[_place_key.PlaceKey, Waiting] = {}
-        self._interactive = _fair_queue.FairQueue[Waiting](
+        self.entry_by_key: dict[_slot_key.SlotKey, LedgerEntry] = {}
+        self.queued_by_key: dict[_slot_key.SlotKey, QueuedRequest] = {}
+        self._interactive = _fair_queue.FairQueue[QueuedRequest](
+            capacity=queue_capacity
+        )
+        self._batch = _fair_queue.FairQueue[QueuedRequest](
             capacity=queue_capacity
         )
-        self._batch = _fair_queue.FairQueue[Waiting](capacity=queue_capacity)
-        self._since_batch = 0
+        self._turns_since_batch = 0
         self._release_interval = 0.0
         self._last_release: float | None = None
         self._reports: collections.deque[int] = collections.deque(
-            maxlen=_REPORTS_KEPT
+            maxlen=_MAX_REPORTS
         )
         # Highest load since the last report.
-        self._peak = 0
-        self._counts: collections.deque[int] = collections.deque(
-            maxlen=_REPORTS_KEPT
+        self._peak_load = 0
+        self._peak_loads: collections.deque[int] = collections.deque(
+            maxlen=_MAX_REPORTS
         )
 
-    def judge(
+    def check_capacity(
         self, *, weight: int, batch: bool, limit: int, now: float, mean: float
-    ) -> Judgement:
-        """Say whether one more place fits.
+    ) -> Fit:
+        """Return whether one more request fits.
 
         Parameters
         ----------
         weight : int
-            Load units of the place.
+            Load units of the request.
         batch : bool
             Whether it is batch work.
         limit : int
-            Load that the bound allows on this replica.
+            Maximum load that the group's bound allows on this replica.
         now : float
             Monotonic seconds.
         mean : float
@@ -139,122 +155,123 @@
 
         Returns
         -------
-        Judgement
-            Free, over the bound, or without a free slot.
+        Fit
+            FREE, OVER_BOUND, or FULL if no slot is free for it.
         """
         load = self.effective_load(now=now, mean=mean)
         if load + weight > self.slots and self.load:
-            return Judgement.FULL
+            return Fit.FULL
         if batch and self.batch_load + weight > self.batch_slots:
-            return Judgement.FULL
+            return Fit.FULL
         if load + weight > limit:
-            return Judgement.OVER_BOUND
-        return Judgement.FREE
+            return Fit.OVER_BOUND
+        return Fit.FREE
 
     def effective_load(self, *, now: float, mean: float) -> int:
-        """Give the load to reckon with, in load units.
+        """Return the load to use for admission, in load units.
 
-        A new owner, or one that was paused, does not know yet what entry
-        daemons hold: its count is too low and it would admit over the
-        bound. Until they had time to renew, the engine's own report counts
-        when it is higher, and the group's mean when there is no report.
+        The count of a new owner, or of one that was paused, lacks what entry
+        daemons hold and have not renewed yet, so it would admit over the
+        bound. Until they have had time to renew, the engine's last report is
+        used if it is higher, and the group's mean if there is no report.
         """
-        if now < self.careful_until:
-            guess = self._reports[-1] if self._reports else math.ceil(mean)
-            return max(self.load, guess)
-        return self.seen_load()
+        if now < self.uncertain_until:
+            estimate = self._reports[-1] if self._reports else math.ceil(mean)
+            return max(self.load, estimate)
+        return self.observed_load()
 
-    def seen_load(self) -> int:
-        """Give the load, with what another owner admits here counted in."""
-        return self.load + self._foreign_load()
+    def observed_load(self) -> int:
+        """Return the load including what other owners have admitted."""
+        return self.load + self._load_of_other_owners()
 
     def demand(self) -> int:
-        """Give the load with what waits counted in.
+        """Return the load including queued requests.
 
-        The group's mean is taken over this. In a burst onto an idle group
-        all asks are over a bound taken from what runs, and it would rise by
-        one place a report; what waits is about to run somewhere.
+        The group's mean is computed from it. If the mean counted running
+        requests only, all requests of a burst on an idle group would be over
+        the bound, which would rise by one slot per load report. Queued
+        requests will soon run on some replica.
         """
-        return self.seen_load() + len(self.waiting_by_key)
+        return self.observed_load() + len(self.queued_by_key)
 
-    def _foreign_load(self) -> int:
-        """Load that the engine keeps reporting beyond what is counted.
+    def _load_of_other_owners(self) -> int:
+        """Return the load that the engine reports beyond the count here.
 
-        While daemons disagree on the owner, another one admits too. Reports
-        lag: places that they count may have been given back when they are
-        taken. So only what every recent report shows beyond all that was
-        held since the report before it is taken for real.
+        While daemons disagree on the owner, another one admits requests too.
+        Reports lag: requests in them may have been released when the report
+        is recorded. So only the amount by which the lowest recent report
+        exceeds the highest load counted over the same period is returned.
         """
-        if len(self._reports) < _REPORTS_KEPT:
+        if len(self._reports) < _MAX_REPORTS:
             return 0
-        return max(0, min(self._reports) - max(self._counts))
+        return max(0, min(self._reports) - max(self._peak_loads))
 
-    def take_report(self, running: int) -> None:
-        """Note the engine's own lagging figure."""
+    def add_engine_report(self, running: int) -> None:
+        """Record the engine's own count of running requests, which lags."""
         self._reports.append(running)
-        self._counts.append(self._peak)
-        self._peak = self.load
+        self._peak_loads.append(self._peak_load)
+        self._peak_load = self.load
 
-    def forget_reports(self) -> None:
-        """Drop figures that say nothing of now."""
+    def clear_reports(self) -> None:
+        """Remove reports that are out of date after a pause."""
         self._reports.clear()
-        self._counts.clear()
+        self._peak_loads.clear()
 
-    def hold(self, key: _place_key.PlaceKey, held: Held) -> None:
-        """Count a place; a repeated one is counted once."""
-        if key in self.held_by_key:
+    def hold(self, key: _slot_key.SlotKey, entry: LedgerEntry) -> None:
+        """Count a request; does nothing if its key is counted already."""
+        if key in self.entry_by_key:
             return
-        self.held_by_key[key] = held
-        self.load += held.weight
-        self.room.note_held(held.rank)
-        self._peak = max(self._peak, self.load)
-        if held.batch:
-            self.batch_load += held.weight
-
-    def let_in(self, key: _place_key.PlaceKey, held: Held) -> None:
-        """Count a place that an ask gets now."""
-        self.hold(key, held)
-        self.backoff.note_let_in()
-
-    def holds_chat(self, chat: _ids.ChatHash) -> bool:
-        """Say whether exactly one place is this chat's.
-
-        Only one is overlooked: a caller that sends many turns of one chat
-        at once must not get past the bound with them.
+        self.entry_by_key[key] = entry
+        self.load += entry.weight
+        self.rank_limits.note_held(entry.rank)
+        self._peak_load = max(self._peak_load, self.load)
+        if entry.batch:
+            self.batch_load += entry.weight
+
+    def admit(self, key: _slot_key.SlotKey, entry: LedgerEntry) -> None:
+        """Count a request that is granted now."""
+        self.hold(key, entry)
+        self.backoff.note_admitted()
+
+    def holds_chat_once(self, chat: _ids.ChatHash) -> bool:
+        """Return whether exactly one admitted request is this chat's.
+
+        Only one is exempt from the bound, so that a caller can't exceed the
+        bound with many concurrent turns of one chat.
         """
-        return self.places_of(chat) == 1
+        return self.placement_count(chat) == 1
 
-    def places_of(self, chat: _ids.ChatHash) -> int:
-        """Give how many places are a chat's."""
-        return sum(held.chat == chat for held in self.held_by_key.values())
+    def placement_count(self, chat: _ids.ChatHash) -> int:
+        """Return the number of a chat's admitted requests."""
+        return sum(entry.chat == chat for entry in self.entry_by_key.values())
 
-    def release(self, key: _place_key.PlaceKey, *, now: float) -> bool:
-        """Free a place, or take its ask out of the queue.
+    def release(self, key: _slot_key.SlotKey, *, now: float) -> bool:
+        """Release an admitted request, or remove a queued one.
 
         Returns
         -------
         bool
-            Whether a place was freed.
+            Whether slots were released.
         """
-        waiting = self.waiting_by_key.pop(key, None)
-        if waiting is not None:
-            self._queue_of(waiting).remove(waiting)
-        held = self.held_by_key.pop(key, None)
-        if held is None:
+        queued = self.queued_by_key.pop(key, None)
+        if queued is not None:
+            self._queue_of(queued).remove(queued)
+        entry = self.entry_by_key.pop(key, None)
+        if entry is None:
             return False
-        self.load -= held.weight
-        self.room.note_released(held.rank)
-        if held.batch:
-            self.batch_load -= held.weight
-        self.reads.note_ended(key)
-        self._note_release(now)
+        self.load -= entry.weight
+        self.rank_limits.note_released(entry.rank)
+        if entry.batch:
+            self.batch_load -= entry.weight
+        self.context_reads.note_ended(key)
+        self._record_release(now)
         return True
 
-    def _note_release(self, now: float) -> None:
-        """Keep a smoothed time between two releases.
+    def _record_release(self, now: float) -> None:
+        """Update the moving average of the time between two releases.
 
-        An idle spell is left out: counted, it would make the first call
-        after it look as if it had to wait for minutes.
+        Idle periods are excluded. Otherwise the expected wait of the first
+        request after one would be minutes.
         """
         if self._last_release is not None:
             gap = now - self._last_release
@@ -264,123 +281,125 @@
 
     @property
     def release_interval(self) -> float:
-        """Give the smoothed seconds between two releases, 0 unknown."""
+        """Return the average seconds between releases, 0 if unknown."""
         return self._release_interval
 
-    def lapse(self, waiting: Waiting) -> bool:
-        """Take an ask out of the queue, if it still waits there."""
-        if self.waiting_by_key.get(waiting.key) is not waiting:
+    def remove_queued(self, queued: QueuedRequest) -> bool:
+        """Remove a request from the queue; return whether it was queued."""
+        if self.queued_by_key.get(queued.key) is not queued:
             return False
-        del self.waiting_by_key[waiting.key]
-        return self._queue_of(waiting).remove(waiting)
+        del self.queued_by_key[queued.key]
+        return self._queue_of(queued).remove(queued)
 
     def expected_wait(self, *, batch: bool) -> float:
-        """Give the seconds that an ask queued now would wait."""
+        """Return the seconds that a request queued now would wait."""
         ahead = len(self._interactive)
         if batch:
             ahead += len(self._batch)
         return (ahead + 1) * self._release_interval
 
-    def has_ahead(self, *, batch: bool) -> bool:
-        """Say whether a queued ask has a better claim to a free slot.
+    def has_queued_ahead(self, *, batch: bool) -> bool:
+        """Return whether a queued request precedes a new one.
 
-        Interactive work does not stand behind queued batch work: that may
-        wait only because of the reserve, with slots free.
+        Interactive work does not wait behind queued batch work, which may be
+        queued only because of the reserve while slots are free.
         """
         return bool(len(self._interactive) or (batch and len(self._batch)))
 
-    def enqueue(self, waiting: Waiting, *, team_weight: float) -> None:
-        """Let an ask wait for its turn; the one that gives way is refused."""
-        self.waiting_by_key[waiting.key] = waiting
-        evicted = self._queue_of(waiting).push(
-            waiting, team=waiting.held.team, weight=team_weight
+    def enqueue(self, queued: QueuedRequest, *, team_weight: float) -> None:
+        """Add a request to its queue; reject the one that is evicted."""
+        self.queued_by_key[queued.key] = queued
+        evicted = self._queue_of(queued).push(
+            queued, team=queued.entry.team, weight=team_weight
         )
         if evicted is None:
             return
-        del self.waiting_by_key[evicted.key]
-        evicted.refuse(messages.Verdict.full)
+        del self.queued_by_key[evicted.key]
+        evicted.reject(messages.Verdict.full)
 
-    def pump(self, *, limit: int, now: float, mean: float) -> None:
-        """Grant queued asks while there is room."""
-        while self.waiting_by_key:
+    def grant_queued(self, *, limit: int, now: float, mean: float) -> None:
+        """Grant queued requests while they fit."""
+        while self.queued_by_key:
             queue = self._next_queue(limit=limit, now=now, mean=mean)
             if queue is None:
                 return
-            waiting = queue.pop()
-            if waiting is None:
+            queued = queue.pop()
+            if queued is None:
                 return
-            del self.waiting_by_key[waiting.key]
-            if waiting.deadline < now:
-                waiting.refuse(messages.Verdict.full)
+            del self.queued_by_key[queued.key]
+            if queued.deadline < now:
+                queued.reject(messages.Verdict.full)
                 continue
-            self.let_in(waiting.key, waiting.held)
-            waiting.grant()
+            self.admit(queued.key, queued.entry)
+            queued.grant()
 
     def _next_queue(
         self, *, limit: int, now: float, mean: float
-    ) -> _fair_queue.FairQueue[Waiting] | None:
-        """Choose the class whose turn it is.
+    ) -> _fair_queue.FairQueue[QueuedRequest] | None:
+        """Return the queue to grant from next, None if nothing fits.
 
-        Interactive work goes first, but every eighth turn is batch work's:
-        under steady interactive overload an audit would otherwise never
-        run, which its caller would notice as silence.
+        Interactive work precedes batch work, but every eighth grant goes to
+        batch work. Otherwise it would never run under steady interactive
+        overload, and its callers would get no response.
         """
         batch_fits = self._fits(batch=True, limit=limit, now=now, mean=mean)
         batch_waits = len(self._batch) > 0 and batch_fits
-        due = self._since_batch >= _BATCH_TURN - 1
+        due = self._turns_since_batch >= _BATCH_TURN_INTERVAL - 1
         if batch_waits and (due or not len(self._interactive)):
-            self._since_batch = 0
+            self._turns_since_batch = 0
             return self._batch
         if not len(self._interactive):
             return None
         if not self._fits(batch=False, limit=limit, now=now, mean=mean):
             return None
-        self._since_batch += 1
+        self._turns_since_batch += 1
         return self._interactive
 
     def _fits(
         self, *, batch: bool, limit: int, now: float, mean: float
     ) -> bool:
-        verdict = self.judge(
+        fit = self.check_capacity(
             weight=1, batch=batch, limit=limit, now=now, mean=mean
         )
-        return verdict is Judgement.FREE
+        return fit is Fit.FREE
 
-    def _queue_of(self, waiting: Waiting) -> _fair_queue.FairQueue[Waiting]:
-        return self._batch if waiting.held.batch else self._interactive
+    def _queue_of(
+        self, queued: QueuedRequest
+    ) -> _fair_queue.FairQueue[QueuedRequest]:
+        return self._batch if queued.entry.batch else self._interactive
 
-    def refuse_all(self, verdict: messages.Verdict) -> None:
-        """Send everybody in the queue away, to look for another place."""
+    def reject_all(self, verdict: messages.Verdict) -> None:
+        """Reject all queued requests, to be placed on other replicas."""
         for queue in (self._interactive, self._batch):
-            for waiting in queue.drain():
-                waiting.refuse(verdict)
-        self.waiting_by_key.clear()
+            for queued in queue.drain():
+                queued.reject(verdict)
+        self.queued_by_key.clear()
 
-    def keep_only(
+    def reconcile(
         self,
         daemon: _ids.DaemonId,
-        held: dict[_ids.AskNumber, messages.HeldPlace],
+        held_by_ask: dict[_ids.AskNumber, messages.HeldPlace],
         pending: set[_ids.AskNumber],
         *,
         now: float,
     ) -> None:
-        """Make the places of one entry daemon what it says they are."""
-        for key in [k for k in self.held_by_key if k.daemon == daemon]:
-            if key.ask not in held and key.ask not in pending:
+        """Replace the entries of one entry daemon by its full list."""
+        for key in [k for k in self.entry_by_key if k.daemon == daemon]:
+            if key.ask not in held_by_ask and key.ask not in pending:
                 self.release(key, now=now)
-        for ask, place in held.items():
+        for ask, placement in held_by_ask.items():
             self.hold(
-                _place_key.PlaceKey(daemon, ask),
-                Held(
-                    weight=place.weight,
-                    team=_ids.TeamName(place.team),
-                    batch=place.batch,
-                    rank=place.rank,
+                _slot_key.SlotKey(daemon, ask),
+                LedgerEntry(
+                    weight=placement.weight,
+                    team=_ids.TeamName(placement.team),
+                    batch=placement.batch,
+                    rank=placement.rank,
                 ),
             )
 
     def drop_daemon(self, daemon: _ids.DaemonId, *, now: float) -> None:
-        """Free all that a dead daemon held."""
-        self.keep_only(daemon, {}, set(), now=now)
-        for key in [k for k in self.waiting_by_key if k.daemon == daemon]:
+        """Release all admitted and queued requests of a dead daemon."""
+        self.reconcile(daemon, {}, set(), now=now)
+        for key in [k for k in self.queued_by_key if k.daemon == daemon]:
             self.release(key, now=now)
--- a/src/topazlug/routing/_no_target.py
+++ b/src/topazlug/routing/_no_usable_replica.py
@@ -1,34 +1,33 @@
-"""What to tell a request whose group has no replica that may get it."""
+"""The error for a request whose group has no usable replica."""
 
 from topazlug import _errors
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.targets import _targets
 
 
-def none_usable(
+def no_usable_replica_error(
     targets: _targets.TargetDirectory,
-    request: _place.PlaceRequest,
+    request: _placement.PlacementRequest,
     *,
     retry_after: float,
 ) -> _errors.RequestError:
-    """Give the error for a request that no replica may get now.
+    """Return the error for a request that no replica can receive now.
 
     Parameters
     ----------
     targets : TargetDirectory
         Replicas.
-    request : PlaceRequest
-        What has no place.
+    request : PlacementRequest
+        The request.
     retry_after : float
-        Seconds after which a repeat makes sense, where nobody says when a
-        replica takes work again.
+        Suggested retry delay in seconds, used if no replica is in backoff.
 
     Returns
     -------
     Overloaded
-        There are replicas, and all have asked for a backoff.
+        The group has replicas, and all of them are in backoff.
     NoTarget
-        There are none.
+        The group has none.
     """
     wait = targets.seconds_until_usable(request.group, request.excluded)
     if not wait:
@@ -36,7 +35,7 @@
             f"no usable replica of {request.group}", retry_after=retry_after
         )
     error = _errors.Overloaded(
-        f"all replicas of {request.group} have asked for a backoff",
+        f"all replicas of {request.group} are in backoff",
         retry_after=wait,
     )
     error.refused_for = wait
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -1,7 +1,7 @@
-"""The owner's role: count and admit what its replicas carry.
+"""The owner role: counts the load of owned replicas and admits requests.
 
-One greenlet for each peer's stream calls in here; nothing in here yields, so
-each ask is judged against an exact count.
+One greenlet per peer connection calls into this module. Nothing in it yields,
+so each admission request is decided against an exact count.
 """
 
 from collections.abc import Iterable
@@ -15,62 +15,74 @@
 from topazlug import _logs
 from topazlug._generated import messages
 from topazlug._generated import settings as _settings_types
-from topazlug.capacity import _place_key
-from topazlug.capacity import _start_room
-from topazlug.routing import _displaced
-from topazlug.routing import _group_accounts
+from topazlug.capacity import _slot_key
+from topazlug.capacity import _start_allowance
+from topazlug.routing import _admission_control
+from topazlug.routing import _displaced_chats
+from topazlug.routing import _group_limits
 from topazlug.routing import _ledger
-from topazlug.routing import _owner_answers
-from topazlug.routing import _owner_judge
 from topazlug.routing import _owner_queue
+from topazlug.routing import _owner_replies
 from topazlug.routing import _ownership
 from topazlug.targets import _targets
 
 _log = _logs.logger("owner")
 
-CAREFUL_SECONDS = 2.5
+# Time that entry daemons have to renew their placements with a new owner.
+UNCERTAIN_SECONDS = 2.5
 
 
 class GroupRules(Protocol):
-    """What the table says of a group and a team."""
+    """Settings of groups and teams from the table."""
 
     def bound_of(self, group: _ids.GroupName) -> float:
-        """Give the multiple of the mean that no replica may pass."""
+        """Return the maximum load of a replica as a multiple of the mean."""
 
     def allowance_of(self, group: _ids.GroupName) -> int:
-        """Give the load units that a replica may hold beyond it."""
+        """Return the load units allowed on top of that multiple."""
 
     def slots_of(self, group: _ids.GroupName) -> int:
-        """Give the load units that one replica runs at once."""
+        """Return the slots of one replica."""
 
     def batch_reserve_of(self, group: _ids.GroupName) -> float:
-        """Give the part of the slots that batch work may not take."""
+        """Return the fraction of the slots reserved from batch work."""
 
     def weight_of(self, team: _ids.TeamName) -> float:
-        """Give a team's weight."""
+        """Return a team's weight in the fair queue."""
 
 
 @final
 class Owner:
-    """Ledgers of the replicas that this daemon owns.
+    """Load counts and admission of the replicas that this daemon owns.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     ownership : Ownership
-        Who owns what.
+        Owners of all replicas.
     targets : TargetDirectory
-        Which replicas may get new work.
+        Replicas and their health.
     rules : GroupRules
-        Weights and bounds.
+        Bounds of groups and weights of teams.
     routing : RoutingSettings
-        Settings.
+        Queue and displacement capacities.
     clock : Clock
-        Time.
-    start_part : float
-        Part of a replica's slots that is let in whatever the mean is, just
-        after this daemon has started.
+        Source of time.
+    startup_fraction : float
+        Fraction of a replica's slots that is admitted regardless of the
+        mean load just after this daemon has started.
+
+    Attributes
+    ----------
+    ledger_by_replica : dict
+        Ledgers of the owned replicas.
+    group_limits : GroupLimits
+        Loads and limits of the groups that they belong to.
+    displaced : DisplacedChats
+        Chats displaced from the owned replicas.
+    count_by_verdict : dict
+        Number of replies sent, by verdict.
     """
 
     def __init__(
@@ -82,7 +94,7 @@
         rules: GroupRules,
         routing: _settings_types.RoutingSettings,
         clock: _clock.Clock,
-        start_part: float = 0.0,
+        startup_fraction: float = 0.0,
     ) -> None:
         self._daemon = daemon
         self._ownership = ownership
@@ -93,284 +105,291 @@
         self.ledger_by_replica: dict[_ids.ReplicaId, _ledger.ReplicaLedger] = (
             {}
         )
-        self.accounts = _group_accounts.GroupAccounts(
+        self.group_limits = _group_limits.GroupLimits(
             ledger_by_replica=self.ledger_by_replica,
             targets=targets,
             bounds=rules,
             clock=clock,
         )
-        self.displaced = _displaced.DisplacedChats(
+        self.displaced = _displaced_chats.DisplacedChats(
             capacity=routing.displaced_capacity
         )
-        self._answers = _owner_answers.OwnerAnswers()
-        self.count_by_verdict = self._answers.count_by_verdict
+        self._replies = _owner_replies.OwnerReplies()
+        self.count_by_verdict = self._replies.count_by_verdict
         self._queue = _owner_queue.OwnerQueue(
-            accounts=self.accounts,
-            answers=self._answers,
+            group_limits=self.group_limits,
+            replies=self._replies,
             targets=targets,
             weight_of=rules.weight_of,
             clock=clock,
         )
-        self._judge = _owner_judge.OwnerJudge(
-            accounts=self.accounts,
-            answers=self._answers,
+        self._admission_control = _admission_control.AdmissionControl(
+            group_limits=self.group_limits,
+            replies=self._replies,
             queue=self._queue,
             targets=targets,
-            start=_start_room.StartRoom(
-                part=start_part, started_at=clock.monotonic()
+            startup_limit=_start_allowance.StartAllowance(
+                fraction=startup_fraction, started_at=clock.monotonic()
             ),
             clock=clock,
         )
-        self._heard_at: dict[_ids.DaemonId, float] = {}
+        self._last_received_at: dict[_ids.DaemonId, float] = {}
 
     def ask(
         self,
         sender: _ids.DaemonId,
         ask: messages.AdmitAsk,
-        reply: _owner_answers.Reply,
+        reply: _owner_replies.Reply,
     ) -> None:
-        """Judge one ask; a queued one is answered when its turn comes.
+        """Reply to an admission request, at once or from the queue.
 
         Parameters
         ----------
         sender : DaemonId
-            The entry daemon.
+            Entry daemon.
         ask : AdmitAsk
-            What it asks.
+            Admission request.
         reply : callable
-            Called once with the verdict, now or later.
+            Called once with the reply, now or later.
         """
-        self._heard_at[sender] = self._clock.monotonic()
+        self._last_received_at[sender] = self._clock.monotonic()
         replica = _ids.ReplicaId(ask.replica)
         if self._ownership.owner_of(replica) != self._daemon:
-            self._answers.give(reply, messages.Verdict.not_owner)
+            self._replies.send(reply, messages.Verdict.not_owner)
             return
-        ledger = self._ledger_of(replica)
+        ledger = self._get_or_open_ledger(replica)
         if ledger is None or not self._targets.is_in_service(replica):
-            self._answers.give(reply, messages.Verdict.expired)
+            self._replies.send(reply, messages.Verdict.expired)
             return
-        if ask.home and self._send_elsewhere(ask, reply):
+        if ask.home and self._redirect_displaced(ask, reply):
             return
-        self._judge.judge(sender, ask, ledger, reply)
+        self._admission_control.decide(sender, ask, ledger, reply)
 
-    def _send_elsewhere(
-        self, ask: messages.AdmitAsk, reply: _owner_answers.Reply
+    def _redirect_displaced(
+        self, ask: messages.AdmitAsk, reply: _owner_replies.Reply
     ) -> bool:
-        seat = self.displaced.find(
+        displaced_to = self.displaced.find(
             _ids.ChatHash(ask.chat), home=_ids.ReplicaId(ask.replica)
         )
-        if seat is None or seat == ask.replica:
+        if displaced_to is None or displaced_to == ask.replica:
             return False
-        if not self._targets.is_in_service(seat):
+        if not self._targets.is_in_service(displaced_to):
             return False
-        self._answers.give(reply, messages.Verdict.elsewhere, replica=seat)
+        self._replies.send(
+            reply, messages.Verdict.elsewhere, replica=displaced_to
+        )
         return True
 
-    def note_unreached(self, note: messages.Unreached) -> None:
-        """Note that a replica took no connection from a daemon."""
+    def record_unreached(self, message: messages.Unreached) -> None:
+        """Treat a replica as cold after a failed connection to it."""
         target = self._targets.target_by_replica.get(
-            _ids.ReplicaId(note.replica)
+            _ids.ReplicaId(message.replica)
         )
         if target is not None:
-            self._targets.cold.suspect([target])
+            self._targets.cold.presume_cold([target])
 
-    def note_backoff(
-        self, sender: _ids.DaemonId, note: messages.Backoff
+    def record_backoff(
+        self, sender: _ids.DaemonId, message: messages.Backoff
     ) -> None:
-        """Note that a replica asked a daemon for a backoff."""
-        ledger = self.ledger_by_replica.get(_ids.ReplicaId(note.replica))
-        if ledger is not None and ledger.incarnation == note.incarnation:
+        """Record that a replica requested a backoff from a daemon."""
+        ledger = self.ledger_by_replica.get(_ids.ReplicaId(message.replica))
+        if ledger is not None and ledger.incarnation == message.incarnation:
             ledger.backoff.note(
-                sender, seconds=note.seconds, now=self._clock.monotonic()
+                sender, seconds=message.seconds, now=self._clock.monotonic()
             )
 
-    def note_turned_away(self, note: messages.TurnedAway) -> None:
-        """Note that a request found no place anywhere and may come back."""
-        ledger = self.ledger_by_replica.get(_ids.ReplicaId(note.replica))
-        if ledger is not None and note.request:
-            ledger.returns.note(
-                note.request,
-                note.rank,
-                seconds=note.seconds,
+    def record_rejection(self, message: messages.TurnedAway) -> None:
+        """Reserve a slot for a rejected request that may be sent again."""
+        ledger = self.ledger_by_replica.get(_ids.ReplicaId(message.replica))
+        if ledger is not None and message.request:
+            ledger.reservations.note(
+                message.request,
+                message.rank,
+                seconds=message.seconds,
                 now=self._clock.monotonic(),
             )
 
-    def take_word(self, word: messages.EngineWord) -> None:
-        """Note what the head of an answer told of a replica owned here."""
-        ledger = self.ledger_by_replica.get(_ids.ReplicaId(word.replica))
+    def record_response_head(self, head: messages.EngineWord) -> None:
+        """Apply the load that a replica reported in a response head."""
+        ledger = self.ledger_by_replica.get(_ids.ReplicaId(head.replica))
         if ledger is None:
             return
         now = self._clock.monotonic()
-        ledger.room.take_report(
-            word.running, word.waiting, slow=word.slow, now=now
+        ledger.rank_limits.take_report(
+            head.running, head.waiting, slow=head.slow, now=now
         )
-        if word.read:
-            ledger.reads.note_read(_ids.ChatHash(word.read), now=now)
+        if head.read:
+            ledger.context_reads.note_read(_ids.ChatHash(head.read), now=now)
 
     def release(self, sender: _ids.DaemonId, asks: Iterable[int]) -> None:
-        """Free places of an entry daemon, on whichever ledger they are."""
+        """Release placements and queued requests of an entry daemon."""
         now = self._clock.monotonic()
         for ask in asks:
-            key = _place_key.PlaceKey(sender, _ids.AskNumber(ask))
-            ledger = self._find(key)
+            key = _slot_key.SlotKey(sender, _ids.AskNumber(ask))
+            ledger = self._find_ledger(key)
             if ledger is None:
                 continue
             ledger.release(key, now=now)
-            self._queue.pump(ledger)
+            self._queue.grant_queued(ledger)
 
-    def _find(self, key: _place_key.PlaceKey) -> _ledger.ReplicaLedger | None:
+    def _find_ledger(
+        self, key: _slot_key.SlotKey
+    ) -> _ledger.ReplicaLedger | None:
         for ledger in self.ledger_by_replica.values():
-            if key in ledger.held_by_key or key in ledger.waiting_by_key:
+            if key in ledger.entry_by_key or key in ledger.queued_by_key:
                 return ledger
         return None
 
     def renew(self, sender: _ids.DaemonId, renew: messages.Renew) -> None:
-        """Make the counts of one entry daemon what it says they are.
+        """Replace the counts of one entry daemon by its full list.
 
-        A release that was lost with its stream would leave a place counted
-        for ever; the replica would look fuller than it is and, in the end,
-        refuse all. The full list heals that.
+        Without renewals, a release that is lost with its connection would
+        leave the placement counted forever. The counted load would stay too
+        high, until the replica rejects all requests.
         """
         now = self._clock.monotonic()
-        self._heard_at[sender] = now
+        self._last_received_at[sender] = now
         pending = {_ids.AskNumber(ask) for ask in renew.pending}
         held: dict[
             _ids.ReplicaId, dict[_ids.AskNumber, messages.HeldPlace]
         ] = {}
-        for place in renew.held:
-            replica = _ids.ReplicaId(place.replica)
+        for placement in renew.held:
+            replica = _ids.ReplicaId(placement.replica)
             by_ask = held.setdefault(replica, {})
-            by_ask[_ids.AskNumber(place.ask)] = place
+            by_ask[_ids.AskNumber(placement.ask)] = placement
         for replica in held:
             if self._ownership.owner_of(replica) == self._daemon:
-                self._ledger_of(replica)
+                self._get_or_open_ledger(replica)
         for replica, ledger in self.ledger_by_replica.items():
-            ledger.keep_only(sender, held.get(replica, {}), pending, now=now)
-            self._queue.pump(ledger)
+            ledger.reconcile(sender, held.get(replica, {}), pending, now=now)
+            self._queue.grant_queued(ledger)
 
     def refresh_slots(self) -> None:
-        """Take over what the table and the list now say of slots."""
+        """Update the slots from the table and the list of replicas."""
         for replica, ledger in self.ledger_by_replica.items():
             target = self._targets.target_by_replica.get(replica)
             if target is None:
                 continue
             ledger.slots, ledger.batch_slots = self._slots_of(target)
-            self._queue.pump(ledger)
+            self._queue.grant_queued(ledger)
 
     def _slots_of(self, target: _targets.Target) -> tuple[int, int]:
-        """Give a replica's slots, and how many batch work may take."""
+        """Return a replica's slots, and how many batch work may use."""
         slots = self._rules.slots_of(target.group)
         if target.slots:
             slots = min(slots, target.slots)
         reserve = self._rules.batch_reserve_of(target.group)
         return slots, max(1, math.floor(slots * (1 - reserve)))
 
-    def drop_silent(self, *, longest: float) -> None:
-        """Free what daemons held that have not been heard of for long.
+    def drop_unresponsive(self, *, max_silence: float) -> None:
+        """Release the placements of daemons that have stopped renewing.
 
-        A daemon that lost power gives nothing back, and where nobody says
-        that it is gone its places would count until it comes back. They
-        raise the mean, and with it what every replica may hold.
+        A daemon that lost power releases nothing. Unless membership reports
+        it dead, its placements would count until it returns, and raise the
+        mean load and with it the limit of every replica.
 
         Parameters
         ----------
-        longest : float
-            Seconds; longer than daemons take between two renewals.
+        max_silence : float
+            Seconds since the last message; must exceed the interval between
+            two renewals.
         """
         now = self._clock.monotonic()
-        for daemon, heard_at in list(self._heard_at.items()):
-            if now - heard_at <= longest or daemon == self._daemon:
+        for daemon, received_at in list(self._last_received_at.items()):
+            if now - received_at <= max_silence or daemon == self._daemon:
                 continue
-            del self._heard_at[daemon]
+            del self._last_received_at[daemon]
             _log.info(
-                "no word of {daemon} for {seconds:.1f} s: its places are free",
+                "released placements of {daemon}: no message for "
+                "{seconds:.1f} s",
                 daemon=daemon,
-                seconds=now - heard_at,
+                seconds=now - received_at,
             )
             self.drop_daemon(daemon)
 
     def drop_daemon(self, daemon: _ids.DaemonId) -> None:
-        """Free all that a dead daemon held."""
+        """Release all placements and queued requests of a dead daemon."""
         now = self._clock.monotonic()
         for ledger in self.ledger_by_replica.values():
             ledger.drop_daemon(daemon, now=now)
-            self._queue.pump(ledger)
+            self._queue.grant_queued(ledger)
 
-    def transfer(
+    def apply_transfers(
         self, transfers: list[_ownership.Transfer]
     ) -> Mapping[_ids.DaemonId, list[messages.Displaced]]:
-        """Take up gained replicas and lay down lost ones.
+        """Open ledgers of gained replicas and close those of lost ones.
 
         Returns
         -------
         mapping
-            Displaced chats to hand over, by their new owner.
+            Displaced chats to send, by new owner.
         """
         lost: dict[_ids.ReplicaId, _ids.DaemonId | None] = {}
         for change in transfers:
             if change.after == self._daemon:
-                self._ledger_of(change.replica)
+                self._get_or_open_ledger(change.replica)
             elif change.before == self._daemon:
                 lost[change.replica] = change.after
         for replica in lost:
             ledger = self.ledger_by_replica.pop(replica, None)
             if ledger is not None:
-                ledger.refuse_all(messages.Verdict.not_owner)
+                ledger.reject_all(messages.Verdict.not_owner)
         handover: dict[_ids.DaemonId, list[messages.Displaced]] = {}
-        for home, entries in self.displaced.take_out(set(lost)).items():
+        for home, entries in self.displaced.remove_by_home(set(lost)).items():
             after = lost[home]
             if after is not None:
                 handover.setdefault(after, []).extend(entries)
         return handover
 
-    def forget_ended_starts(self) -> None:
-        """Begin anew with replicas that started again under their id.
+    def reset_restarted_replicas(self) -> None:
+        """Open new ledgers for replicas that restarted under the same id.
 
-        The new start runs nothing of what is counted and holds no context.
-        Kept, the old count would keep calls away from an idle replica, and
-        displaced chats would return to where their context no longer is.
+        The new process runs none of the counted requests and holds no
+        context. The old count would keep requests away from an idle
+        replica, and displaced chats would return to a replica that has lost
+        their context.
         """
         for replica, ledger in list(self.ledger_by_replica.items()):
             target = self._targets.target_by_replica.get(replica)
             if target is None or target.incarnation == ledger.incarnation:
                 continue
-            ledger.refuse_all(messages.Verdict.expired)
-            fresh = self._open(target)
-            # Nothing is held there yet: there is no count to distrust.
-            fresh.careful_until = 0.0
-            self.ledger_by_replica[replica] = fresh
-        self.displaced.forget_ended_starts(self._targets.target_by_replica)
-
-    def turn_careful(self) -> None:
-        """Distrust all counts for a while, after a pause of this daemon."""
-        until = self._clock.monotonic() + CAREFUL_SECONDS
+            ledger.reject_all(messages.Verdict.expired)
+            new_ledger = self._open_ledger(target)
+            # Nothing is held on the new process yet, so the count is exact.
+            new_ledger.uncertain_until = 0.0
+            self.ledger_by_replica[replica] = new_ledger
+        self.displaced.remove_restarted(self._targets.target_by_replica)
+
+    def mark_counts_uncertain(self) -> None:
+        """Treat all counts as uncertain, after a pause of this process."""
+        until = self._clock.monotonic() + UNCERTAIN_SECONDS
         for ledger in self.ledger_by_replica.values():
-            ledger.careful_until = until
-            ledger.forget_reports()
+            ledger.uncertain_until = until
+            ledger.clear_reports()
 
-    def take_engine_report(
+    def record_engine_report(
         self, replica: _ids.ReplicaId, running: int
     ) -> None:
-        """Note what an engine says of its load."""
+        """Record an engine's report of its running requests."""
         ledger = self.ledger_by_replica.get(replica)
         if ledger is not None:
-            ledger.take_report(running)
+            ledger.add_engine_report(running)
 
-    def take_summary(
+    def apply_summary(
         self, summary: messages.LoadSummary, report: messages.LoadReport
     ) -> None:
-        """Note a collector's answer, and grant what now fits."""
+        """Apply a collector's reply, and grant queued requests that fit."""
         group = _ids.GroupName(summary.group)
-        self.accounts.take_summary(summary, report)
-        for ledger in self.accounts.ledgers_of(group):
-            self._queue.pump(ledger)
+        self.group_limits.apply_summary(summary, report)
+        for ledger in self.group_limits.ledgers_of(group):
+            self._queue.grant_queued(ledger)
 
     def waiting(self) -> int:
-        """Give the asks that wait in this owner's queues."""
+        """Return the number of requests in this owner's queues."""
         ledgers = self.ledger_by_replica.values()
-        return sum(len(ledger.waiting_by_key) for ledger in ledgers)
+        return sum(len(ledger.queued_by_key) for ledger in ledgers)
 
-    def _ledger_of(
+    def _get_or_open_ledger(
         self, replica: _ids.ReplicaId
     ) -> _ledger.ReplicaLedger | None:
         ledger = self.ledger_by_replica.get(replica)
@@ -379,11 +398,11 @@
         target = self._targets.target_by_replica.get(replica)
         if target is None:
             return None
-        ledger = self._open(target)
+        ledger = self._open_ledger(target)
         self.ledger_by_replica[replica] = ledger
         return ledger
 
-    def _open(self, target: _targets.Target) -> _ledger.ReplicaLedger:
+    def _open_ledger(self, target: _targets.Target) -> _ledger.ReplicaLedger:
         slots, batch_slots = self._slots_of(target)
         ledger = _ledger.ReplicaLedger(
             replica=target.replica,
@@ -393,6 +412,6 @@
             queue_capacity=self._routing.queue_per_replica,
             incarnation=target.incarnation,
         )
-        ledger.careful_until = self._clock.monotonic() + CAREFUL_SECONDS
-        _log.info("own {replica}", replica=target.replica)
+        ledger.uncertain_until = self._clock.monotonic() + UNCERTAIN_SECONDS
+        _log.info("opened ledger of {replica}", replica=target.replica)
         return ledger
--- a/src/topazlug/routing/_owner_duties.py
+++ b/src/topazlug/routing/_owner_endpoint.py
@@ -1,4 +1,4 @@
-"""What the owner's role does with peers: its handlers and its greenlets."""
+"""The owner role's endpoint: message handlers and periodic messages."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -15,43 +15,44 @@
 from topazlug._generated import settings as _settings_types
 from topazlug.peers import _peers
 from topazlug.routing import _group_load
-from topazlug.routing import _holdings
+from topazlug.routing import _held_placements
 from topazlug.routing import _owner
 from topazlug.routing import _ownership
 
 _log = _logs.logger("owner")
 _REPORT_TIMEOUT = 0.3
 _RETRY_SECONDS = 0.2
-# A daemon that was not heard of for so many renewals is taken to be gone.
-_SILENT_RENEWALS = 2.5
-# A collector that said nothing is passed over for so long; the next of its
-# order adds up meanwhile. Within the three seconds for which a total counts.
-_SILENT_SECONDS = 2.0
+# A daemon that sent nothing for this many renewal intervals is assumed dead.
+_MAX_MISSED_RENEWALS = 2.5
+# A collector that did not reply is skipped for this long, and the next daemon
+# in the ranking collects instead. Shorter than the three seconds after which
+# a total is stale.
+_COLLECTOR_SKIP_SECONDS = 2.0
 _HANDOVER_ENTRIES = 500
 _RENEW_BYTES = 150
 _RENEW_BYTES_PER_SECOND = 2048
 
 
 @final
-class OwnerDuties:
-    """Ties an `Owner` to the peers' streams.
+class OwnerEndpoint:
+    """Connects an `Owner` to the peers.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     owner : Owner
-        Ledgers.
-    holdings : Holdings
-        What this daemon itself holds of owners.
+        Owner role of this daemon.
+    held_placements : HeldPlacements
+        Placements that this daemon holds with owners.
     links : PeerLinks
-        Streams.
+        Connections to peers.
     usable : callable
-        Gives the usable daemons by id.
+        Returns the usable daemons by id.
     routing : RoutingSettings
-        Intervals.
+        Intervals of renewals and load reports.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         *,
         daemon: _ids.DaemonId,
         owner: _owner.Owner,
-        holdings: _holdings.Holdings,
+        held_placements: _held_placements.HeldPlacements,
         links: _peers.PeerLinks,
         usable: Callable[[], Mapping[_ids.DaemonId, Any]],
         routing: _settings_types.RoutingSettings,
@@ -67,22 +68,22 @@
     ) -> None:
         self._daemon = daemon
         self._owner = owner
-        self._holdings = holdings
+        self._held_placements = held_placements
         self._links = links
         self._usable = usable
         self._routing = routing
         self._clock = clock
-        self._collector = _group_load.Collector(
+        self._collector = _group_load.LoadCollector(
             clock=clock, interval=routing.load_interval
         )
         self._reporting: set[str] = set()
-        self._silent_until: dict[_ids.DaemonId, float] = {}
+        self._skip_until: dict[_ids.DaemonId, float] = {}
 
     def register(self) -> None:
-        """Take peers' messages from now on."""
+        """Register the handlers of peers' messages."""
         links = self._links
-        links.handle(messages.AdmitAsk, self._on_ask)
-        links.handle(messages.EngineWord, self._on_word)
+        links.handle(messages.AdmitAsk, self._on_admit_ask)
+        links.handle(messages.EngineWord, self._on_engine_word)
         links.handle(messages.TurnedAway, self._on_turned_away)
         links.handle(messages.Unreached, self._on_unreached)
         links.handle(messages.Backoff, self._on_backoff)
@@ -92,30 +93,30 @@
         links.handle(messages.DisplacedBatch, self._on_displaced_batch)
         links.handle(messages.LoadReport, self._on_report)
 
-    def _on_ask(
+    def _on_admit_ask(
         self, sender: _ids.DaemonId, ask: Any, reply: _peers.Reply
     ) -> None:
         self._owner.ask(sender, ask, reply)
 
-    def _on_word(
+    def _on_engine_word(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.take_word(message)
+        self._owner.record_response_head(message)
 
     def _on_turned_away(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.note_turned_away(message)
+        self._owner.record_rejection(message)
 
     def _on_unreached(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.note_unreached(message)
+        self._owner.record_unreached(message)
 
     def _on_backoff(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.note_backoff(sender, message)
+        self._owner.record_backoff(sender, message)
 
     def _on_release(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
@@ -131,81 +132,84 @@
     def _on_displaced(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.displaced.note(message)
+        self._owner.displaced.record(message)
 
     def _on_displaced_batch(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
         for entry in message.entries:
-            self._owner.displaced.note(entry)
+            self._owner.displaced.record(entry)
 
     def _on_report(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        reply(self._collector.take(sender, message))
+        reply(self._collector.add_report(sender, message))
 
     def on_transfer(self, transfers: list[_ownership.Transfer]) -> None:
-        """Follow a change of owners: hand over, and renew at once."""
-        handover = self._owner.transfer(transfers)
+        """Apply ownership changes: send displaced chats, then renew."""
+        handover = self._owner.apply_transfers(transfers)
         for after, entries in handover.items():
             self._hand_over(after, entries)
         gained = {c.after for c in transfers if c.after is not None}
         lost = {c.before for c in transfers if c.before is not None}
-        self._holdings.renew(gained | lost)
+        self._held_placements.renew(gained | lost)
 
     def _hand_over(
         self, after: _ids.DaemonId, entries: list[messages.Displaced]
     ) -> None:
         for start in range(0, len(entries), _HANDOVER_ENTRIES):
-            part = entries[start : start + _HANDOVER_ENTRIES]
+            batch = entries[start : start + _HANDOVER_ENTRIES]
             try:
-                self._links.send(after, messages.DisplacedBatch(entries=part))
+                self._links.send(after, messages.DisplacedBatch(entries=batch))
             except _errors.PeerUnreachable:
-                _log.warning("displaced chats are lost with {to}", to=after)
+                _log.warning(
+                    "displaced chats lost, new owner {to} is unreachable",
+                    to=after,
+                )
                 return
 
     def renew_forever(self) -> None:
-        """Tell owners what this daemon holds, again and again.
+        """Renew this daemon's placements with their owners periodically.
 
-        The more owners there are, the longer the interval: with places at
-        some 500 owners a renewal each second would take 75 KB/s, and the
-        budget for all control is 28.
+        The interval grows with the number of owners. With 500 owners, one
+        renewal per second would take 75 KB/s, and the budget for all control
+        traffic is 28 KB/s.
         """
         owners = 0
         while True:
             self._clock.sleep(self._renew_seconds(owners))
-            owners = self._holdings.renew()
+            owners = self._held_placements.renew()
 
     def _renew_seconds(self, owners: int) -> float:
-        spread = owners * _RENEW_BYTES / _RENEW_BYTES_PER_SECOND
-        return max(self._routing.renew_interval, spread)
+        min_interval = owners * _RENEW_BYTES / _RENEW_BYTES_PER_SECOND
+        return max(self._routing.renew_interval, min_interval)
 
     def drop_silent(self, owners: int) -> None:
-        """Free what daemons held that missed two renewals and more.
+        """Release the placements of daemons that missed their renewals.
 
         Parameters
         ----------
         owners : int
-            Daemons that own replicas: the more there are, the longer each
-            takes to tell all of them.
+            Number of daemons that own replicas. The renewal interval grows
+            with it.
         """
-        longest = _SILENT_RENEWALS * self._renew_seconds(owners)
-        self._owner.drop_silent(longest=longest)
+        max_silence = _MAX_MISSED_RENEWALS * self._renew_seconds(owners)
+        self._owner.drop_unresponsive(max_silence=max_silence)
 
     def report_forever(self) -> None:
-        """Tell collectors the load of the owned replicas when it is due."""
+        """Send due load reports of the owned replicas to collectors."""
         while True:
             self.report()
             self._clock.sleep(self._routing.load_interval)
 
     @property
     def reporting(self) -> bool:
-        """Say whether a report is on its way."""
+        """Whether a report awaits its reply."""
         return bool(self._reporting)
 
     def report(self) -> None:
-        """Send the reports that are due now."""
-        for report in self._owner.accounts.due_reports():
+        """Send the load reports that are due now."""
+        for report in self._owner.group_limits.due_reports():
             if report.group not in self._reporting:
                 self._reporting.add(report.group)
                 gevent.spawn(self._report, report)
@@ -217,44 +221,44 @@
         finally:
             self._reporting.discard(report.group)
         if summary is not None:
-            self._owner.take_summary(summary, report)
+            self._owner.apply_summary(summary, report)
 
     def _exchange(
         self, group: _ids.GroupName, report: messages.LoadReport
     ) -> messages.LoadSummary | None:
-        collector = _group_load.collector_of(group, self._heard())
+        collector = _group_load.collector_of(group, self._responsive_daemons())
         if collector is None:
             return None
         if collector == self._daemon:
-            return self._collector.take(self._daemon, report)
+            return self._collector.add_report(self._daemon, report)
         try:
-            answer = self._links.call(
+            reply = self._links.call(
                 collector, report, timeout=_REPORT_TIMEOUT
             )
         except _errors.PeerUnreachable:
-            until = self._clock.monotonic() + _SILENT_SECONDS
-            self._silent_until[collector] = until
+            until = self._clock.monotonic() + _COLLECTOR_SKIP_SECONDS
+            self._skip_until[collector] = until
             _log.info(
-                "no total of {group} from {collector}, it is passed over",
+                "no reply from collector {collector} of {group}, skipping it",
                 group=group,
                 collector=collector,
-                seconds=_SILENT_SECONDS,
+                seconds=_COLLECTOR_SKIP_SECONDS,
             )
             self._clock.sleep(_RETRY_SECONDS)
             return None
-        return answer if isinstance(answer, messages.LoadSummary) else None
+        return reply if isinstance(reply, messages.LoadSummary) else None
 
-    def _heard(self) -> list[_ids.DaemonId]:
-        """Give the usable daemons without those that have just said nothing.
+    def _responsive_daemons(self) -> list[_ids.DaemonId]:
+        """Return the usable daemons except collectors that did not reply.
 
-        A daemon that is dark stays usable for as long as nobody says that it
-        is gone. Without a total an owner takes its own replicas for all: one
-        that owns a single replica then sees no bound at all, and one replica
-        fills while others idle.
+        An unreachable daemon stays usable until membership reports it dead.
+        Without a total, an owner estimates the group's mean from its own
+        replicas. An owner of a single replica would then apply no bound, and
+        fill that replica while others are idle.
         """
         now = self._clock.monotonic()
         return [
             daemon
             for daemon in self._usable()
-            if now >= self._silent_until.get(daemon, 0.0)
+            if now >= self._skip_until.get(daemon, 0.0)
         ]
--- /dev/null
+++ b/src/topazlug/routing/_placement.py
@@ -0,0 +1,123 @@
+"""Placement requests, placements and the admission interface."""
+
+from typing import Protocol
+from typing import final
+
+import msgspec
+
+from topazlug import _ids
+from topazlug.targets import _targets
+
+
+class PlacementRequest(msgspec.Struct, frozen=True):
+    """A request for slots on one replica of a group.
+
+    Attributes
+    ----------
+    group : GroupName
+        Pool or service.
+    chat : ChatHash
+        Hash of the chat, or of the call if it belongs to no chat.
+    team : TeamName
+        Team of the caller.
+    batch : bool
+        Whether it is batch work.
+    weight : int
+        Slots that the request occupies, also called load units.
+    deadline : float
+        Monotonic time in seconds at which the caller stops waiting.
+    excluded : frozenset of ReplicaId
+        Replicas on which this request has already failed.
+    returning : bool
+        Whether the chat has a context on the replica of its previous turn.
+    keeps_context : bool
+        Whether replicas keep context between requests. If not, all
+        replicas are equally suitable.
+    rank : int
+        Urgency, 0 is the most urgent; -1 for work that is not subject to
+        limits by rank.
+    prompt : int
+        Hash of the whole prompt, 0 if there is none. Identifies the request
+        when the caller sends it again.
+    shared_tokens : int
+        Length in tokens of the prompt prefix that is shared with other
+        requests.
+    latency_objective : float
+        Seconds until the first byte of a response that is on time. Also the
+        maximum wait while another request reads the same context.
+    """
+
+    group: _ids.GroupName
+    chat: _ids.ChatHash
+    team: _ids.TeamName
+    batch: bool
+    weight: int
+    deadline: float
+    excluded: frozenset[_ids.ReplicaId] = frozenset()
+    returning: bool = False
+    keeps_context: bool = True
+    rank: int = -1
+    prompt: int = 0
+    shared_tokens: int = 0
+    latency_objective: float = 0.0
+
+
+@final
+class Placement:
+    """A replica chosen for a request, with the slots held there.
+
+    The holder must release it when the request has ended.
+
+    Attributes
+    ----------
+    target : Target
+        Replica to send the request to.
+    ask : AskNumber
+        Number of the admission request, under which the owner counts it.
+    owner : DaemonId or None
+        Daemon that counts it; None if it was placed without an owner.
+    request : PlacementRequest
+        Request that it was made for.
+    home : bool
+        Whether the replica is first in the chat's ranking.
+    reads_context : bool
+        Whether its request is the first to read the chat's context there.
+    released : bool
+        Whether it was released.
+    """
+
+    def __init__(
+        self,
+        *,
+        target: _targets.Target,
+        ask: _ids.AskNumber,
+        owner: _ids.DaemonId | None,
+        request: PlacementRequest,
+        home: bool,
+        reads_context: bool = False,
+    ) -> None:
+        self.reads_context = reads_context
+        self.target = target
+        self.ask = ask
+        self.owner = owner
+        self.request = request
+        self.home = home
+        self.released = False
+
+
+class Admission(Protocol):
+    """Admission of requests, implemented by each routing policy."""
+
+    def admit(self, request: PlacementRequest) -> Placement:
+        """Choose a replica and hold slots on it.
+
+        Raises
+        ------
+        Overloaded
+            No slot is free, nor expected to be before the deadline.
+        NoTarget
+            The group has no usable replica.
+        """
+
+    def release(self, placement: Placement) -> None:
+        """Release the slots of a placement."""
--- a/src/topazlug/routing/_policies.py
+++ b/src/topazlug/routing/_policies.py
@@ -1,6 +1,6 @@
-"""Which policy places requests: owners that admit, or a baseline.
+"""Routing policies: admission by owners, and baselines for comparison.
 
-The baselines exist to be measured against; they hold no bound.
+The baselines exist for benchmarks. They do not enforce a bound across daemons.
 """
 
 import functools
@@ -16,17 +16,17 @@
 from topazlug import _ids
 from topazlug._generated import settings as _settings_types
 from topazlug.configuration import _rules
-from topazlug.routing import _no_target
-from topazlug.routing import _place
+from topazlug.routing import _no_usable_replica
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
 from topazlug.targets import _targets
 
-_NO_TARGET_SECONDS = 1.0
+_NO_TARGET_RETRY_SECONDS = 1.0
 TWO_CHOICES = _settings_types.RoutingPolicy.two_choices
 
 
-class Parts(Protocol):
-    """What the policies need of a daemon."""
+class PolicyDependencies(Protocol):
+    """The objects of a daemon that policies use."""
 
     owners_admission: Any
     targets: _targets.TargetDirectory
@@ -49,6 +49,7 @@
     pass
 
 
+# Bounded consistent hashing by this daemon's own load, a sliver of the total.
 class _Sliver(msgspec.Struct, frozen=True):
     pass
 
@@ -62,21 +63,21 @@
 }
 
 
-def admission_of(
-    name: _settings_types.RoutingPolicy, parts: Parts
-) -> _place.Admission:
-    """Give what finds places under a policy."""
+def make_admission(
+    name: _settings_types.RoutingPolicy, dependencies: PolicyDependencies
+) -> _placement.Admission:
+    """Return the admission that implements a policy."""
     policy = _POLICY_BY_NAME[name]
     if isinstance(policy, _Owners):
-        admission: _place.Admission = parts.owners_admission
+        admission: _placement.Admission = dependencies.owners_admission
         return admission
-    return BaselineAdmission(policy=policy, parts=parts)
+    return BaselineAdmission(policy=policy, dependencies=dependencies)
 
 
-class _View(msgspec.Struct):
-    """What one daemon knows by itself."""
+class _LocalView(msgspec.Struct):
+    """Input of the baselines: state local to this daemon."""
 
-    request: _place.PlaceRequest
+    request: _placement.PlacementRequest
     usable: list[_ids.ReplicaId]
     own_load: dict[_ids.ReplicaId, int]
     reported: dict[_ids.ReplicaId, int]
@@ -84,38 +85,40 @@
 
 
 @functools.singledispatch
-def choose(policy: object, view: _View) -> _ids.ReplicaId:
-    """Choose a replica from what this daemon knows by itself.
+def choose(policy: object, view: _LocalView) -> _ids.ReplicaId:
+    """Return the replica that a baseline policy chooses.
 
     Parameters
     ----------
     policy : object
-        Decides which implementation runs.
-    view : _View
-        At least one usable replica.
+        Policy; selects the implementation.
+    view : _LocalView
+        Local state, with at least one usable replica.
     """
     raise NotImplementedError(f"no policy {policy!r}")
 
 
 @choose.register
-def _choose_random(policy: _Random, view: _View) -> _ids.ReplicaId:
+def _choose_random(policy: _Random, view: _LocalView) -> _ids.ReplicaId:
     return random.choice(view.usable)
 
 
 @choose.register
-def _choose_two(policy: _TwoChoices, view: _View) -> _ids.ReplicaId:
+def _choose_two_choices(
+    policy: _TwoChoices, view: _LocalView
+) -> _ids.ReplicaId:
     pair = random.sample(view.usable, min(2, len(view.usable)))
     return min(pair, key=lambda replica: view.reported.get(replica, 0))
 
 
 @choose.register
-def _choose_hash(policy: _Hash, view: _View) -> _ids.ReplicaId:
+def _choose_hash(policy: _Hash, view: _LocalView) -> _ids.ReplicaId:
     name = _ranking.first(view.usable, view.request.chat)
     return _ids.ReplicaId(name or view.usable[0])
 
 
 @choose.register
-def _choose_sliver(policy: _Sliver, view: _View) -> _ids.ReplicaId:
+def _choose_sliver(policy: _Sliver, view: _LocalView) -> _ids.ReplicaId:
     count = len(view.usable)
     total = sum(view.own_load.get(replica, 0) for replica in view.usable)
     limit = math.ceil(view.bound * (total + 1) / count)
@@ -129,60 +132,68 @@
 
 @final
 class BaselineAdmission:
-    """Places requests without a word to anybody.
+    """Places requests without messages to other daemons.
 
     Parameters
     ----------
     policy : object
-        One of the baselines.
-    parts : Parts
-        The daemon's parts.
+        Baseline policy.
+    dependencies : PolicyDependencies
+        Objects of this daemon that policies use.
     """
 
-    def __init__(self, *, policy: object, parts: Parts) -> None:
+    def __init__(
+        self, *, policy: object, dependencies: PolicyDependencies
+    ) -> None:
         self._policy = policy
-        self._parts = parts
+        self._dependencies = dependencies
         self._numbers = itertools.count(1)
-        self._own_load: dict[_ids.ReplicaId, int] = {}
-        self._reported: dict[_ids.ReplicaId, int] = {}
+        self._own_load_by_replica: dict[_ids.ReplicaId, int] = {}
+        self._reported_load_by_replica: dict[_ids.ReplicaId, int] = {}
 
-    def take_engine_report(
+    def record_engine_report(
         self, replica: _ids.ReplicaId, running: int
     ) -> None:
-        """Note what an engine says of its load."""
-        self._reported[replica] = running
+        """Record an engine's report of its running requests."""
+        self._reported_load_by_replica[replica] = running
 
-    def admit(self, request: _place.PlaceRequest) -> _place.Place:
-        """Find a place; raises NoTarget."""
+    def admit(
+        self, request: _placement.PlacementRequest
+    ) -> _placement.Placement:
+        """Choose a replica; raises NoTarget or Overloaded if there is none."""
         usable = [
             replica
-            for replica in self._parts.targets.usable(request.group)
+            for replica in self._dependencies.targets.usable(request.group)
             if replica not in request.excluded
         ]
         if not usable:
-            raise _no_target.none_usable(
-                self._parts.targets, request, retry_after=_NO_TARGET_SECONDS
+            raise _no_usable_replica.no_usable_replica_error(
+                self._dependencies.targets,
+                request,
+                retry_after=_NO_TARGET_RETRY_SECONDS,
             )
-        view = _View(
+        view = _LocalView(
             request=request,
             usable=usable,
-            own_load=self._own_load,
-            reported=self._reported,
-            bound=self._parts.rules.bound_of(request.group),
+            own_load=self._own_load_by_replica,
+            reported=self._reported_load_by_replica,
+            bound=self._dependencies.rules.bound_of(request.group),
         )
         replica = choose(self._policy, view)
-        self._own_load[replica] = self._own_load.get(replica, 0) + 1
-        return _place.Place(
-            target=self._parts.targets.target_by_replica[replica],
+        self._own_load_by_replica[replica] = (
+            self._own_load_by_replica.get(replica, 0) + 1
+        )
+        return _placement.Placement(
+            target=self._dependencies.targets.target_by_replica[replica],
             ask=_ids.AskNumber(next(self._numbers)),
             owner=None,
             request=request,
             home=False,
         )
 
-    def release(self, place: _place.Place) -> None:
-        """Give a place back; a second time does nothing."""
-        if place.released:
+    def release(self, placement: _placement.Placement) -> None:
+        """Release a placement; does nothing if it was released before."""
+        if placement.released:
             return
-        place.released = True
-        self._own_load[place.target.replica] -= 1
+        placement.released = True
+        self._own_load_by_replica[placement.target.replica] -= 1
--- a/src/topazlug/routing/_routing_parts.py
+++ b/src/topazlug/routing/_routing_assembly.py
@@ -1,4 +1,4 @@
-"""A daemon's routing, put together: targets, owners, ceilings."""
+"""Construction and wiring of a daemon's routing objects."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -18,14 +18,14 @@
 from topazlug.peers import _peers
 from topazlug.routing import _admission
 from topazlug.routing import _owner
-from topazlug.routing import _owner_duties
+from topazlug.routing import _owner_endpoint
 from topazlug.routing import _ownership
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.routing import _policies
 from topazlug.targets import _listed_targets
 from topazlug.targets import _target_client
-from topazlug.targets import _target_watch
-from topazlug.targets import _target_word
+from topazlug.targets import _target_poller
+from topazlug.targets import _target_report
 from topazlug.targets import _targets
 
 _log = _logs.logger("routing")
@@ -39,17 +39,17 @@
 
 
 @final
-class RoutingParts:
-    """Everything that decides where a request goes.
+class RoutingAssembly:
+    """Builds and connects targets, ownership, admission and quotas.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Checked settings.
+        Validated settings.
     fleet : FleetParts
-        The platform and the peers.
+        Platform, membership and connections to peers.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -62,17 +62,17 @@
         self._settings = settings
         self._fleet = fleet
         self._clock = clock
-        self._ranked: tuple[Any, Any] = (None, None)
-        self._dropped: set[tuple[_ids.DaemonId, int]] = set()
+        self._last_inputs: tuple[Any, Any] = (None, None)
+        self._dropped_daemons: set[tuple[_ids.DaemonId, int]] = set()
         self._list_callbacks: list[ListCallback] = []
         self.rules = _rules.TableRules(
             configuration=fleet.configuration, routing=settings.routing
         )
-        self._build_owning()
+        self._build_ownership()
         self._build_watch()
         self._build_quotas()
 
-    def _build_owning(self) -> None:
+    def _build_ownership(self) -> None:
         settings = self._settings
         self.targets = _targets.TargetDirectory(
             clock=self._clock, flap_window=settings.membership.flap_window
@@ -96,42 +96,42 @@
             clock=self._clock,
             fleet_size=lambda: len(self._fleet.membership.usable()),
         )
-        self.duties = _owner_duties.OwnerDuties(
+        self.owner_endpoint = _owner_endpoint.OwnerEndpoint(
             daemon=self._fleet.daemon_id,
             owner=self.owner,
-            holdings=self.owners_admission.holdings,
+            held_placements=self.owners_admission.held_placements,
             links=self._fleet.links,
             usable=self._fleet.membership.usable,
             routing=settings.routing,
             clock=self._clock,
         )
-        self.duties.register()
-        self.ownership.on_transfer(self.duties.on_transfer)
+        self.owner_endpoint.register()
+        self.ownership.on_transfer(self.owner_endpoint.on_transfer)
 
     def _build_watch(self) -> None:
         settings = self._settings
         self.connections = _target_client.TargetConnections(
             connect_timeout=settings.limits.connect_timeout,
             clock=self._clock,
-            take_word=self.targets.take_word,
+            handle_report=self.targets.handle_report,
         )
-        self.watch = _target_watch.TargetWatch(
-            owned=self._watched,
+        self.watch = _target_poller.TargetPoller(
+            owned=self._replicas_to_poll,
             targets=self.targets,
             connections=self.connections,
-            signs=self._fleet.membership,
-            report=self._take_engine_report,
+            publisher=self._fleet.membership,
+            report=self._record_engine_report,
             interval=settings.routing.poll_interval,
             clock=self._clock,
         )
-        self.admission: _place.Admission = _policies.admission_of(
+        self.admission: _placement.Admission = _policies.make_admission(
             settings.routing.policy, self
         )
 
     def _build_quotas(self) -> None:
         self.quota_owner = _quota_owner.QuotaOwner(
             team_of=self.rules.team_of,
-            reachable_part=self._fleet.reachable_part,
+            reachable_fraction=self._fleet.reachable_fraction,
             clock=self._clock,
         )
         self.quotas = _quotas.TeamQuotas(
@@ -148,38 +148,41 @@
     ) -> None:
         reply(self.quota_owner.lend(sender, ask))
 
-    def _watched(self) -> list[_ids.ReplicaId]:
+    def _replicas_to_poll(self) -> list[_ids.ReplicaId]:
         if self._settings.routing.policy is _policies.TWO_CHOICES:
             return list(self.targets.target_by_replica)
         return list(self.owner.ledger_by_replica)
 
-    def _take_engine_report(
+    def _record_engine_report(
         self, replica: _ids.ReplicaId, running: int
     ) -> None:
-        self.owner.take_engine_report(replica, running)
-        report = getattr(self.admission, "take_engine_report", None)
+        self.owner.record_engine_report(replica, running)
+        report = getattr(self.admission, "record_engine_report", None)
         if report is not None:
             report(replica, running)
 
     def on_list(self, callback: ListCallback) -> None:
-        """Have a callable called with the targets before and after a list."""
+        """Register a callback for new lists of targets.
+
+        It is called with the previous targets by id, and the new targets.
+        """
         self._list_callbacks.append(callback)
 
     def connect(self) -> None:
-        """Follow what the list, the members and the table say."""
+        """Subscribe to changes of targets, membership and configuration."""
         self._fleet.instances.on_change(self._list_changed)
         self._fleet.membership.on_change(self._members_changed)
-        self._fleet.membership.on_target_fact(self.targets.take_fact)
+        self._fleet.membership.on_target_fact(self.targets.apply_fact)
         self._fleet.membership.on_pause(self._paused)
-        self.targets.on_word(self._tell_leaving)
-        self.targets.on_word(self.owners_admission.tell_backoff)
+        self.targets.on_report(self._publish_leaving)
+        self.targets.on_report(self.owners_admission.report_backoff)
         self._fleet.configuration.on_change(self._configuration_changed)
         self.targets.on_change(self._update_ownership)
 
-    def _tell_leaving(
-        self, target: _targets.Target, word: _target_word.TargetWord
+    def _publish_leaving(
+        self, target: _targets.Target, status: _target_report.TargetReport
     ) -> None:
-        if not word.leaving:
+        if not status.leaving:
             return
         self._fleet.membership.publish_target(
             target.replica,
@@ -188,10 +191,10 @@
         )
 
     def tasks(self) -> list[Callable[[], None]]:
-        """Give what runs for as long as the daemon does."""
+        """Return the functions to run in greenlets until the daemon stops."""
         return [
-            self.duties.renew_forever,
-            self.duties.report_forever,
+            self.owner_endpoint.renew_forever,
+            self.owner_endpoint.report_forever,
             self.watch.run,
             self._renew_quotas,
             self._sweep_connections,
@@ -208,15 +211,16 @@
             self.quotas.renew()
 
     def _list_changed(self) -> None:
-        listed = _listed_targets.targets_of(
+        listed = _listed_targets.targets_from_instances(
             self._fleet.instances.instances_by_id
         )
-        # A daemon that starts finds all of the list new; the fleet does not.
+        # On the first list of a new daemon all targets are new to it, but not
+        # to the fleet.
         if self._fleet.instances.refreshed_at is not None:
             known = self.targets.target_by_replica
-            for target in _listed_targets.news(known, listed):
-                self._fleet.membership.publish_listed(
-                    _listed_targets.listed_fact(target)
+            for target in _listed_targets.changed_targets(known, listed):
+                self._fleet.membership.publish_listed_target(
+                    _listed_targets.fact_from_target(target)
                 )
         before = self.targets.target_by_replica
         self.targets.take_list(listed)
@@ -231,41 +235,41 @@
             for daemon, member in members.items()
             if member.state is messages.FactState.dead
         }
-        for daemon, _ in dead - self._dropped:
+        for daemon, _ in dead - self._dropped_daemons:
             self.owner.drop_daemon(daemon)
             self.quota_owner.drop_daemon(daemon)
-            # Asks that wait in a frozen owner's queue would wait until
-            # their deadline: its connection stays open.
+            # The connection to a frozen owner stays open, so requests in its
+            # queue would otherwise wait until their deadline.
             self._fleet.links.disconnect(daemon)
-        self._dropped = dead
-        self.quota_owner.forget(self._lends)
+        self._dropped_daemons = dead
+        self.quota_owner.drop_unowned(self._is_quota_owner)
         self._update_ownership()
 
-    def _lends(self, team: _ids.TeamName) -> bool:
+    def _is_quota_owner(self, team: _ids.TeamName) -> bool:
         owner = _quotas.owner_of(team, self._fleet.membership.usable())
         return owner == self._fleet.daemon_id
 
     def _update_ownership(self) -> None:
-        """Rank anew, if the daemons or the replicas have changed.
+        """Update ownership if the daemons or the replicas have changed.
 
-        Both come as mappings that are replaced, never changed in place. A
-        lost zone brings hundreds of facts that change neither, and each
-        update looks through 6,100 replicas.
+        Both are mappings that are replaced, never modified in place. The
+        loss of a zone causes hundreds of membership facts that change
+        neither, and each update iterates over 6,100 replicas.
         """
         daemons = self._fleet.membership.usable()
         replicas = self.targets.target_by_replica
-        ranked = (daemons, replicas)
-        if all(new is old for new, old in zip(ranked, self._ranked)):
+        inputs = (daemons, replicas)
+        if all(new is old for new, old in zip(inputs, self._last_inputs)):
             return
-        self._ranked = ranked
+        self._last_inputs = inputs
         self.ownership.update(daemons=daemons, replicas=replicas)
 
     def _paused(self, seconds: float) -> None:
-        _log.warning("this daemon was paused for {s:.1f} s", s=seconds)
-        self.owner.turn_careful()
+        _log.warning("this process was paused for {s:.1f} s", s=seconds)
+        self.owner.mark_counts_uncertain()
 
     def _configuration_changed(self) -> None:
         drains = self.rules.drains()
         if drains != self.targets.drains:
-            self.targets.take_drains(drains)
+            self.targets.set_drains(drains)
         self.owner.refresh_slots()
--- a/src/topazlug/targets/_listed_targets.py
+++ b/src/topazlug/targets/_listed_targets.py
@@ -1,4 +1,4 @@
-"""Targets as the platform's list and peers' facts have them."""
+"""Conversion and comparison of targets from lists and peers' facts."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -14,10 +14,10 @@
 }
 
 
-def targets_of(
+def targets_from_instances(
     instances_by_id: Mapping[str, _instances.Instance],
 ) -> list[_target.Target]:
-    """Pick the targets out of the platform's list of instances."""
+    """Return the targets among the platform's instances."""
     return [
         _target.Target(
             replica=_ids.ReplicaId(instance.id),
@@ -35,8 +35,8 @@
     ]
 
 
-def listed_fact(target: _target.Target) -> messages.Fact:
-    """Give what the list says of a target, as a fact for peers."""
+def fact_from_target(target: _target.Target) -> messages.Fact:
+    """Return a listed target's state as a fact for peers."""
     state = messages.FactState.live
     if target.leaving:
         state = messages.FactState.leaving
@@ -55,7 +55,7 @@
     )
 
 
-def told_target(fact: messages.Fact) -> _target.Target:
+def target_from_fact(fact: messages.Fact) -> _target.Target:
     return _target.Target(
         replica=_ids.ReplicaId(fact.subject),
         kind=(
@@ -77,9 +77,10 @@
     before: Mapping[_ids.ReplicaId, _target.Target],
     after: Iterable[_target.Target],
 ) -> list[_target.Target]:
-    """Give the targets that have started again under the id they had.
+    """Return the targets that have restarted under the same id.
 
-    Any other start counts, not only a later one: their clocks may go back.
+    Any different incarnation counts, not only a greater one: the clocks that
+    incarnations come from may go back.
     """
     return [
         target
@@ -89,15 +90,15 @@
     ]
 
 
-def news(
+def changed_targets(
     before: Mapping[_ids.ReplicaId, _target.Target],
     after: Iterable[_target.Target],
 ) -> list[_target.Target]:
-    """Give the targets that are new, newly started, or newly leaving."""
-    return [target for target in after if _is_news(target, before)]
+    """Return the targets that are new, restarted, or have begun to leave."""
+    return [target for target in after if _is_changed(target, before)]
 
 
-def _is_news(
+def _is_changed(
     target: _target.Target, before: Mapping[_ids.ReplicaId, _target.Target]
 ) -> bool:
     known = before.get(target.replica)
--- a/src/topazlug/targets/_target_wire.py
+++ b/src/topazlug/targets/_target_wire.py
@@ -1,11 +1,11 @@
-"""The names that targets of one kind use on the wire."""
+"""Header conventions between the daemon and one kind of target."""
 
 from typing import Protocol
 from typing import final
 
 from topazlug import _errors
 from topazlug.targets import _target_answer
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 
 REQUEST_ID = "X-Request-Id"
 NOT_RUN = "X-Not-Run"
@@ -14,47 +14,47 @@
 
 
 class TargetWire(Protocol):
-    """The names that targets of one kind use.
+    """Header conventions of one kind of target.
 
     Attributes
     ----------
     id_header : str
-        Header that names a request; targets echo it.
+        Header with the request's id, which targets echo.
     repeats_answers : bool
-        Whether a target may answer a request a second time, before it
-        answers the connection's next one.
+        Whether a target may answer a request a second time before it
+        answers the next one on the same connection.
     """
 
     id_header: str
     repeats_answers: bool
 
-    def refusal(
+    def rejection(
         self, answer: _target_answer.TargetAnswer
     ) -> _errors.TargetRefused | None:
-        """Give the error for an answer that says "did not run"."""
+        """Return the error if the target rejected the request, else None."""
 
-    def word(
+    def report(
         self, answer: _target_answer.TargetAnswer
-    ) -> _target_word.TargetWord:
-        """Give what an answer says of the target that was asked."""
+    ) -> _target_report.TargetReport:
+        """Return the target's report on its own state."""
 
     def idle_seconds(
         self, answer: _target_answer.TargetAnswer
     ) -> float | None:
-        """Give how long the target keeps an idle connection, if it says."""
+        """Return for how long the target keeps idle connections, if known."""
 
 
 @final
 class ProductWire:
-    """The names of the project's own interface to targets."""
+    """Header conventions of the project's own interface to targets."""
 
     id_header = REQUEST_ID
     repeats_answers = False
 
-    def refusal(
+    def rejection(
         self, answer: _target_answer.TargetAnswer
     ) -> _errors.TargetRefused | None:
-        """Give the error for an answer that says "did not run"."""
+        """Return the error if the target rejected the request, else None."""
         if answer.status != 503 or answer.header(NOT_RUN) != "true":
             return None
         leaving = _LEAVING in answer.header_values(TARGET_STATE)
@@ -63,19 +63,19 @@
             retry_after=1.0,
         )
 
-    def word(
+    def report(
         self, answer: _target_answer.TargetAnswer
-    ) -> _target_word.TargetWord:
-        """Give what an answer says of the target that was asked."""
-        return _target_word.TargetWord(
+    ) -> _target_report.TargetReport:
+        """Return the target's report on its own state."""
+        return _target_report.TargetReport(
             leaving=_LEAVING in answer.header_values(TARGET_STATE),
-            backoff=_target_word.backoff_of(
-                answer.status, answer.header_values(_target_word.RETRY_AFTER)
+            backoff=_target_report.parse_backoff(
+                answer.status, answer.header_values(_target_report.RETRY_AFTER)
             ),
         )
 
     def idle_seconds(
         self, answer: _target_answer.TargetAnswer
     ) -> float | None:
-        """Give None: these targets don't say."""
+        """Return None, as these targets don't report it."""
         return None
