--- a/tests/topazlug/claim_fakes.py
+++ b/tests/topazlug/claim_fakes.py
@@ -1,4 +1,4 @@
-"""Clock, table service and object store that tests of claims decide on."""
+"""Clock, table service and object store controlled by tests of claims."""
 
 import collections
 from collections.abc import Callable
@@ -23,11 +23,11 @@
 
 
 class Fault(enum.Enum):
-    """What becomes of one call of the store.
+    """How one call to the store fails.
 
-    A lost answer comes after the effect, a lost request has none, and a
-    late one has its effect when the test says `land`. A held call waits for
-    the event `go_on`.
+    ANSWER_LOST fails after the effect, REQUEST_LOST without it. A LATE call
+    fails at once and takes effect in `apply_late_writes`. A BLOCKED call
+    waits for the event `unblocked`.
     """
 
     NONE = enum.auto()
@@ -36,12 +36,12 @@
     REQUEST_LOST = enum.auto()
     LATE = enum.auto()
     DELAYED = enum.auto()
-    HELD = enum.auto()
+    BLOCKED = enum.auto()
 
 
 @final
 class FakeClock:
-    """Time that passes only by `sleep` and `advance`."""
+    """A clock that advances only by `sleep` and `advance`."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -62,14 +62,14 @@
 
 @final
 class FakeStore:
-    """Table service in memory; versions start anew after a delete."""
+    """Table service in memory; versions restart after a delete."""
 
     def __init__(self) -> None:
         self.row_by_key: dict[str, _table_client.Row] = {}
         self.transact_faults: collections.deque[Fault] = collections.deque()
         self.read_faults: collections.deque[Fault] = collections.deque()
         self.batch_sizes: list[int] = []
-        self.go_on = event.Event()
+        self.unblocked = event.Event()
         self._late: list[Callable[[], object]] = []
 
     def read(self, table, key):
@@ -98,16 +98,16 @@
         if fault is Fault.DELAYED:
             for _ in range(10):
                 gevent.sleep(0)
-        if fault is Fault.HELD:
-            self.go_on.wait()
+        if fault is Fault.BLOCKED:
+            self.unblocked.wait()
         versions = self._apply(conditions, puts, deletes)
         gevent.sleep(0)
         if fault is Fault.ANSWER_LOST:
             raise _errors.StoreAmbiguous("answer lost")
         return versions
 
-    def land(self) -> None:
-        """Let late writes have their effect, if their conditions hold."""
+    def apply_late_writes(self) -> None:
+        """Apply late writes whose conditions hold."""
         late, self._late = self._late, []
         for apply in late:
             try:
@@ -116,16 +116,16 @@
                 pass
 
     def claim_row(self, key: str = ROW_KEY) -> _claim_rows.ClaimRow | None:
-        """Give the claim under a row key."""
+        """Return the claim at a row key."""
         row = self.row_by_key.get(key)
-        return None if row is None else _claim_rows.row_of(row.value)
+        return None if row is None else _claim_rows.parse_row(row.value)
 
     def _apply(self, conditions, puts, deletes):
-        current = [self._current(asked) for asked in conditions]
+        current = [self._current(condition) for condition in conditions]
         failed = [
             row
-            for row, asked in zip(current, conditions)
-            if row.version != asked.version
+            for row, condition in zip(current, conditions)
+            if row.version != condition.version
         ]
         if failed:
             raise _table_client.TransactionConflict(failed)
@@ -140,11 +140,11 @@
             self.row_by_key.pop(delete.key, None)
         return versions
 
-    def _current(self, named) -> _table_client.Row:
+    def _current(self, operation) -> _table_client.Row:
         absent = _table_client.Row(
-            table=named.table, key=named.key, version=0, value=None
+            table=operation.table, key=operation.key, version=0, value=None
         )
-        return self.row_by_key.get(named.key, absent)
+        return self.row_by_key.get(operation.key, absent)
 
 
 @final
@@ -166,9 +166,11 @@
         return self.data_by_key.get(key)
 
 
-def make_keeper(store, *, objects=None, clock=None, name="d1", **options):
-    """Make a ClaimKeeper of daemon `name` over fakes."""
-    return _claims.ClaimKeeper(
+def make_claim_manager(
+    store, *, objects=None, clock=None, name="d1", **options
+):
+    """Return a ClaimManager of daemon `name` that uses fakes."""
+    return _claims.ClaimManager(
         store=store,
         objects=objects or FakeObjects(),
         daemon_id=_ids.DaemonId(name),
@@ -180,10 +182,10 @@
 
 
 def claim(
-    keeper, *, key="k", fingerprint=FINGERPRINT, deadline=1000.0, team=TEAM
+    manager, *, key="k", fingerprint=FINGERPRINT, deadline=1000.0, team=TEAM
 ):
-    """Claim with the values that most tests share."""
-    return keeper.claim(
+    """Claim a request with default values."""
+    return manager.claim(
         team=team,
         service=SERVICE,
         key=key,
@@ -192,13 +194,13 @@
     )
 
 
-def crash(keeper) -> None:
-    """Kill all that a daemon's keeper has running."""
-    worker = keeper._committer._worker
+def crash(manager) -> None:
+    """Kill all greenlets that a daemon's keeper has running."""
+    worker = manager._committer._worker
     if worker is not None:
         worker.kill()
-    keeper._settler._jobs.kill()
-    keeper._settler._admits = lambda held: False
+    manager._finalizer._jobs.kill()
+    manager._finalizer._accepts = lambda held: False
 
 
 def _next(faults: collections.deque[Fault]) -> Fault:
--- a/tests/topazlug/fleet_fakes.py
+++ b/tests/topazlug/fleet_fakes.py
@@ -1,4 +1,4 @@
-"""Daemons that admit, with streams between them as plain calls."""
+"""Daemons that admit requests, with plain calls in place of streams."""
 
 from typing import Any
 from typing import final
@@ -14,14 +14,14 @@
 
 @final
 class FakeFleet:
-    """Entry and owner roles of some daemons, with messages as plain calls.
+    """Entry and owner roles of several daemons; messages are plain calls.
 
     Attributes
     ----------
-    silent : set
-        Daemons that take bytes and never answer.
-    lost : set
-        Types of one-way messages that get lost.
+    unresponsive : set
+        Daemons that accept messages and never answer.
+    dropped_types : set
+        Types of one-way messages that are dropped.
     """
 
     def __init__(
@@ -33,8 +33,8 @@
         **routing: Any,
     ) -> None:
         self.clock = claim_fakes.FakeClock()
-        self.silent: set[str] = set()
-        self.lost: set[type] = set()
+        self.unresponsive: set[str] = set()
+        self.dropped_types: set[type] = set()
         self.entry_by_name = {
             name: routing_fixtures.Entry(
                 name,
@@ -49,7 +49,7 @@
         }
 
     def owned_load(self) -> int:
-        """Give the load that all owners count."""
+        """Return the total load that the owners count."""
         return sum(
             ledger.load
             for entry in self.entry_by_name.values()
@@ -64,7 +64,7 @@
 
     def call(self, to, message, *, timeout):
         replies: list[Any] = []
-        if to not in self._fleet.silent:
+        if to not in self._fleet.unresponsive:
             owner = self._fleet.entry_by_name[to].owner
             if isinstance(message, messages.Renew):
                 owner.renew(self._sender, message)
@@ -79,7 +79,10 @@
         return False
 
     def send(self, to, message):
-        if to in self._fleet.silent or type(message) in self._fleet.lost:
+        if (
+            to in self._fleet.unresponsive
+            or type(message) in self._fleet.dropped_types
+        ):
             return
         owner = self._fleet.entry_by_name[to].owner
         if isinstance(message, messages.Release):
@@ -87,6 +90,6 @@
         elif isinstance(message, messages.Renew):
             owner.renew(self._sender, message)
         elif isinstance(message, messages.Backoff):
-            owner.note_backoff(self._sender, message)
+            owner.record_backoff(self._sender, message)
         else:
-            owner.displaced.note(message)
+            owner.displaced.record(message)
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -1,9 +1,9 @@
-"""The request path of one daemon in this process, and targets for it.
+"""The request path of one daemon, run in the test process, and its targets.
 
-The listener, the calls, the attempts, the admission with its owner and the
-connections are the daemon's own; only membership and the platform are
-fakes. Engines and services are the stand-ins, in this process too, so a
-test sets their faults and reads their journals directly.
+The listener, calls, attempts, admission, owner and connections are the real
+ones; only membership and the platform are fakes. Engines and services are the
+stand-ins and run in the test process too, so that tests can set their faults
+and read their journals directly.
 """
 
 import collections
@@ -31,7 +31,7 @@
 from topazlug.callers import _caller_server
 from topazlug.callers import _callers
 from topazlug.calls import _attempts
-from topazlug.calls import _call_parts
+from topazlug.calls import _call_assembly
 from topazlug.calls import _chat_calls
 from topazlug.calls import _retry_budget
 from topazlug.calls import _service_calls
@@ -41,19 +41,19 @@
 from topazlug.routing import _admission
 from topazlug.routing import _owner
 from topazlug.routing import _ownership
-from topazlug.routing import _place
+from topazlug.routing import _placement
 from topazlug.routing import _ranking
 from topazlug.targets import _target_client
-from topazlug.targets import _target_word
+from topazlug.targets import _target_report
 from topazlug.targets import _targets
 from topazlug.telemetry import _metrics
 
 HOST = wire_fixtures.HOST
 KEY = wire_fixtures.KEY
-ME = _ids.DaemonId("d1")
+DAEMON = _ids.DaemonId("d1")
 POOL = _ids.GroupName("pool")
 SERVICE = _ids.GroupName("letters")
-CHAT = "/v1/chat/completions"
+CHAT_PATH = "/v1/chat/completions"
 ROWS = {
     "teams": [
         {"name": "acme", "keys": [{"hash": _tokens.hash_of(KEY)}]},
@@ -70,14 +70,17 @@
 
 
 def wait_until(condition: Callable[[], bool], what: str = "condition") -> None:
-    """Wait until something holds; far beyond any load of the machine."""
-    with gevent.Timeout(20, AssertionError(f"never came: {what}")):
+    """Wait until a condition is true.
+
+    The timeout is long enough for a heavily loaded machine.
+    """
+    with gevent.Timeout(20, AssertionError(f"timed out waiting for: {what}")):
         while not condition():
             gevent.sleep(0.002)
 
 
 class QuickClock:
-    """The machine's clock, but pauses between repeats are short."""
+    """The system clock, with sleeps limited to 2 ms."""
 
     def __init__(self) -> None:
         self.now = _clock.SystemClock().now
@@ -87,41 +90,41 @@
         gevent.sleep(min(seconds, 0.002))
 
 
-class Signs:
-    """Keeps which targets said that they are leaving."""
+class LeavingRecorder:
+    """Records the targets that reported that they are leaving."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.replicas: list[str] = []
 
-    def take_word(
-        self, target: _targets.Target, word: _target_word.TargetWord
+    def handle_report(
+        self, target: _targets.Target, status: _target_report.TargetReport
     ) -> None:
-        if word.leaving:
-            self.told.append(target.replica)
+        if status.leaving:
+            self.replicas.append(target.replica)
 
 
-class Tickets:
-    """Grants every ticket and counts those that are out."""
+class FakeQuotas:
+    """Grants every ticket and counts the outstanding ones."""
 
     def __init__(self) -> None:
-        self.out = 0
+        self.outstanding = 0
 
-    def take(self, team, *, deadline):
-        self.out += 1
+    def acquire(self, team, *, deadline):
+        self.outstanding += 1
         return _Ticket(self)
 
 
 class _Ticket:
-    def __init__(self, tickets: Tickets) -> None:
-        self._tickets = [tickets]
+    def __init__(self, quotas: FakeQuotas) -> None:
+        self._quotas = [quotas]
 
-    def give_back(self) -> None:
-        while self._tickets:
-            self._tickets.pop().out -= 1
+    def release(self) -> None:
+        while self._quotas:
+            self._quotas.pop().outstanding -= 1
 
 
 class NoLinks:
-    """A fleet of one: there is no peer to talk to."""
+    """Connections of a fleet of one daemon: every peer is unreachable."""
 
     def send(self, to, message):
         raise _errors.PeerUnreachable(to)
@@ -134,7 +137,7 @@
 
 
 def table_holder(rows: Any = None) -> _configuration.ConfigurationHolder:
-    """Make a holder with a table in force."""
+    """Return a configuration holder with a table applied."""
     holder = _configuration.ConfigurationHolder()
     changes = [
         messages.RowChange(
@@ -158,7 +161,7 @@
     incarnation: int = 1,
     leaving: bool = False,
 ) -> _targets.Target:
-    """Make a target as the platform lists it."""
+    """Return a target as the platform lists it."""
     return _targets.Target(
         replica=_ids.ReplicaId(replica),
         kind=_targets.TargetKind.ENGINE,
@@ -172,8 +175,8 @@
     )
 
 
-def dead(replica: str) -> messages.Fact:
-    """Give the fact that a replica is dead."""
+def dead_fact(replica: str) -> messages.Fact:
+    """Return the fact that a replica is dead."""
     return messages.Fact(
         kind=messages.FactKind.target,
         subject=replica,
@@ -183,9 +186,9 @@
     )
 
 
-def place_request(**changes: Any) -> _place.PlaceRequest:
-    """Make a request for a place, with the values most tests share."""
-    request = _place.PlaceRequest(
+def placement_request(**changes: Any) -> _placement.PlacementRequest:
+    """Return a placement request with common values."""
+    request = _placement.PlacementRequest(
         group=POOL,
         chat=_ranking.chat_hash("c"),
         team=_ids.TeamName("acme"),
@@ -198,7 +201,7 @@
 
 @final
 class Entry:
-    """One daemon's entry and owner roles over fake links."""
+    """One daemon's entry and owner roles over given connections."""
 
     def __init__(
         self,
@@ -228,7 +231,7 @@
             routing=routing,
             clock=clock,
         )
-        self.ownership.on_transfer(self.owner.transfer)
+        self.ownership.on_transfer(self.owner.apply_transfers)
         self.ownership.update(
             daemons=daemons, replicas=self.targets.target_by_replica
         )
@@ -255,22 +258,26 @@
         self.servers: list[Any] = []
         self.store = claim_fakes.FakeStore()
         self.budget = _retry_budget.RetryBudget(ratio=1.0)
-        self.signs = Signs()
-        self.retried: list[_place.PlaceRequest] = []
-        self.quotas = Tickets()
+        self.leaving_targets = LeavingRecorder()
+        self.retried: list[_placement.PlacementRequest] = []
+        self.quotas = FakeQuotas()
         self.clock = _clock.SystemClock()
         self.entry = Entry(
-            ME, targets=[], daemons=[ME], clock=self.clock, links=NoLinks()
+            DAEMON,
+            targets=[],
+            daemons=[DAEMON],
+            clock=self.clock,
+            links=NoLinks(),
         )
         self.limits = _settings_types.LimitSettings(**limits)
-        self.entry.targets.on_word(self.signs.take_word)
+        self.entry.targets.on_report(self.leaving_targets.handle_report)
         self.connections = _target_client.TargetConnections(
             connect_timeout=1.0,
             clock=self.clock,
-            take_word=self.entry.targets.take_word,
+            handle_report=self.entry.targets.handle_report,
         )
         self.guard = _crash_guard.CrashGuard(
-            daemon=ME,
+            daemon=DAEMON,
             runs=self.connections.runs,
             targets=self.entry.targets,
             clock=self.clock,
@@ -293,8 +300,10 @@
             clock=self.clock,
             count_retry=self.retried.append,
         )
-        metrics = _metrics.Metrics(_settings_types.MetricsSettings(), ME, "z1")
-        parts = _call_parts.CallParts(
+        metrics = _metrics.Metrics(
+            _settings_types.MetricsSettings(), DAEMON, "z1"
+        )
+        assembly = _call_assembly.CallAssembly(
             attempts=attempts,
             admission=admission,
             connections=self.connections,
@@ -304,10 +313,12 @@
             guard=self.guard,
             clock=self.clock,
         )
-        claims = claim_fakes.make_keeper(self.store, clock=QuickClock())
+        claims = claim_fakes.make_claim_manager(self.store, clock=QuickClock())
         return _callers.CallersApp(
-            chats=_chat_calls.ChatCalls(parts=parts, spawn=gevent.spawn),
-            services=_service_calls.ServiceCalls(parts=parts, claims=claims),
+            chats=_chat_calls.ChatCalls(assembly=assembly, spawn=gevent.spawn),
+            services=_service_calls.ServiceCalls(
+                assembly=assembly, claims=claims
+            ),
             configuration=table_holder(),
             limits=self.limits,
             metrics=metrics,
@@ -316,15 +327,15 @@
 
     @property
     def port(self) -> int:
-        """Give the port that callers use."""
+        """Port of the callers' listener."""
         return self.server.server_port
 
     def list_target(self, replica: str, port: int, **changes: Any) -> None:
-        """Put a target on the list."""
+        """Add a target to the list of targets."""
         self.listed.append(target(replica, port=port, **changes))
         self.entry.targets.take_list(self.listed)
         self.entry.ownership.update(
-            daemons=[ME], replicas=self.entry.targets.target_by_replica
+            daemons=[DAEMON], replicas=self.entry.targets.target_by_replica
         )
 
     def engine(self, name: str, **changes: Any) -> _engine.Engine:
@@ -370,25 +381,25 @@
     def scripted(
         self, name: str, script: Callable[[Any], None], **changes: Any
     ) -> None:
-        """Start a target that does what a function does with a socket."""
+        """Start a target whose connections are handled by a function."""
         server = wire_fixtures.scripted_server(script)
         self.servers.append(server)
         self.list_target(name, server.server_port, **changes)
 
-    def held(self) -> int:
-        """Give the places that the owner counts."""
+    def held_load(self) -> int:
+        """Return the load that the owner counts."""
         ledgers = self.entry.owner.ledger_by_replica.values()
         return sum(ledger.load for ledger in ledgers)
 
     def wait_idle(self) -> None:
-        """Wait until no request runs and no place is in use."""
-        wait_until(lambda: not self.app.in_progress, "all requests ended")
-        wait_until(lambda: not self.held(), "all places given back")
-        assert not self.entry.admission.holdings.place_by_ask
-        assert not self.quotas.out
+        """Wait until no request runs and no placement is held."""
+        wait_until(lambda: not self.app.in_progress, "end of all requests")
+        wait_until(lambda: not self.held_load(), "release of all placements")
+        assert not self.entry.admission.held_placements.placement_by_ask
+        assert not self.quotas.outstanding
 
     def connect(self) -> socket.socket:
-        """Open a connection as a caller."""
+        """Open a connection to the callers' listener."""
         return socket.create_connection((HOST, self.port), 20)
 
     def send(
@@ -400,7 +411,7 @@
         body: bytes = b"",
         key: str = KEY,
     ) -> wire_fixtures.Answer:
-        """Send a request on a connection of its own; give the answer."""
+        """Send a request on a new connection and return the response."""
         with self.connect() as sock:
             sock.sendall(
                 wire_fixtures.raw_request(
@@ -412,18 +423,18 @@
     def chat(
         self, question: str, *, stream: bool = False, **options: Any
     ) -> wire_fixtures.Answer:
-        """Send one chat request."""
+        """Send one chat request and return the response."""
         headers = options.pop("headers", ())
         body = wire_fixtures.chat_body(question, stream=stream, **options)
-        return self.send("POST", CHAT, headers=headers, body=body)
+        return self.send("POST", CHAT_PATH, headers=headers, body=body)
 
     def stop(self) -> None:
-        """End the listener and all targets."""
+        """Stop the listener and all targets."""
         for server in self.servers:
             server.stop(timeout=0)
         self.connections.close()
 
 
 def journal_events(engine: _engine.Engine) -> collections.Counter[str]:
-    """Count an engine's journal by event."""
+    """Return the number of entries of an engine's journal, by event."""
     return collections.Counter(entry.event for entry in engine.journal)
--- a/tests/topazlug_platform/test_boot_file.py
+++ b/tests/topazlug_platform/test_boot_file.py
@@ -57,8 +57,8 @@
         assert not options.relays
         assert options.retry_extra == 58
         assert options.max_connections == 1950
-        assert options.news.own_wait == pytest.approx(1.6)
-        assert options.news.vouched < options.news.in_force
+        assert options.news.direct_wait == pytest.approx(1.6)
+        assert options.news.validity < options.news.in_force
 
     @pytest.mark.parametrize(
         "changes, named",
@@ -117,10 +117,10 @@
         return program.Program(path=path, clock=_clock.SystemClock())
 
     def test_bounds_that_changed_are_in_force(self, made, tmp_path):
-        assert not made.daemon.budget.has_left("engines")
+        assert not made.daemon.budget.can_retry("engines")
         write(tmp_path, **RELOADED)
         made.reload()
-        assert made.daemon.budget.has_left("engines")
+        assert made.daemon.budget.can_retry("engines")
 
     def test_bad_file_leaves_the_last_in_force(self, made, tmp_path):
         """Symptom: a daemon ends when its settings file is half written."""
@@ -128,4 +128,4 @@
         made.reload()
         (tmp_path / "boot.json").write_text('{"node_name": ')
         made.reload()
-        assert made.daemon.budget.has_left("engines")
+        assert made.daemon.budget.can_retry("engines")
