--- a/src/topazlug/callers/_caller_answer.py
+++ b/src/topazlug/callers/_caller_answer.py
@@ -28,7 +28,7 @@
     body: Iterator[bytes]
 
 
-def started(pieces: Iterator[bytes]) -> Iterator[bytes]:
+def prime(pieces: Iterator[bytes]) -> Iterator[bytes]:
     """Run a generator up to its first piece, which must be empty.
 
     Closing a generator that was never started skips its ``finally``. An
--- a/src/topazlug/callers/_caller_request.py
+++ b/src/topazlug/callers/_caller_request.py
@@ -130,12 +130,12 @@
             ) from None
         return chosen is table.RequestClass.batch
 
-    def read_deadline(self, *, longest: float | None = None) -> None:
+    def read_deadline(self, *, max_seconds: float | None = None) -> None:
         """Take the deadline that the caller names.
 
         Parameters
         ----------
-        longest : float or None
+        max_seconds : float or None
             Seconds that the row allows at most.
 
         Raises
@@ -148,8 +148,8 @@
         named = self.header("X-Request-Timeout")
         if named:
             seconds = min(_seconds(named), allowed)
-        if longest is not None:
-            seconds = min(seconds, longest)
+        if max_seconds is not None:
+            seconds = min(seconds, max_seconds)
         self.deadline = self.started + seconds
 
     def remaining(self) -> float:
--- a/src/topazlug/callers/_caller_server.py
+++ b/src/topazlug/callers/_caller_server.py
@@ -56,7 +56,7 @@
         """Give the number of open connections."""
         return len(self.pool) if self.pool is not None else 0
 
-    def end_idle(self) -> None:
+    def close_idle(self) -> None:
         """Close the connections that wait for a next request.
 
         Only their reading side is shut: a request that has just arrived is
--- a/src/topazlug/callers/_caller_watch.py
+++ b/src/topazlug/callers/_caller_watch.py
@@ -23,7 +23,7 @@
 
 
 @contextlib.contextmanager
-def watched(connection: Any) -> Iterator[None]:
+def cancel_on_disconnect(connection: Any) -> Iterator[None]:
     """Stop what this greenlet does when the caller hangs up.
 
     Parameters
@@ -37,8 +37,8 @@
         The caller hung up.
     """
     here = gevent.getcurrent()
-    left = CallerLeft("the caller hung up before its answer began")
-    watch = CallerWatch(connection, left=lambda: here.throw(left))
+    error = CallerLeft("the caller hung up before its answer began")
+    watch = CallerWatch(connection, on_disconnect=lambda: here.throw(error))
     try:
         yield
     finally:
@@ -57,13 +57,15 @@
     ----------
     connection : socket or None
         The caller's connection.
-    left : callable
+    on_disconnect : callable
         Called in the hub, which it must not block.
     """
 
-    def __init__(self, connection: Any, *, left: Callable[[], None]) -> None:
+    def __init__(
+        self, connection: Any, *, on_disconnect: Callable[[], None]
+    ) -> None:
         self._connection = connection
-        self._left = left
+        self._on_disconnect = on_disconnect
         self._watcher = None
         if connection is None or isinstance(connection, ssl.SSLSocket):
             return
@@ -83,7 +85,7 @@
         # they are, and from now on the socket is always readable.
         self.stop()
         if not data:
-            self._left()
+            self._on_disconnect()
 
     def stop(self) -> None:
         """Stop watching; must come before the socket is used or closed."""
--- a/src/topazlug/calls/_chat_calls.py
+++ b/src/topazlug/calls/_chat_calls.py
@@ -117,7 +117,7 @@
             deadline=request.deadline,
             returning=call.returning,
         )
-        with _caller_watch.watched(request.socket):
+        with _caller_watch.cancel_on_disconnect(request.socket):
             with _logs.request_fields(chat=call.chat_name):
                 return self._run(call, placement_request)
 
@@ -224,7 +224,7 @@
             raise
         self._observe_first_token(call, answer)
         watch = _caller_watch.CallerWatch(
-            call.request.socket, left=stream.caller_left
+            call.request.socket, on_disconnect=stream.caller_left
         )
         body = self._relay(
             call, placement, ticket, stream, watch, first, pieces
@@ -232,7 +232,7 @@
         return _caller_answer.CallerAnswer(
             status=200,
             headers=_caller_headers(call, placement, answer),
-            body=_caller_answer.started(body),
+            body=_caller_answer.prime(body),
         )
 
     def _relay(
--- a/src/topazlug/calls/_service_calls.py
+++ b/src/topazlug/calls/_service_calls.py
@@ -97,7 +97,7 @@
             The call failed before anything was sent to the caller.
         """
         row, path = _route(request, caller, snapshot)
-        request.read_deadline(longest=row.deadline)
+        request.read_deadline(max_seconds=row.deadline)
         body = request.read_body()
         call = _Call(
             request=request,
@@ -267,7 +267,7 @@
             )
             body: Iterator[bytes] = iter(head)
         else:
-            body = _caller_answer.started(
+            body = _caller_answer.prime(
                 self._relay_rest(call, placement, answer, head, chunks, ticket)
             )
         return _caller_answer.CallerAnswer(
--- a/src/topazlug/forwarding/_app.py
+++ b/src/topazlug/forwarding/_app.py
@@ -143,16 +143,18 @@
             )
         path = environ[_caller_request.RAW_PATH]
         host = environ.get("HTTP_HOST", "")
-        route = table.route_of(host, path)
-        team = table.team_of(route, head.key)
-        patience = (
-            _DEFAULT_PATIENCE if head.patience is None else head.patience
+        route = table.find_route(host, path)
+        team = table.find_team(route, head.key)
+        caller_timeout = (
+            _DEFAULT_PATIENCE
+            if head.caller_timeout is None
+            else head.caller_timeout
         )
-        patience = min(patience, route.timeout)
+        caller_timeout = min(caller_timeout, route.timeout)
         body = _caller_request.read_body(
             environ,
             limit=table.bounds.max_body_bytes,
-            timeout=min(_BODY_SECONDS, patience),
+            timeout=min(_BODY_SECONDS, caller_timeout),
         )
         chat = _call.chat_of(head)
         return _call.ForwardedCall(
@@ -166,7 +168,7 @@
             rank=table.rank_of(route, team),
             chat=chat,
             started=started,
-            deadline=started + patience,
+            deadline=started + caller_timeout,
             socket=environ.get(_caller_request.SOCKET),
             fingerprint=_fingerprint.fingerprint(
                 method=environ["REQUEST_METHOD"],
--- a/src/topazlug/forwarding/_call.py
+++ b/src/topazlug/forwarding/_call.py
@@ -89,7 +89,7 @@
             rank=-1 if is_resumed else self.rank,
             prompt=prompt_of(self.head),
             shared_tokens=sum(part.tokens for part in self.head.parts[:-1]),
-            latency_objective=self.route.objective,
+            latency_objective=self.route.latency_objective,
         )
 
 
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -19,9 +19,9 @@
 from topazlug.forwarding import _crash_parts
 from topazlug.forwarding import _forwarder_parts
 from topazlug.forwarding import _gauges
+from topazlug.forwarding import _graceful_stop
 from topazlug.forwarding import _measures
 from topazlug.forwarding import _options
-from topazlug.forwarding import _planned_stop
 from topazlug.forwarding import _probes
 from topazlug.forwarding import _start_gate
 from topazlug.forwarding import _table
@@ -115,7 +115,7 @@
         )
         self.replicas = _replica_list.ReplicaList(
             on_change=self._take_replicas,
-            unreachable=options.news.unreachable,
+            unreachable=options.staleness_bounds.unreachable,
             clock=clock,
         )
         self._admission = _owner_admission.OwnerAdmission(
@@ -133,7 +133,7 @@
                 daemon=options.daemon,
                 address=options.peers,
                 relays=options.relays,
-                news=options.news,
+                news=options.staleness_bounds,
                 first_start=options.first_start,
             ),
             new_store=new_store,
@@ -201,7 +201,7 @@
             options=options, is_ready=self.is_ready, metrics=self.metrics
         )
 
-    def take_table(self, table: _table.RoutingTable) -> None:
+    def update_table(self, table: _table.RoutingTable) -> None:
         """Put a newer routing table in force."""
         if not self.tables.take(table):
             _log.warning(
@@ -216,7 +216,7 @@
         self._callers.idle_seconds = table.bounds.idle_timeout
         _log.info("table {version} is in force", version=table.version)
 
-    def take_drained_zones(self, zones: frozenset[str]) -> None:
+    def update_drained_zones(self, zones: frozenset[str]) -> None:
         """Send nothing new to the replicas of these zones, and no others."""
         before = self.targets.drains.zones
         if zones == before:
@@ -369,7 +369,7 @@
             return
         self._stopping = True
         _log.info("stopping; {n} in progress", n=self._app.in_progress)
-        stop = _planned_stop.PlannedStop(
+        stop = _graceful_stop.GracefulStop(
             callers=self._callers,
             in_progress=lambda: self._app.in_progress,
             clock=self._clock,
--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -202,7 +202,7 @@
     def pieces(self, first: bytes) -> Iterator[bytes]:
         """Give what goes to the caller; an exception cuts it off."""
         watch = _caller_watch.CallerWatch(
-            self._call.socket, left=self._caller_left
+            self._call.socket, on_disconnect=self._caller_left
         )
         failed = True
         try:
@@ -270,7 +270,7 @@
         left = max(0.0, self._call.deadline - self._clock.monotonic())
         if not self._may_go_on():
             return left
-        return min(left, _SILENT_PAUSES * self._call.route.longest_pause)
+        return min(left, _SILENT_PAUSES * self._call.route.max_pause)
 
     def _may_go_on(self) -> bool:
         route = self._call.route
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -152,8 +152,8 @@
         source = None
         if call.route.has_context and self._copies:
             source = self._contexts.source(call.chat, place.target)
-        sending = _wire.Sending(
-            left=call.deadline - self._clock.monotonic(),
+        metadata = _wire.AttemptMetadata(
+            remaining_seconds=call.deadline - self._clock.monotonic(),
             replica=place.target.replica,
             team=call.team.name if call.team else None,
             is_generation=call.route.has_context,
@@ -164,7 +164,7 @@
         return _target_client.TargetRequest(
             method=call.method,
             path=call.target,
-            headers=self._wire.encode(call.head, sending),
+            headers=self._wire.encode(call.head, metadata),
             body=call.body,
             request_id=call.head.attempt,
             fingerprint=call.fingerprint,
--- a/src/topazlug/forwarding/_forwarder.py
+++ b/src/topazlug/forwarding/_forwarder.py
@@ -118,7 +118,7 @@
         self._guard.check(call.fingerprint)
         tried: list[_placement.Placement] = []
         attempt = functools.partial(self._attempt, call, tried)
-        with _caller_watch.watched(call.socket):
+        with _caller_watch.cancel_on_disconnect(call.socket):
             try:
                 return self._attempts.run(
                     call.place_request(),
@@ -179,7 +179,7 @@
             return left
         usual = self._views.of_incarnation(place.target).latency
         late = max(
-            _SECOND_TRY_OBJECTIVES * route.objective,
+            _SECOND_TRY_OBJECTIVES * route.latency_objective,
             _SECOND_TRY_LATENCIES * usual,
         )
         return late if late < left / 2 else left
@@ -215,7 +215,9 @@
         head: bytes,
         chunks: Iterator[bytes],
     ) -> _caller_answer.CallerAnswer:
-        watch = _caller_watch.CallerWatch(call.socket, left=answer.abort)
+        watch = _caller_watch.CallerWatch(
+            call.socket, on_disconnect=answer.abort
+        )
 
         def pieces() -> Iterator[bytes]:
             with contextlib.ExitStack() as stack:
@@ -229,7 +231,7 @@
         return _caller_answer.CallerAnswer(
             status=answer.status,
             headers=caller_fields(answer, keep_length=True),
-            body=_caller_answer.started(pieces()),
+            body=_caller_answer.prime(pieces()),
         )
 
     def _stream(
@@ -258,7 +260,7 @@
         return _caller_answer.CallerAnswer(
             status=answer.status,
             headers=caller_fields(answer, keep_length=False),
-            body=_caller_answer.started(relay.pieces(first)),
+            body=_caller_answer.prime(relay.pieces(first)),
         )
 
 
--- a/src/topazlug/forwarding/_planned_stop.py
+++ b/src/topazlug/forwarding/_graceful_stop.py
@@ -8,7 +8,7 @@
 
 # A balancer asks each second and takes a daemon out after two misses; until
 # then new callers come, and a closed listener would reset them.
-_STILL_FOUND_SECONDS = 2.6
+_READINESS_PROPAGATION_SECONDS = 2.6
 # Time before the platform's own limit at which a stop ends all the same.
 _STOP_MARGIN_SECONDS = 0.4
 _QUIET_SECONDS = 0.3
@@ -16,7 +16,7 @@
 
 
 @final
-class PlannedStop:
+class GracefulStop:
     """Ends a daemon's listener when its last request has ended.
 
     The daemon says that it is not ready and still serves whoever comes,
@@ -48,19 +48,19 @@
         """Stop within so many seconds, whatever is in progress then."""
         end = self._clock.monotonic() + seconds - _STOP_MARGIN_SECONDS
         self._callers.stopping = True
-        self._clock.sleep(_STILL_FOUND_SECONDS)
+        self._clock.sleep(_READINESS_PROPAGATION_SECONDS)
         self._callers.stop_accepting()
         while accepted := self._callers.do_read():
             self._callers.do_handle(*accepted)
         self._callers.close()
-        self._callers.end_idle()
+        self._callers.close_idle()
         self._wait_until_quiet(end)
 
     def _wait_until_quiet(self, end: float) -> None:
         quiet_since: float | None = None
         while self._clock.monotonic() < end:
             now = self._clock.monotonic()
-            self._callers.end_idle()
+            self._callers.close_idle()
             if self._in_progress() or self._callers.connections:
                 quiet_since = None
             elif quiet_since is None:
--- a/src/topazlug/forwarding/_options.py
+++ b/src/topazlug/forwarding/_options.py
@@ -35,7 +35,7 @@
         Listener for other daemons.
     relays : bool
         Whether its link carries news for other daemons.
-    news : StalenessBounds
+    staleness_bounds : StalenessBounds
         How old its copies of the store's tables may get.
     first_start : bool
         Whether the whole system starts for the first time.
@@ -57,7 +57,7 @@
     retry_window: float
     peers: _settings_types.AddressSettings
     relays: bool
-    news: _staleness_bounds.StalenessBounds
+    staleness_bounds: _staleness_bounds.StalenessBounds
     first_start: bool
     max_connections: int
     disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED
--- a/src/topazlug/forwarding/_table.py
+++ b/src/topazlug/forwarding/_table.py
@@ -50,9 +50,9 @@
         What may be repeated.
     timeout : float
         Longest time in seconds that a caller is kept waiting.
-    objective : float
+    latency_objective : float
         Seconds until the first byte within which an answer is on time.
-    longest_pause : float
+    max_pause : float
         Longest pause in seconds between two events that is on time.
     priority : int
         Rank; 0 comes first.
@@ -73,8 +73,8 @@
     prefix: str
     kind: RequestKind
     timeout: float
-    objective: float
-    longest_pause: float
+    latency_objective: float
+    max_pause: float
     priority: int
     shares: tuple[ServiceShare, ...]
     max_replicas: int
@@ -175,7 +175,7 @@
         """
         return self._rank_by_claim[_claim(route, team)]
 
-    def route_of(self, host: str, path: str) -> Route:
+    def find_route(self, host: str, path: str) -> Route:
         """Give the route with the longest prefix of a path.
 
         Raises
@@ -189,7 +189,7 @@
                 return route
         raise _errors.UnknownPath(f"no route for {path[:80]!r} on {name!r}")
 
-    def team_of(self, route: Route, key: str | None) -> Team | None:
+    def find_team(self, route: Route, key: str | None) -> Team | None:
         """Give the team that may use a route with a key.
 
         Raises
--- a/src/topazlug/forwarding/_wire.py
+++ b/src/topazlug/forwarding/_wire.py
@@ -37,7 +37,7 @@
         Names this attempt of the caller; replicas echo it.
     key : str or None
         API key.
-    patience : float or None
+    caller_timeout : float or None
         Seconds that the caller waits.
     model : str
         Model, empty when none is named.
@@ -51,7 +51,7 @@
 
     attempt: _ids.RequestId
     key: str | None
-    patience: float | None
+    caller_timeout: float | None
     model: str
     parts: tuple[PromptPart, ...]
     resume_after: int | None
@@ -66,12 +66,12 @@
 
 
 @final
-class Sending(msgspec.Struct, frozen=True, kw_only=True):
+class AttemptMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """What one attempt tells a replica beside the caller's own fields.
 
     Attributes
     ----------
-    left : float
+    remaining_seconds : float
         Seconds until the request ends.
     replica : ReplicaId
         Which replica must run it, whoever has its address now.
@@ -87,7 +87,7 @@
         Replica that may hold the prompt's context.
     """
 
-    left: float
+    remaining_seconds: float
     replica: _ids.ReplicaId
     team: _ids.TeamName | None
     is_generation: bool
@@ -115,7 +115,7 @@
 class ReplicaWire(_target_wire.TargetWire, Protocol):
     """Encodes requests for replicas and decodes their answers."""
 
-    def encode(self, head: CallHead, sending: Sending) -> list[Field]:
+    def encode(self, head: CallHead, metadata: AttemptMetadata) -> list[Field]:
         """Give the fields of a request, without those of its framing."""
 
     def verdict(self, answer: _target_answer.TargetAnswer) -> AnswerVerdict:
--- a/tests/topazlug/callers/test_caller_request.py
+++ b/tests/topazlug/callers/test_caller_request.py
@@ -28,7 +28,7 @@
 
 class TestDeadline:
     @pytest.mark.parametrize(
-        "named, longest, seconds",
+        "named, max_seconds, seconds",
         [
             ("", None, 60.0),
             ("5", None, 5.0),
@@ -38,9 +38,9 @@
             ("", 20.0, 20.0),
         ],
     )
-    def test_shortest_holds(self, make, named, longest, seconds):
+    def test_shortest_holds(self, make, named, max_seconds, seconds):
         request = make(x_request_timeout=named)
-        request.read_deadline(longest=longest)
+        request.read_deadline(max_seconds=max_seconds)
         assert request.remaining() == seconds
 
     @pytest.mark.parametrize("named", ["0", "-1", "nan", "inf", "x", "1e9"])
--- a/tests/topazlug/forwarding/test_table.py
+++ b/tests/topazlug/forwarding/test_table.py
@@ -17,7 +17,7 @@
             fixtures.route(name="outer", prefix="/a/"),
             fixtures.route(name="inner", prefix="/a/b/"),
         )
-        assert table.route_of("chat.example:80", path).name == name
+        assert table.find_route("chat.example:80", path).name == name
 
     @pytest.mark.parametrize(
         "host, path", [("chat.example", "/ab"), ("other.example", "/a/")]
@@ -25,7 +25,7 @@
     def test_no_route(self, host, path):
         table = fixtures.table(fixtures.route(prefix="/a/"))
         with pytest.raises(_errors.UnknownPath):
-            table.route_of(host, path)
+            table.find_route(host, path)
 
     def test_split_follows_the_weights(self):
         route = fixtures.route(
@@ -42,17 +42,17 @@
 class TestKeys:
     def test_known_key(self):
         table = fixtures.table(fixtures.route())
-        assert table.team_of(fixtures.route(), fixtures.KEY).name == "udelar"
+        assert table.find_team(fixtures.route(), fixtures.KEY).name == "udelar"
 
     @pytest.mark.parametrize("key", [None, "", "wrong"])
     def test_unknown_key(self, key):
         table = fixtures.table(fixtures.route())
         with pytest.raises(_errors.BadKey):
-            table.team_of(fixtures.route(), key)
+            table.find_team(fixtures.route(), key)
 
     def test_anonymous_route_asks_for_none(self):
         table = fixtures.table()
-        assert table.team_of(fixtures.route(anonymous=True), None) is None
+        assert table.find_team(fixtures.route(anonymous=True), None) is None
 
 
 class TestHolder:
--- a/tests/topazlug_platform/crash_site.py
+++ b/tests/topazlug_platform/crash_site.py
@@ -151,7 +151,7 @@
             clock=_clock.SystemClock(),
         )
         daemon.start()
-        daemon.take_table(fixtures.table(*self._routes))
+        daemon.update_table(fixtures.table(*self._routes))
         return daemon
 
     def list(self):
--- a/tests/topazlug_platform/platform_rig.py
+++ b/tests/topazlug_platform/platform_rig.py
@@ -69,7 +69,7 @@
         "retry_window": 10.0,
         "peers": ANY,
         "relays": True,
-        "news": _staleness_bounds.StalenessBounds(
+        "staleness_bounds": _staleness_bounds.StalenessBounds(
             in_force=0.1, unreachable=0.0
         ),
         "first_start": False,
@@ -93,7 +93,7 @@
         )
         self.daemon.start()
         if routes:
-            self.daemon.take_table(fixtures.table(*routes))
+            self.daemon.update_table(fixtures.table(*routes))
         self.list(*scripts)
 
     def list(self, *scripts):
--- a/tests/topazlug_platform/test_boot_file.py
+++ b/tests/topazlug_platform/test_boot_file.py
@@ -57,8 +57,11 @@
         assert not options.relays
         assert options.retry_extra == 58
         assert options.max_connections == 1950
-        assert options.news.direct_wait == pytest.approx(1.6)
-        assert options.news.validity < options.news.in_force
+        assert options.staleness_bounds.direct_wait == pytest.approx(1.6)
+        assert (
+            options.staleness_bounds.validity
+            < options.staleness_bounds.in_force
+        )
 
     @pytest.mark.parametrize(
         "changes, named",
--- a/tests/topazlug_platform/test_documents.py
+++ b/tests/topazlug_platform/test_documents.py
@@ -38,17 +38,17 @@
 class TestConfig:
     def test_route(self):
         made = table()
-        route = made.route_of("chat.example", "/a/x")
+        route = made.find_route("chat.example", "/a/x")
         assert made.version == 7
         assert route.kind is _table.RequestKind.STREAM
-        assert (route.timeout, route.objective, route.longest_pause) == (
+        assert (route.timeout, route.latency_objective, route.max_pause) == (
             8.0,
             0.3,
             0.25,
         )
         assert route.has_context and route.resumable and route.repeatable
         assert made.bounds.idle_timeout == 9.0
-        assert made.team_of(route, "k2") == _table.Team("t1", 1)
+        assert made.find_team(route, "k2") == _table.Team("t1", 1)
 
     def test_split(self):
         split = [
@@ -56,19 +56,19 @@
             {"service": "s2", "weight": 10},
         ]
         route = {**ROUTE, "service": "", "traffic_split": split}
-        made = table(routes=[route]).route_of("chat.example", "/a/")
+        made = table(routes=[route]).find_route("chat.example", "/a/")
         assert [share.group for share in made.shares] == ["s1", "s2"]
 
     def test_kind_to_come_runs_at_most_once(self):
         route = {**ROUTE, "route_kind": "of-tomorrow", "resumable": True}
-        made = table(routes=[route]).route_of("chat.example", "/a/")
+        made = table(routes=[route]).find_route("chat.example", "/a/")
         assert not made.repeatable
 
     def test_no_tenants_means_no_keys(self):
         document = {k: v for k, v in CONFIG.items() if k != "tenants"}
         made = documents.table_of(json.dumps(document).encode())
-        route = made.route_of("chat.example", "/a/")
-        assert made.team_of(route, None) is None
+        route = made.find_route("chat.example", "/a/")
+        assert made.find_team(route, None) is None
 
     def test_unreadable(self):
         with pytest.raises(documents.Unreadable):
--- a/tests/topazlug_platform/test_forwarding.py
+++ b/tests/topazlug_platform/test_forwarding.py
@@ -10,7 +10,7 @@
 from tests.topazlug import routing_fixtures
 from tests.topazlug.forwarding import forwarding_fixtures as fixtures
 from tests.topazlug_platform import platform_rig
-from topazlug.forwarding import _planned_stop
+from topazlug.forwarding import _graceful_stop
 from topazlug.forwarding import _table
 from topazlug.targets import _cold_replicas
 
@@ -130,7 +130,7 @@
             asked = gevent.spawn(rig.send)
             gevent.sleep(0.02)
             rig.list(script)
-            rig.daemon.take_table(fixtures.table(fixtures.route()))
+            rig.daemon.update_table(fixtures.table(fixtures.route()))
             assert asked.get(timeout=10)[0] == 200
 
 
@@ -158,7 +158,7 @@
     def test_unknown_key(self):
         route = fixtures.route(anonymous=False)
         with running(route) as rig:
-            rig.daemon.take_table(
+            rig.daemon.update_table(
                 _table.RoutingTable(
                     version=2,
                     routes=[route],
@@ -328,7 +328,9 @@
 class TestStopping:
     def test_cuts_off_nothing(self, monkeypatch):
         """Symptom: callers lose answers when a daemon is replaced."""
-        monkeypatch.setattr(_planned_stop, "_STILL_FOUND_SECONDS", 0.2)
+        monkeypatch.setattr(
+            _graceful_stop, "_READINESS_PROPAGATION_SECONDS", 0.2
+        )
         go_on = gevent.event.Event()
 
         def script(sock):
@@ -372,12 +374,14 @@
             with rig.connect() as sock:
                 routing_fixtures.wait_until(lambda: callers.idle_handlers)
                 sock.sendall(platform_rig.request())
-                callers.end_idle()
+                callers.close_idle()
                 with gevent.Timeout(10):
                     assert platform_rig.read_all(sock)[0] == 200
 
     def test_idle_connections_are_ended(self, monkeypatch):
-        monkeypatch.setattr(_planned_stop, "_STILL_FOUND_SECONDS", 0.05)
+        monkeypatch.setattr(
+            _graceful_stop, "_READINESS_PROPAGATION_SECONDS", 0.05
+        )
         with running(fixtures.route()) as rig:
             with rig.connect() as sock:
                 stopping = gevent.spawn(rig.daemon.stop)
@@ -410,7 +414,7 @@
                 ]
             )
             daemon.targets.cold.presume_cold([fixtures.target("i-1")])
-            daemon.take_drained_zones(frozenset({"y"}))
+            daemon.update_drained_zones(frozenset({"y"}))
             text = rig.scrape()
         assert "topazlug_replicas_known 3.0" in text
         assert "topazlug_replicas_cold 1.0" in text
--- a/tests/topazlug_platform/test_requests_that_crash.py
+++ b/tests/topazlug_platform/test_requests_that_crash.py
@@ -83,7 +83,7 @@
             made.wait_blocked(0, 1, 2)
             for daemon in made.daemons:
                 team = _table.Team(_ids.TeamName("ort"), None)
-                daemon.take_table(
+                daemon.update_table(
                     _table.RoutingTable(
                         version=2,
                         routes=[fixtures.route()],
