--- a/src/topazlug/forwarding/_app.py
+++ b/src/topazlug/forwarding/_app.py
@@ -17,9 +17,9 @@
 from topazlug.callers import _wsgi
 from topazlug.crashes import _fingerprint
 from topazlug.forwarding import _call
+from topazlug.forwarding import _call_metrics
 from topazlug.forwarding import _forwarder
-from topazlug.forwarding import _measures
-from topazlug.forwarding import _start_gate
+from topazlug.forwarding import _startup_gate
 from topazlug.forwarding import _table
 from topazlug.forwarding import _wire
 from topazlug.routing import _owner_client
@@ -28,11 +28,11 @@
 _log = _logs.logger("forwarding")
 # Patience of a caller that names none, in seconds: the route's timeout is
 # shorter wherever one is set.
-_DEFAULT_PATIENCE = 60.0
-_BODY_SECONDS = 10.0
-_NOT_READY_SECONDS = 0.5
+_DEFAULT_TIMEOUT_SECONDS = 60.0
+_BODY_TIMEOUT_SECONDS = 10.0
+_NOT_READY_RETRY_SECONDS = 0.5
 # Statuses that promise that a request has not run.
-_PROMISES = frozenset(
+_NOT_RUN_STATUSES = frozenset(
     {
         HTTPStatus.REQUEST_TIMEOUT,
         HTTPStatus.MISDIRECTED_REQUEST,
@@ -56,9 +56,9 @@
         Gives the seconds since the store last confirmed the tables.
     wire : CallerWire
         Names on the wire.
-    gate : StartGate
+    gate : StartupGate
         Holds requests up while the daemon starts.
-    measures : Measures
+    call_metrics : CallMetrics
         What is counted.
     clock : Clock
         Time.
@@ -76,8 +76,8 @@
         tables: _table.TableHolder,
         table_age: Callable[[], float],
         wire: _wire.CallerWire,
-        gate: _start_gate.StartGate,
-        measures: _measures.Measures,
+        gate: _startup_gate.StartupGate,
+        call_metrics: _call_metrics.CallMetrics,
         clock: _clock.Clock,
     ) -> None:
         self._gate = gate
@@ -85,29 +85,29 @@
         self._tables = tables
         self._table_age = table_age
         self._wire = wire
-        self._measures = measures
+        self._call_metrics = call_metrics
         self._clock = clock
         self.in_progress = 0
 
     def __call__(
-        self, environ: Mapping[str, Any], start: _wsgi.StartResponse
+        self, environ: Mapping[str, Any], start_response: _wsgi.StartResponse
     ) -> Iterable[bytes]:
         """Answer one request, as WSGI asks."""
         self.in_progress += 1
         return _wsgi.respond(
             lambda: self._answer(environ),
-            start,
+            start_response,
             is_head=environ["REQUEST_METHOD"] == "HEAD",
-            ended=self._ended,
+            ended=self._on_answer_end,
         )
 
-    def _ended(self) -> None:
+    def _on_answer_end(self) -> None:
         self.in_progress -= 1
 
     def _answer(
         self, environ: Mapping[str, Any]
     ) -> _caller_answer.CallerAnswer:
-        started = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         attempt = _ids.RequestId("")
         # Not known before the key is; a failure before counts for nobody.
         team = _metrics.NO_TEAM
@@ -115,23 +115,23 @@
             head = self._wire.decode(environ[_caller_request.FIELDS])
             attempt = head.attempt
             with _logs.request_fields(request_id=attempt):
-                call = self._read(environ, head, started)
+                call = self._read_call(environ, head, started_at)
                 team = call.team_name
-                return self._forward(call)
+                return self._forward_with_log_fields(call)
         except _errors.TopazlugError as error:
             if not isinstance(error, _caller_watch.CallerLeft):
-                self._measures.refused(team, error)
-            return self._refuse(error, attempt, started)
+                self._call_metrics.record_failure(team, error)
+            return self._error_answer(error, attempt, started_at)
         except Exception:
             _log.exception("a request met a fault of this daemon")
             fault = _errors.TopazlugError("internal error")
             return _caller_answer.of_error(fault, attempt)
 
-    def _read(
+    def _read_call(
         self,
         environ: Mapping[str, Any],
         head: _wire.CallHead,
-        started: float,
+        started_at: float,
     ) -> _call.ForwardedCall:
         """Find a request's route and team, and read its body."""
         self._gate.wait()
@@ -139,14 +139,14 @@
         if table is None:
             raise _errors.NotReady(
                 "this daemon has no routing table yet",
-                retry_after=_NOT_READY_SECONDS,
+                retry_after=_NOT_READY_RETRY_SECONDS,
             )
         path = environ[_caller_request.RAW_PATH]
         host = environ.get("HTTP_HOST", "")
         route = table.find_route(host, path)
         team = table.find_team(route, head.key)
         caller_timeout = (
-            _DEFAULT_PATIENCE
+            _DEFAULT_TIMEOUT_SECONDS
             if head.caller_timeout is None
             else head.caller_timeout
         )
@@ -154,7 +154,7 @@
         body = _caller_request.read_body(
             environ,
             limit=table.bounds.max_body_bytes,
-            timeout=min(_BODY_SECONDS, caller_timeout),
+            timeout=min(_BODY_TIMEOUT_SECONDS, caller_timeout),
         )
         chat = _call.chat_of(head)
         return _call.ForwardedCall(
@@ -167,8 +167,8 @@
             group=route.group_for(chat),
             rank=table.rank_of(route, team),
             chat=chat,
-            started=started,
-            deadline=started + caller_timeout,
+            started_at=started_at,
+            deadline=started_at + caller_timeout,
             socket=environ.get(_caller_request.SOCKET),
             fingerprint=_fingerprint.fingerprint(
                 method=environ["REQUEST_METHOD"],
@@ -179,7 +179,7 @@
             ),
         )
 
-    def _forward(
+    def _forward_with_log_fields(
         self, call: _call.ForwardedCall
     ) -> _caller_answer.CallerAnswer:
         fields = {
@@ -189,36 +189,36 @@
             "fingerprint": call.fingerprint,
         }
         with _logs.request_fields(**fields):
-            return self._forward_named(call)
+            return self._serve(call)
 
-    def _forward_named(
-        self, call: _call.ForwardedCall
-    ) -> _caller_answer.CallerAnswer:
+    def _serve(self, call: _call.ForwardedCall) -> _caller_answer.CallerAnswer:
         try:
             answer = self._forwarder.serve(call)
         except _errors.RequestError as error:
             if error.retry_after is not None:
-                left = call.deadline - self._clock.monotonic()
-                longest = max(0.0, _owner_client.MAX_RETURN_FRACTION * left)
+                remaining_seconds = call.deadline - self._clock.monotonic()
+                max_retry_after = max(
+                    0.0, _owner_client.MAX_RETURN_FRACTION * remaining_seconds
+                )
                 error.retry_after = max(
-                    min(error.retry_after, longest), error.refused_for
+                    min(error.retry_after, max_retry_after), error.refused_for
                 )
             raise
         _log.info(
             "answered with {status} after {seconds:.3f} s",
             status=answer.status,
-            seconds=round(self._clock.monotonic() - call.started, 3),
+            seconds=round(self._clock.monotonic() - call.started_at, 3),
         )
         return answer
 
-    def _refuse(
+    def _error_answer(
         self,
         error: _errors.TopazlugError,
         attempt: _ids.RequestId,
-        started: float,
+        started_at: float,
     ) -> _caller_answer.CallerAnswer:
         answer = _caller_answer.of_error(error, attempt, whole_seconds=False)
-        if answer.status in _PROMISES and not _is_certain(error):
+        if answer.status in _NOT_RUN_STATUSES and not _has_not_run(error):
             answer.status = int(HTTPStatus.BAD_GATEWAY)
         with _logs.request_fields(request_id=attempt, status=answer.status):
             if isinstance(error, _caller_watch.CallerLeft):
@@ -227,7 +227,7 @@
                 _log.warning(
                     "failed with {code} after {seconds:.3f} s: {why}",
                     code=error.code.value,
-                    seconds=round(self._clock.monotonic() - started, 3),
+                    seconds=round(self._clock.monotonic() - started_at, 3),
                     outcome=getattr(error, "outcome", None),
                     retry_after=getattr(error, "retry_after", None),
                     why=error.message,
@@ -237,7 +237,7 @@
         return answer
 
 
-def _is_certain(error: _errors.TopazlugError) -> bool:
+def _has_not_run(error: _errors.TopazlugError) -> bool:
     """Say whether an error's request certainly has not run."""
     if not isinstance(error, _errors.RequestError):
         return False
--- a/src/topazlug/forwarding/_blocked_requests.py
+++ b/src/topazlug/forwarding/_blocked_requests.py
@@ -22,14 +22,14 @@
         name=_crash_records.TABLE, decode=_crash_records.decode, clock=clock
     )
     rows = store.rows(_crash_records.TABLE).rows
-    found = [
-        note
-        for note in reader.read({row.key: row.data for row in rows})
-        if isinstance(note, _crash_records.Block)
-        and not note.released
-        and clock.now() - note.at < _crash_records.RETENTION
+    blocks = [
+        record
+        for record in reader.read({row.key: row.data for row in rows})
+        if isinstance(record, _crash_records.Block)
+        and not record.released
+        and clock.now() - record.at < _crash_records.RETENTION
     ]
-    return sorted(found, key=lambda block: block.at)
+    return sorted(blocks, key=lambda block: block.at)
 
 
 def release(
@@ -49,9 +49,10 @@
     """
     for block in blocked(store, clock=clock):
         if block.fingerprint == fingerprint:
-            note = _crash_records.released_block(block, now=clock.now())
+            record = _crash_records.released_block(block, now=clock.now())
             row = _table_source.Row(
-                _crash_records.record_key(note), _crash_records.encode(note)
+                _crash_records.record_key(record),
+                _crash_records.encode(record),
             )
             store.write(_crash_records.TABLE, [row])
             return
--- a/src/topazlug/forwarding/_call.py
+++ b/src/topazlug/forwarding/_call.py
@@ -34,7 +34,7 @@
         Its place among all that the table knows, 0 first.
     chat : ChatHash
         Hash of the last shared part of its prompt.
-    started, deadline : float
+    started_at, deadline : float
         Monotonic seconds.
     socket : socket or None
         The caller's connection.
@@ -51,7 +51,7 @@
     group: _ids.GroupName
     rank: int
     chat: _ids.ChatHash
-    started: float
+    started_at: float
     deadline: float
     socket: Any
     fingerprint: _ids.Fingerprint
@@ -61,7 +61,7 @@
         """Give the team's name, empty where no key is asked for."""
         return self.team.name if self.team else _ids.TeamName("")
 
-    def place_request(
+    def placement_request(
         self,
         *,
         excluded: frozenset[_ids.ReplicaId] = frozenset(),
@@ -108,5 +108,5 @@
     """
     if not head.parts:
         return _ranking.chat_hash(head.attempt)
-    shared = head.parts[-2] if len(head.parts) > 1 else head.parts[-1]
-    return _ranking.chat_hash(head.model, shared.id)
+    shared_part = head.parts[-2] if len(head.parts) > 1 else head.parts[-1]
+    return _ranking.chat_hash(head.model, shared_part.id)
--- a/src/topazlug/forwarding/_measures.py
+++ b/src/topazlug/forwarding/_call_metrics.py
@@ -16,7 +16,7 @@
 
 
 @final
-class Measures:
+class CallMetrics:
     """Counts requests and times of forwarded calls.
 
     Parameters
@@ -33,27 +33,27 @@
         self._metrics = metrics
         self._clock = clock
 
-    def first_byte(self, call: _call.ForwardedCall) -> None:
+    def record_first_byte(self, call: _call.ForwardedCall) -> None:
         """Note that a call's answer has begun."""
         self._metrics.observe_first_token(
-            call.team_name, _CLASS, self._clock.monotonic() - call.started
+            call.team_name, _CLASS, self._clock.monotonic() - call.started_at
         )
 
-    def pause(self, call: _call.ForwardedCall, seconds: float) -> None:
+    def record_pause(self, call: _call.ForwardedCall, seconds: float) -> None:
         """Note the time between two parts of a stream."""
         self._metrics.observe_between_tokens(call.team_name, _CLASS, seconds)
 
-    def sent(self, call: _call.ForwardedCall) -> None:
+    def record_sent(self, call: _call.ForwardedCall) -> None:
         """Note that a call goes to its first replica."""
         self._metrics.observe_queueing(
-            call.team_name, _CLASS, self._clock.monotonic() - call.started
+            call.team_name, _CLASS, self._clock.monotonic() - call.started_at
         )
 
-    def retried(self, request: _placement.PlacementRequest) -> None:
+    def record_retry(self, request: _placement.PlacementRequest) -> None:
         """Note that another replica is tried."""
         self._metrics.count_retry(request.team, _CLASS)
 
-    def answered(self, call: _call.ForwardedCall, status: int) -> None:
+    def record_answer(self, call: _call.ForwardedCall, status: int) -> None:
         """Note a whole answer of a replica."""
         code = None
         if status >= _SERVER_ERROR:
@@ -62,10 +62,10 @@
             call.team_name, _CLASS, code, _errors.Outcome.RAN
         )
         self._metrics.observe_total(
-            call.team_name, _CLASS, self._clock.monotonic() - call.started
+            call.team_name, _CLASS, self._clock.monotonic() - call.started_at
         )
 
-    def broke(
+    def record_broken_stream(
         self, call: _call.ForwardedCall, error: _errors.RequestError
     ) -> None:
         """Note a stream that was cut off."""
@@ -73,7 +73,7 @@
             call.team_name, _CLASS, error.code, error.outcome
         )
 
-    def refused(
+    def record_failure(
         self, team: _ids.TeamName, error: _errors.TopazlugError
     ) -> None:
         """Note a call that got no answer of a replica."""
--- a/src/topazlug/forwarding/_crash_parts.py
+++ b/src/topazlug/forwarding/_crash_assembly.py
@@ -28,7 +28,7 @@
 
 
 @final
-class CrashParts:
+class CrashAssembly:
     """The guard against requests that crash replicas, and its table.
 
     Parameters
@@ -43,7 +43,7 @@
         Makes a client of the store with connections of its own.
     daemons : callable
         Gives the daemons of the fleet by their ids.
-    refuses : bool
+    rejects : bool
         Whether requests that crash replicas are refused.
     clock : Clock
         Time.
@@ -52,7 +52,7 @@
     ----------
     guard : CrashGuard
         Learns and refuses.
-    follower : TableListener
+    listener : TableListener
         Gets the rows of the table `TABLE`.
     """
 
@@ -64,7 +64,7 @@
         targets: _targets.TargetDirectory,
         new_store: Callable[[], _table_source.TableStore],
         daemons: Callable[[], Mapping[_ids.DaemonId, Any]],
-        refuses: bool,
+        rejects: bool,
         clock: _clock.Clock,
     ) -> None:
         self._daemon = daemon
@@ -73,42 +73,47 @@
             daemon=daemon,
             runs=runs,
             targets=targets,
-            rejects=refuses,
+            rejects=rejects,
             clock=clock,
         )
-        self._told: _record_distributor.RecordDistributor | None = None
+        self._distributor: _record_distributor.RecordDistributor | None = None
         self._store = new_store()
-        self._stored = _record_writer.RecordWriter(
-            write=self._write, notify=self._tell, clock=clock
+        self._writer = _record_writer.RecordWriter(
+            write=self._write, notify=self._distribute, clock=clock
         )
-        self.guard.publisher = self._stored
+        self.guard.publisher = self._writer
         self._reader = _row_reader.RowReader(
             name=TABLE, decode=_crash_records.decode, clock=clock
         )
-        self.follower = _table_feed.TableListener(changed=self._take_rows)
+        self.listener = _table_feed.TableListener(
+            changed=self._update_shared_records
+        )
 
     def _write(
-        self, notes: list[_crash_records.CrashRecord], dropped: list[str]
+        self,
+        records: list[_crash_records.CrashRecord],
+        deleted_keys: list[str],
     ) -> None:
         rows = [
             _table_source.Row(
-                _crash_records.record_key(note), _crash_records.encode(note)
+                _crash_records.record_key(record),
+                _crash_records.encode(record),
             )
-            for note in notes
+            for record in records
         ]
-        rows += [_table_source.Row(key, deleted=True) for key in dropped]
+        rows += [_table_source.Row(key, deleted=True) for key in deleted_keys]
         self._store.write(TABLE, rows)
 
-    def _take_rows(self, data_by_key: dict[str, bytes]) -> None:
+    def _update_shared_records(self, data_by_key: dict[str, bytes]) -> None:
         self.guard.set_shared_records(self._reader.read(data_by_key))
 
-    def _tell(self, notes: list[_crash_records.CrashRecord]) -> None:
-        if self._told is not None:
-            self._told.send(notes)
+    def _distribute(self, records: list[_crash_records.CrashRecord]) -> None:
+        if self._distributor is not None:
+            self._distributor.send(records)
 
     def join(self, links: _peers.PeerLinks) -> None:
         """Tell and hear notes on streams to peers from now on."""
-        self._told = _record_distributor.RecordDistributor(
+        self._distributor = _record_distributor.RecordDistributor(
             daemon=self._daemon,
             links=links,
             daemons=self._daemons,
@@ -117,4 +122,4 @@
 
     def tasks(self) -> list[Callable[[], None]]:
         """Give what runs for as long as the daemon does."""
-        return [self.guard.run, self._stored.run]
+        return [self.guard.run, self._writer.run]
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -16,14 +16,14 @@
 from topazlug.fleet import _table_feed
 from topazlug.fleet import _table_source
 from topazlug.forwarding import _app
-from topazlug.forwarding import _crash_parts
-from topazlug.forwarding import _forwarder_parts
+from topazlug.forwarding import _call_metrics
+from topazlug.forwarding import _crash_assembly
+from topazlug.forwarding import _forwarder_assembly
 from topazlug.forwarding import _gauges
 from topazlug.forwarding import _graceful_stop
-from topazlug.forwarding import _measures
+from topazlug.forwarding import _monitoring
 from topazlug.forwarding import _options
-from topazlug.forwarding import _probes
-from topazlug.forwarding import _start_gate
+from topazlug.forwarding import _startup_gate
 from topazlug.forwarding import _table
 from topazlug.forwarding import _wire
 from topazlug.limits import _retry_share
@@ -41,19 +41,19 @@
 from topazlug.telemetry import _metrics
 
 _log = _logs.logger("daemon")
-_SWEEP_SECONDS = 1.0
+_SWEEP_INTERVAL_SECONDS = 1.0
 # A replica in the same region takes a connection in a few milliseconds. One
 # that takes none so long is dark, or its first packet was lost.
-_CONNECT_SECONDS = 0.25
-_FLAP_SECONDS = 10.0
+_CONNECT_TIMEOUT_SECONDS = 0.25
+_FLAP_WINDOW_SECONDS = 10.0
 # Until the directory says how many daemons there are, the fixed part of the
 # retry budget is split among this many; afterwards never among fewer than a
 # few, as others may be about to join.
-_FLEET_UNKNOWN = 100
-_FLEET_LEAST = 6
+_ASSUMED_DAEMONS = 100
+_MIN_DAEMONS = 6
 # A replica takes a few hundred connections from all daemons together and
 # resets the rest; idle ones of 80 daemons must leave room for new ones.
-_IDLE_PER_REPLICA = 2
+_MAX_IDLE_CONNECTIONS_PER_REPLICA = 2
 
 
 @final
@@ -92,13 +92,13 @@
         self.name = options.daemon
         self._clock = clock
         self._stopping = False
-        self._knows_replicas = False
+        self._has_replica_list = False
         self._greenlets: list[gevent.Greenlet] = []
         self.stopped = event.Event()
-        self._gate = _start_gate.StartGate(clock=clock)
+        self._gate = _startup_gate.StartupGate(clock=clock)
         self.tables = _table.TableHolder()
         self.targets = _targets.TargetDirectory(
-            clock=clock, flap_window=_FLAP_SECONDS
+            clock=clock, flap_window=_FLAP_WINDOW_SECONDS
         )
         self.views = _replica_view.ReplicaViews(
             clock=clock, disabled=options.disabled
@@ -110,11 +110,11 @@
             ratio=options.retry_ratio,
             extra=options.retry_extra,
             window=options.retry_window,
-            daemons=_FLEET_UNKNOWN,
+            daemons=_ASSUMED_DAEMONS,
             clock=clock,
         )
         self.replicas = _replica_list.ReplicaList(
-            on_change=self._take_replicas,
+            on_change=self._update_replicas,
             unreachable=options.staleness_bounds.unreachable,
             clock=clock,
         )
@@ -138,49 +138,51 @@
             ),
             new_store=new_store,
             on_joined=self._join_owners,
-            on_size=self._take_size,
+            on_size=self._update_fleet_size,
             clock=clock,
         )
         self._connections = _target_client.TargetConnections(
-            connect_timeout=_CONNECT_SECONDS,
+            connect_timeout=_CONNECT_TIMEOUT_SECONDS,
             clock=clock,
             wire=replica_wire,
-            idle_per_target=_IDLE_PER_REPLICA,
+            idle_per_target=_MAX_IDLE_CONNECTIONS_PER_REPLICA,
             handle_report=self.targets.handle_report,
         )
-        self._crashes = _crash_parts.CrashParts(
+        self._crash_assembly = _crash_assembly.CrashAssembly(
             daemon=options.daemon,
             runs=self._connections.runs,
             targets=self.targets,
             new_store=new_store,
             daemons=lambda: self._fleet.directory.daemons_by_id,
-            refuses=_mechanisms.Mechanism.CRASH_GUARD not in options.disabled,
+            rejects=_mechanisms.Mechanism.CRASH_GUARD not in options.disabled,
             clock=clock,
         )
         self.metrics = _metrics.Metrics(
             _settings_types.MetricsSettings(), options.daemon, options.zone
         )
-        self._measures = _measures.Measures(metrics=self.metrics, clock=clock)
-        parts = _forwarder_parts.ForwarderParts(
+        self._call_metrics = _call_metrics.CallMetrics(
+            metrics=self.metrics, clock=clock
+        )
+        forwarder_assembly = _forwarder_assembly.ForwarderAssembly(
             admission=self._admission,
             budget=self.budget,
             clock=clock,
             connections=self._connections,
             contexts=self.contexts,
-            guard=self._crashes.guard,
-            measures=self._measures,
+            guard=self._crash_assembly.guard,
+            call_metrics=self._call_metrics,
             targets=self.targets,
             views=self.views,
             wire=replica_wire,
             disabled=options.disabled,
         )
         self._app = _app.ForwardingApp(
-            forwarder=parts.build(),
+            forwarder=forwarder_assembly.build(),
             tables=self.tables,
             table_age=lambda: self._fleet.table_age,
             wire=caller_wire,
             gate=self._gate,
-            measures=self._measures,
+            call_metrics=self._call_metrics,
             clock=clock,
         )
         self._callers = _caller_server.CallersServer(
@@ -195,15 +197,15 @@
             tables=self.tables,
             targets=self.targets,
             fleet=self._fleet,
-            guard=self._crashes.guard,
+            guard=self._crash_assembly.guard,
         )
-        self._probes = _probes.Probes(
+        self._monitoring = _monitoring.MonitoringListeners(
             options=options, is_ready=self.is_ready, metrics=self.metrics
         )
 
     def update_table(self, table: _table.RoutingTable) -> None:
         """Put a newer routing table in force."""
-        if not self.tables.take(table):
+        if not self.tables.update(table):
             _log.warning(
                 "table {given} is not newer than {held}; it is left",
                 given=table.version,
@@ -230,18 +232,18 @@
         )
         self.targets.set_drains(_targets.Drains(zones=zones))
 
-    def _take_replicas(self, targets: list[_targets.Target]) -> None:
+    def _update_replicas(self, targets: list[_targets.Target]) -> None:
         before = self.targets.target_by_replica
         _replica_list.log_changes(before, targets)
-        self._end_starts(targets)
-        self._crashes.guard.handle_list_change(before, targets)
+        self._drop_restarted(targets)
+        self._crash_assembly.guard.handle_list_change(before, targets)
         self.views.take_list(targets)
         self.contexts.take_list(targets)
         self.targets.take_list(targets)
-        self._knows_replicas = True
+        self._has_replica_list = True
         self._open_gate()
 
-    def _end_starts(self, targets: list[_targets.Target]) -> None:
+    def _drop_restarted(self, targets: list[_targets.Target]) -> None:
         """Give up what runs on starts of replicas that have ended.
 
         Their connections are dead, though some only fall silent: a call
@@ -287,17 +289,17 @@
         )
         self._owners.update_daemons(self._fleet.directory.daemons_by_id)
         self._greenlets += self._owners.start()
-        self._crashes.join(links)
+        self._crash_assembly.join(links)
         if _mechanisms.Mechanism.OWNERS not in self._options.disabled:
             self._admission.asks = self._owners.asks
             self.targets.on_report(self._owners.asks.report_backoff)
 
-    def _take_size(self, daemons: int) -> None:
+    def _update_fleet_size(self, daemons: int) -> None:
         if self._owners is not None:
             self._owners.update_daemons(self._fleet.directory.daemons_by_id)
         # Rows of daemons that are gone stay, so this is never too low once
         # all have joined; before, the fleet may still be growing.
-        self.budget.daemons = max(_FLEET_LEAST, daemons)
+        self.budget.daemons = max(_MIN_DAEMONS, daemons)
         seconds = _replica_view.REPORT_LIFETIME_SECONDS
         if daemons > _fleet_directory.MAX_SMALL_FLEET:
             seconds = _replica_view.LARGE_FLEET_REPORT_LIFETIME_SECONDS
@@ -306,12 +308,12 @@
     def follow(
         self,
         table: str,
-        follower: _table_feed.TableListener,
+        listener: _table_feed.TableListener,
         *,
         pace: _table_feed.Pace = _table_feed.DEFAULT_PACE,
     ) -> None:
         """Follow a table of the platform's store from now on."""
-        feed = self._fleet.feed(table, follower, pace=pace)
+        feed = self._fleet.feed(table, listener, pace=pace)
 
         def run() -> None:
             self._fleet.wait_for_size()
@@ -321,16 +323,16 @@
 
     def start(self) -> None:
         """Start both listeners."""
-        self._probes.start()
+        self._monitoring.start()
         self._callers.start()
         self.spawn(self._sweep)
         self.spawn(self._fleet.run)
-        for task in self._crashes.tasks():
+        for task in self._crash_assembly.tasks():
             self.spawn(task)
         self.follow(
-            _crash_parts.TABLE,
-            self._crashes.follower,
-            pace=_crash_parts.PACE,
+            _crash_assembly.TABLE,
+            self._crash_assembly.listener,
+            pace=_crash_assembly.PACE,
         )
         _log.info(
             "started: callers at {host}:{port}",
@@ -346,7 +348,7 @@
     @property
     def metrics_port(self) -> int:
         """Give the port of the metrics."""
-        return self._probes.metrics_port
+        return self._monitoring.metrics_port
 
     def spawn(self, task: Callable[[], None]) -> None:
         """Run a task for as long as the daemon does."""
@@ -354,14 +356,14 @@
 
     def _sweep(self) -> None:
         while True:
-            self._clock.sleep(_SWEEP_SECONDS)
+            self._clock.sleep(_SWEEP_INTERVAL_SECONDS)
             self._connections.sweep()
 
     def is_ready(self) -> bool:
         """Say whether the balancer may send callers here."""
         if self._stopping or self.tables.current is None:
             return False
-        return self._knows_replicas
+        return self._has_replica_list
 
     def stop(self) -> None:
         """Stop as planned: cut off nothing that is in progress."""
@@ -381,7 +383,7 @@
     def halt(self) -> None:
         """End all greenlets and connections at once."""
         self._callers.stop(timeout=0)
-        self._probes.stop()
+        self._monitoring.stop()
         gevent.killall(self._greenlets, block=False)
         self._connections.close()
         self._fleet.stop()
--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -15,8 +15,8 @@
 from topazlug.calls import _sse
 from topazlug.crashes import _crash_guard
 from topazlug.forwarding import _call
+from topazlug.forwarding import _call_metrics
 from topazlug.forwarding import _exchange
-from topazlug.forwarding import _measures
 from topazlug.limits import _retry_share
 from topazlug.placement import _mechanisms
 from topazlug.placement import _replica_view
@@ -27,7 +27,7 @@
 _log = _logs.logger("forwarding")
 # A resumable stream that says nothing for so many of its longest pauses goes
 # on elsewhere. Callers give up after eight, or two seconds.
-_SILENT_PAUSES = 5.0
+_SILENCE_TIMEOUT_PAUSES = 5.0
 
 
 @final
@@ -53,7 +53,7 @@
 
     Attributes
     ----------
-    is_off : bool
+    is_disabled : bool
         Whether streams end where they break.
     """
 
@@ -69,18 +69,20 @@
         disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
         self._guard = guard
-        self.is_off = _mechanisms.Mechanism.RESUMPTION in disabled
+        self.is_disabled = _mechanisms.Mechanism.RESUMPTION in disabled
         self._admission = admission
         self._exchange = exchange
         self._budget = budget
         self._views = views
         self._clock = clock
 
-    def release(self, place: _placement.Placement, *, failed: bool) -> None:
+    def release(
+        self, placement: _placement.Placement, *, failed: bool
+    ) -> None:
         """Give a place back, with how its stream ended."""
-        view = self._views.of_incarnation(place.target)
+        view = self._views.of_incarnation(placement.target)
         view.note_outcome(failed=failed)
-        self._admission.release(place)
+        self._admission.release(placement)
 
     def resume(
         self,
@@ -102,25 +104,25 @@
             _log.info("a broken stream is not resumed: no retry is left")
             return None
         excluded = frozenset({broken.target.replica})
-        place = None
+        placement = None
         try:
-            place = self._admission.admit(
-                call.place_request(excluded=excluded, is_resumed=True)
+            placement = self._admission.admit(
+                call.placement_request(excluded=excluded, is_resumed=True)
             )
             answer = self._exchange.send(
                 call,
-                place,
+                placement,
                 head_timeout=call.deadline - self._clock.monotonic(),
                 resume_after=last_id,
             )
         except (_errors.RequestError, _target_client.ConnectFailed) as error:
-            if place is not None:
-                self._admission.release(place)
+            if placement is not None:
+                self._admission.release(placement)
             _log.info("a broken stream is not resumed: {why}", why=str(error))
             return None
         if answer.status != 200:
             answer.close()
-            self._admission.release(place)
+            self._admission.release(placement)
             _log.info(
                 "a broken stream is not resumed: answered {status}",
                 status=answer.status,
@@ -128,10 +130,10 @@
             return None
         _log.info(
             "a broken stream goes on at {replica} after event {last}",
-            replica=place.target.replica,
+            replica=placement.target.replica,
             last=last_id,
         )
-        return place, answer
+        return placement, answer
 
 
 @final
@@ -142,7 +144,7 @@
     ----------
     call : ForwardedCall
         The request.
-    place : Place
+    placement : Placement
         Where it runs.
     answer : TargetAnswer
         The answer whose head has arrived.
@@ -150,7 +152,7 @@
         Replicas that the request was sent to.
     resumer : StreamResumer
         Continues it.
-    measures : Measures
+    call_metrics : CallMetrics
         What is counted.
     clock : Clock
         Time.
@@ -160,29 +162,29 @@
         self,
         *,
         call: _call.ForwardedCall,
-        place: _placement.Placement,
+        placement: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         tried: int,
         resumer: StreamResumer,
-        measures: _measures.Measures,
+        call_metrics: _call_metrics.CallMetrics,
         clock: _clock.Clock,
     ) -> None:
         self._call = call
-        self._placement = place
+        self._placement = placement
         self._answer = answer
         self._tried = tried
         self._resumer = resumer
-        self._measures = measures
+        self._call_metrics = call_metrics
         self._clock = clock
         self._reader = _sse.EventReader(last_id=call.head.resume_after)
-        self._left = False
+        self._has_caller_left = False
 
-    def read_first(self, *, patience: float) -> bytes:
+    def read_first_events(self, *, receive_timeout: float) -> bytes:
         """Give the first whole events.
 
         Parameters
         ----------
-        patience : float
+        receive_timeout : float
             Seconds until another replica should be tried.
 
         Raises
@@ -191,95 +193,103 @@
             The stream broke before its first event.
         """
         chunks = self._answer.chunks(
-            receive_timeout=patience, deadline=self._call.deadline
+            receive_timeout=receive_timeout, deadline=self._call.deadline
         )
         for data in chunks:
-            events = self._whole_events(data)
+            events = self._complete_events(data)
             if events:
                 return events
         return b""
 
-    def pieces(self, first: bytes) -> Iterator[bytes]:
+    def body_pieces(self, first: bytes) -> Iterator[bytes]:
         """Give what goes to the caller; an exception cuts it off."""
         watch = _caller_watch.CallerWatch(
-            self._call.socket, on_disconnect=self._caller_left
+            self._call.socket, on_disconnect=self._on_disconnect
         )
         failed = True
         try:
             yield b""
             yield first
-            yield from self._rest()
+            yield from self._relay_until_end()
             failed = False
-            self._measures.answered(self._call, self._answer.status)
+            self._call_metrics.record_answer(self._call, self._answer.status)
         finally:
             watch.stop()
             self._answer.close()
             self._resumer.release(
-                self._placement, failed=failed and not self._left
+                self._placement, failed=failed and not self._has_caller_left
             )
 
-    def _caller_left(self) -> None:
-        self._left = True
+    def _on_disconnect(self) -> None:
+        self._has_caller_left = True
         self._answer.abort()
 
-    def _rest(self) -> Iterator[bytes]:
+    def _relay_until_end(self) -> Iterator[bytes]:
         while True:
             try:
-                yield from self._relay()
+                yield from self._relay_from_replica()
                 return
             except _errors.RequestError as error:
                 self._answer.close()
-                if self._left or not self._go_on(error):
-                    self._note_broken(error)
+                if self._has_caller_left or not self._resume(error):
+                    self._record_broken_stream(error)
                     raise
 
-    def _note_broken(self, error: _errors.RequestError) -> None:
-        self._measures.broke(self._call, error)
+    def _record_broken_stream(self, error: _errors.RequestError) -> None:
+        self._call_metrics.record_broken_stream(self._call, error)
         _log.warning(
             "a stream ends early after event {last}: {why}",
             request_id=self._call.head.attempt,
             replica=self._placement.target.replica,
             last=self._reader.last_id,
             tried=self._tried,
-            caller_left=self._left,
+            caller_left=self._has_caller_left,
             why=error.message,
         )
 
-    def _relay(self) -> Iterator[bytes]:
-        before = self._clock.monotonic()
+    def _relay_from_replica(self) -> Iterator[bytes]:
+        last_event_at = self._clock.monotonic()
         chunks = self._answer.chunks(
-            receive_timeout=self._silence(), deadline=self._call.deadline
+            receive_timeout=self._receive_timeout(),
+            deadline=self._call.deadline,
         )
         for data in chunks:
-            events = self._whole_events(data)
+            events = self._complete_events(data)
             if events:
                 now = self._clock.monotonic()
-                self._measures.pause(self._call, now - before)
-                before = now
+                self._call_metrics.record_pause(
+                    self._call, now - last_event_at
+                )
+                last_event_at = now
                 yield events
         if not self._reader.is_between_events:
-            raise _torn("it ended inside of an event")
+            raise _truncated("it ended inside of an event")
 
-    def _whole_events(self, data: bytes) -> bytes:
+    def _complete_events(self, data: bytes) -> bytes:
         try:
             return self._reader.feed(data)
         except ValueError as error:
-            raise _torn(str(error)) from error
+            raise _truncated(str(error)) from error
 
-    def _silence(self) -> float:
-        left = max(0.0, self._call.deadline - self._clock.monotonic())
-        if not self._may_go_on():
-            return left
-        return min(left, _SILENT_PAUSES * self._call.route.max_pause)
+    def _receive_timeout(self) -> float:
+        remaining_seconds = max(
+            0.0, self._call.deadline - self._clock.monotonic()
+        )
+        if not self._may_resume():
+            return remaining_seconds
+        return min(
+            remaining_seconds,
+            _SILENCE_TIMEOUT_PAUSES * self._call.route.max_pause,
+        )
 
-    def _may_go_on(self) -> bool:
+    def _may_resume(self) -> bool:
         route = self._call.route
-        if self._resumer.is_off:
+        if self._resumer.is_disabled:
             return False
         return route.resumable and self._tried < route.max_replicas
 
-    def _go_on(self, error: _errors.RequestError) -> bool:
-        if not self._may_go_on():
+    def _resume(self, error: _errors.RequestError) -> bool:
+        if not self._may_resume():
             return False
         if isinstance(error, _errors.DeadlineExceeded):
             return False
@@ -295,7 +305,7 @@
         return True
 
 
-def _torn(why: str) -> _errors.TargetTruncated:
+def _truncated(why: str) -> _errors.TargetTruncated:
     return _errors.TargetTruncated(
         f"the replica's stream broke: {why}",
         outcome=_errors.Outcome.UNKNOWN,
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -17,7 +17,7 @@
 from topazlug.targets import _targets
 
 
-class NoteUnreached(Protocol):
+class UnreachedCallback(Protocol):
     """Takes word of a replica that took no connection."""
 
     def __call__(
@@ -83,12 +83,12 @@
         views: _replica_view.ReplicaViews,
         contexts: _context_locator.ContextLocator,
         wire: _wire.ReplicaWire,
-        note_unreached: NoteUnreached,
+        note_unreached: UnreachedCallback,
         note_head: Callable[[_placement.Placement, int, int, float], None],
         clock: _clock.Clock,
         disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
-        self._copies = _mechanisms.Mechanism.COPIES not in disabled
+        self._copies_contexts = _mechanisms.Mechanism.COPIES not in disabled
         self._note_unreached = note_unreached
         self._note_head = note_head
         self._connections = connections
@@ -101,7 +101,7 @@
     def send(
         self,
         call: _call.ForwardedCall,
-        place: _placement.Placement,
+        placement: _placement.Placement,
         *,
         head_timeout: float,
         resume_after: int | None,
@@ -117,23 +117,23 @@
         RequestError
             It may have run.
         """
-        view = self._views.of_incarnation(place.target)
+        view = self._views.of_incarnation(placement.target)
         sent_at = self._clock.monotonic()
         try:
             answer = self._connections.exchange(
-                place.target,
-                self._request(call, place, resume_after),
+                placement.target,
+                self._target_request(call, placement, resume_after),
                 head_timeout=head_timeout,
                 deadline=call.deadline,
             )
         except _target_client.ConnectFailed as error:
             view.note_outcome(failed=True)
-            self._note_unreached(place, is_silent=error.is_silent)
+            self._note_unreached(placement, is_silent=error.is_silent)
             raise
         except _errors.RequestError:
             view.note_outcome(failed=True)
             raise
-        self._note(call, place, answer, sent_at)
+        self._record_answer(call, placement, answer, sent_at)
         if self._wire.verdict(answer) is _wire.AnswerVerdict.NOT_GENUINE:
             answer.close()
             view.note_outcome(failed=True)
@@ -143,23 +143,23 @@
             )
         return answer
 
-    def _request(
+    def _target_request(
         self,
         call: _call.ForwardedCall,
-        place: _placement.Placement,
+        placement: _placement.Placement,
         resume_after: int | None,
     ) -> _target_client.TargetRequest:
-        source = None
-        if call.route.has_context and self._copies:
-            source = self._contexts.source(call.chat, place.target)
+        context_source = None
+        if call.route.has_context and self._copies_contexts:
+            context_source = self._contexts.source(call.chat, placement.target)
         metadata = _wire.AttemptMetadata(
             remaining_seconds=call.deadline - self._clock.monotonic(),
-            replica=place.target.replica,
+            replica=placement.target.replica,
             team=call.team.name if call.team else None,
             is_generation=call.route.has_context,
             priority=call.rank,
             resume_after=resume_after,
-            context_source=source,
+            context_source=context_source,
         )
         return _target_client.TargetRequest(
             method=call.method,
@@ -168,27 +168,27 @@
             body=call.body,
             request_id=call.head.attempt,
             fingerprint=call.fingerprint,
-            attempt=f"{call.head.attempt} {call.started}",
+            attempt=f"{call.head.attempt} {call.started_at}",
             # A kept connection may be closed by the replica just when the
             # request is sent; whether it ran is then unknown, and what may
             # run once only is lost.
             fresh=not call.route.repeatable,
         )
 
-    def _note(
+    def _record_answer(
         self,
         call: _call.ForwardedCall,
-        place: _placement.Placement,
+        placement: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         sent_at: float,
     ) -> None:
-        view = self._views.of_incarnation(place.target)
+        view = self._views.of_incarnation(placement.target)
         seconds = self._clock.monotonic() - sent_at
         view.note_latency(seconds)
-        self._targets.reachability.record_answer(place.target)
+        self._targets.reachability.record_answer(placement.target)
         load = self._wire.load(answer)
         if load is not None:
             view.note_report(load.running + load.waiting)
-            self._note_head(place, load.running, load.waiting, seconds)
+            self._note_head(placement, load.running, load.waiting, seconds)
         if call.route.has_context:
-            self._contexts.note_read(call.chat, place.target)
+            self._contexts.note_read(call.chat, placement.target)
--- a/src/topazlug/forwarding/_forwarder.py
+++ b/src/topazlug/forwarding/_forwarder.py
@@ -12,9 +12,9 @@
 from topazlug.calls import _attempts
 from topazlug.crashes import _crash_guard
 from topazlug.forwarding import _call
+from topazlug.forwarding import _call_metrics
 from topazlug.forwarding import _event_relay
 from topazlug.forwarding import _exchange
-from topazlug.forwarding import _measures
 from topazlug.forwarding import _wire
 from topazlug.limits import _retry_share
 from topazlug.placement import _mechanisms
@@ -30,12 +30,12 @@
 _MAX_BUFFERED_BYTES = 1 << 20
 # A second replica is tried once the first byte is this many times the
 # objective late; before, it may well come on time by itself.
-_SECOND_TRY_OBJECTIVES = 2.0
+_EARLY_RETRY_OBJECTIVES = 2.0
 # Not before so many usual times of an answer: a service that is slow as a
 # whole would only get more work.
-_SECOND_TRY_LATENCIES = 4.0
+_EARLY_RETRY_LATENCIES = 4.0
 # Fields of one connection, RFC 9110 7.6.1, and what concerns only us.
-_HOP_FIELDS = frozenset(
+_HOP_BY_HOP_FIELDS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -69,7 +69,7 @@
         How replicas answer.
     budget : RetryShare
         Retries of this daemon.
-    measures : Measures
+    call_metrics : CallMetrics
         What is counted.
     clock : Clock
         Time.
@@ -87,11 +87,11 @@
         guard: _crash_guard.CrashGuard,
         views: _replica_view.ReplicaViews,
         budget: _retry_share.RetryShare,
-        measures: _measures.Measures,
+        call_metrics: _call_metrics.CallMetrics,
         clock: _clock.Clock,
         disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
-        self._second_tries = (
+        self._early_retries = (
             _mechanisms.Mechanism.EARLY_RETRIES not in disabled
         )
         self._attempts = attempts
@@ -101,7 +101,7 @@
         self._guard = guard
         self._views = views
         self._budget = budget
-        self._measures = measures
+        self._call_metrics = call_metrics
         self._clock = clock
 
     def serve(self, call: _call.ForwardedCall) -> _caller_answer.CallerAnswer:
@@ -121,7 +121,7 @@
         with _caller_watch.cancel_on_disconnect(call.socket):
             try:
                 return self._attempts.run(
-                    call.place_request(),
+                    call.placement_request(),
                     attempt,
                     repeatable=call.route.repeatable,
                     may_repeat=functools.partial(
@@ -131,37 +131,39 @@
                     free_connects=True,
                 )
             except _exchange.AnsweredWithFailure as error:
-                self._measures.answered(call, error.answer.status)
-                return _whole_answer(error.answer, error.body)
+                self._call_metrics.record_answer(call, error.answer.status)
+                return _buffered_answer(error.answer, error.body)
 
     def _attempt(
         self,
         call: _call.ForwardedCall,
         tried: list[_placement.Placement],
-        place: _placement.Placement,
+        placement: _placement.Placement,
     ) -> _caller_answer.CallerAnswer:
         if not tried:
-            self._measures.sent(call)
-        tried.append(place)
-        with _logs.request_fields(replica=place.target.replica):
+            self._call_metrics.record_sent(call)
+        tried.append(placement)
+        with _logs.request_fields(replica=placement.target.replica):
             answer = self._exchange.send(
                 call,
-                place,
-                head_timeout=self._patience(call, place, len(tried)),
+                placement,
+                head_timeout=self._answer_timeout(call, placement, len(tried)),
                 resume_after=call.head.resume_after,
             )
             try:
                 if answer.status == _OK and _is_stream(answer):
-                    return self._stream(call, place, answer, len(tried))
-                return self._whole(call, place, answer)
+                    return self._relay_stream(
+                        call, placement, answer, len(tried)
+                    )
+                return self._relay_whole(call, placement, answer)
             except BaseException:
                 answer.close()
                 raise
 
-    def _patience(
+    def _answer_timeout(
         self,
         call: _call.ForwardedCall,
-        place: _placement.Placement,
+        placement: _placement.Placement,
         tried: int,
     ) -> float:
         """Give how long one replica's answer is awaited.
@@ -169,48 +171,58 @@
         All the time there is, unless another replica may be tried: then a
         replica that says nothing is left once it is clearly late.
         """
-        left = call.deadline - self._clock.monotonic()
+        remaining_seconds = call.deadline - self._clock.monotonic()
         route = call.route
-        if not self._second_tries:
-            return left
+        if not self._early_retries:
+            return remaining_seconds
         if not route.repeatable or tried >= route.max_replicas:
-            return left
+            return remaining_seconds
         if not self._budget.can_retry(call.group):
-            return left
-        usual = self._views.of_incarnation(place.target).latency
-        late = max(
-            _SECOND_TRY_OBJECTIVES * route.latency_objective,
-            _SECOND_TRY_LATENCIES * usual,
+            return remaining_seconds
+        usual_latency = self._views.of_incarnation(placement.target).latency
+        early_retry_after = max(
+            _EARLY_RETRY_OBJECTIVES * route.latency_objective,
+            _EARLY_RETRY_LATENCIES * usual_latency,
+        )
+        return (
+            early_retry_after
+            if early_retry_after < remaining_seconds / 2
+            else remaining_seconds
         )
-        return late if late < left / 2 else left
 
-    def _whole(
+    def _relay_whole(
         self,
         call: _call.ForwardedCall,
-        place: _placement.Placement,
+        placement: _placement.Placement,
         answer: _target_answer.TargetAnswer,
     ) -> _caller_answer.CallerAnswer:
         """Read an answer whole, or its first part if it is very long."""
-        left = call.deadline - self._clock.monotonic()
-        chunks = answer.chunks(receive_timeout=left, deadline=call.deadline)
+        remaining_seconds = call.deadline - self._clock.monotonic()
+        chunks = answer.chunks(
+            receive_timeout=remaining_seconds, deadline=call.deadline
+        )
         head = bytearray()
         for data in chunks:
             head += data
             if len(head) > _MAX_BUFFERED_BYTES:
-                return self._long(call, place, answer, bytes(head), chunks)
+                return self._relay_long(
+                    call, placement, answer, bytes(head), chunks
+                )
         failed = answer.status >= _SERVER_ERROR
-        self._views.of_incarnation(place.target).note_outcome(failed=failed)
+        self._views.of_incarnation(placement.target).note_outcome(
+            failed=failed
+        )
         if failed and call.route.repeatable:
             raise _exchange.AnsweredWithFailure(answer, bytes(head))
-        self._admission.release(place)
-        self._measures.first_byte(call)
-        self._measures.answered(call, answer.status)
-        return _whole_answer(answer, bytes(head))
+        self._admission.release(placement)
+        self._call_metrics.record_first_byte(call)
+        self._call_metrics.record_answer(call, answer.status)
+        return _buffered_answer(answer, bytes(head))
 
-    def _long(
+    def _relay_long(
         self,
         call: _call.ForwardedCall,
-        place: _placement.Placement,
+        placement: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         head: bytes,
         chunks: Iterator[bytes],
@@ -221,7 +233,7 @@
 
         def pieces() -> Iterator[bytes]:
             with contextlib.ExitStack() as stack:
-                stack.callback(self._admission.release, place)
+                stack.callback(self._admission.release, placement)
                 stack.callback(answer.close)
                 stack.callback(watch.stop)
                 yield b""
@@ -230,14 +242,14 @@
 
         return _caller_answer.CallerAnswer(
             status=answer.status,
-            headers=caller_fields(answer, keep_length=True),
+            headers=forwarded_fields(answer, keep_length=True),
             body=_caller_answer.prime(pieces()),
         )
 
-    def _stream(
+    def _relay_stream(
         self,
         call: _call.ForwardedCall,
-        place: _placement.Placement,
+        placement: _placement.Placement,
         answer: _target_answer.TargetAnswer,
         tried: int,
     ) -> _caller_answer.CallerAnswer:
@@ -248,47 +260,49 @@
         """
         relay = _event_relay.EventRelay(
             call=call,
-            place=place,
+            placement=placement,
             answer=answer,
             tried=tried,
             resumer=self._resumer,
-            measures=self._measures,
+            call_metrics=self._call_metrics,
             clock=self._clock,
         )
-        first = relay.read_first(patience=self._patience(call, place, tried))
-        self._measures.first_byte(call)
+        first = relay.read_first_events(
+            receive_timeout=self._answer_timeout(call, placement, tried)
+        )
+        self._call_metrics.record_first_byte(call)
         return _caller_answer.CallerAnswer(
             status=answer.status,
-            headers=caller_fields(answer, keep_length=False),
-            body=_caller_answer.prime(relay.pieces(first)),
+            headers=forwarded_fields(answer, keep_length=False),
+            body=_caller_answer.prime(relay.body_pieces(first)),
         )
 
 
-def caller_fields(
+def forwarded_fields(
     answer: _target_answer.TargetAnswer, *, keep_length: bool
 ) -> list[_wire.Field]:
     """Give the fields of a replica's answer that go on to the caller."""
-    dropped = set(_HOP_FIELDS)
+    removed = set(_HOP_BY_HOP_FIELDS)
     for value in answer.header_values("Connection"):
-        dropped.update(name.strip().lower() for name in value.split(","))
+        removed.update(name.strip().lower() for name in value.split(","))
     if not keep_length:
-        dropped.add("content-length")
+        removed.add("content-length")
     return [
         (name, value)
         for name, value in answer.headers
-        if name.lower() not in dropped
+        if name.lower() not in removed
     ]
 
 
 def _is_stream(answer: _target_answer.TargetAnswer) -> bool:
-    kind = answer.header("Content-Type")
-    return kind.partition(";")[0].strip().lower() == "text/event-stream"
+    media_type = answer.header("Content-Type")
+    return media_type.partition(";")[0].strip().lower() == "text/event-stream"
 
 
-def _whole_answer(
+def _buffered_answer(
     answer: _target_answer.TargetAnswer, body: bytes
 ) -> _caller_answer.CallerAnswer:
-    headers = caller_fields(answer, keep_length=False)
+    headers = forwarded_fields(answer, keep_length=False)
     headers.append(("Content-Length", str(len(body))))
     return _caller_answer.CallerAnswer(
         status=answer.status, headers=headers, body=iter([body])
--- a/src/topazlug/forwarding/_forwarder_parts.py
+++ b/src/topazlug/forwarding/_forwarder_assembly.py
@@ -8,10 +8,10 @@
 from topazlug import _logs
 from topazlug.calls import _attempts
 from topazlug.crashes import _crash_guard
+from topazlug.forwarding import _call_metrics
 from topazlug.forwarding import _event_relay
 from topazlug.forwarding import _exchange
 from topazlug.forwarding import _forwarder
-from topazlug.forwarding import _measures
 from topazlug.forwarding import _wire
 from topazlug.limits import _retry_share
 from topazlug.placement import _context_locator
@@ -26,7 +26,7 @@
 
 
 @final
-class ForwarderParts(msgspec.Struct, frozen=True, kw_only=True):
+class ForwarderAssembly(msgspec.Struct, frozen=True, kw_only=True):
     """What a forwarder needs of its daemon.
 
     Attributes
@@ -43,7 +43,7 @@
         Knows where prompts' contexts lie.
     guard : CrashGuard
         Refuses requests that crash replicas.
-    measures : Measures
+    call_metrics : CallMetrics
         What is counted.
     targets : TargetDirectory
         Replicas.
@@ -61,7 +61,7 @@
     connections: _target_client.TargetConnections
     contexts: _context_locator.ContextLocator
     guard: _crash_guard.CrashGuard
-    measures: _measures.Measures
+    call_metrics: _call_metrics.CallMetrics
     targets: _targets.TargetDirectory
     views: _replica_view.ReplicaViews
     wire: _wire.ReplicaWire
@@ -78,7 +78,7 @@
             guard=self.guard,
             views=self.views,
             budget=self.budget,
-            measures=self.measures,
+            call_metrics=self.call_metrics,
             disabled=self.disabled,
             clock=self.clock,
         )
@@ -102,7 +102,7 @@
             targets=self.targets,
             budget=self.budget,
             clock=self.clock,
-            count_retry=self._note_retry,
+            count_retry=self._record_retry,
         )
 
     def _new_resumer(
@@ -118,8 +118,8 @@
             clock=self.clock,
         )
 
-    def _note_retry(self, request: _placement.PlacementRequest) -> None:
-        self.measures.retried(request)
+    def _record_retry(self, request: _placement.PlacementRequest) -> None:
+        self.call_metrics.record_retry(request)
         _log.info(
             "another replica of {group} is tried",
             group=request.group,
--- a/src/topazlug/forwarding/_graceful_stop.py
+++ b/src/topazlug/forwarding/_graceful_stop.py
@@ -11,7 +11,7 @@
 _READINESS_PROPAGATION_SECONDS = 2.6
 # Time before the platform's own limit at which a stop ends all the same.
 _STOP_MARGIN_SECONDS = 0.4
-_QUIET_SECONDS = 0.3
+_IDLE_SECONDS = 0.3
 _POLL_SECONDS = 0.05
 
 
@@ -54,17 +54,17 @@
             self._callers.do_handle(*accepted)
         self._callers.close()
         self._callers.close_idle()
-        self._wait_until_quiet(end)
+        self._wait_until_idle(end)
 
-    def _wait_until_quiet(self, end: float) -> None:
-        quiet_since: float | None = None
+    def _wait_until_idle(self, end: float) -> None:
+        idle_since: float | None = None
         while self._clock.monotonic() < end:
             now = self._clock.monotonic()
             self._callers.close_idle()
             if self._in_progress() or self._callers.connections:
-                quiet_since = None
-            elif quiet_since is None:
-                quiet_since = now
-            elif now - quiet_since >= _QUIET_SECONDS:
+                idle_since = None
+            elif idle_since is None:
+                idle_since = now
+            elif now - idle_since >= _IDLE_SECONDS:
                 return
             self._clock.sleep(_POLL_SECONDS)
--- a/src/topazlug/forwarding/_probes.py
+++ b/src/topazlug/forwarding/_monitoring.py
@@ -14,7 +14,7 @@
 
 
 @final
-class Probes:
+class MonitoringListeners:
     """Answers whoever asks how this daemon does.
 
     Parameters
@@ -37,41 +37,53 @@
         self._health_path = options.health_path
         self._is_ready = is_ready
         self._metrics = metrics
-        self._health = _listener(options.health, self._answer_health)
-        self._scrapes = _listener(options.metrics, self._answer_scrape)
+        self._readiness_server = _new_server(
+            options.health, self._answer_readiness
+        )
+        self._metrics_server = _new_server(
+            options.metrics, self._answer_metrics
+        )
 
     def start(self) -> None:
         """Listen from now on."""
-        self._health.start()
-        self._scrapes.start()
+        self._readiness_server.start()
+        self._metrics_server.start()
 
     def stop(self) -> None:
         """Listen no more."""
-        self._health.stop(timeout=0)
-        self._scrapes.stop(timeout=0)
+        self._readiness_server.stop(timeout=0)
+        self._metrics_server.stop(timeout=0)
 
     @property
     def metrics_port(self) -> int:
         """Give the port of the metrics."""
-        return int(self._scrapes.server_port)
+        return int(self._metrics_server.server_port)
 
-    def _answer_health(self, environ: Any, start: Any) -> list[bytes]:
+    def _answer_readiness(
+        self, environ: Any, start_response: Any
+    ) -> list[bytes]:
         found = environ["PATH_INFO"] == self._health_path
         status = "200 OK" if self._is_ready() else "503 Service Unavailable"
-        start(status if found else "404 Not Found", [("Content-Length", "0")])
+        start_response(
+            status if found else "404 Not Found", [("Content-Length", "0")]
+        )
         return [b""]
 
-    def _answer_scrape(self, environ: Any, start: Any) -> list[bytes]:
+    def _answer_metrics(
+        self, environ: Any, start_response: Any
+    ) -> list[bytes]:
         if environ["PATH_INFO"] != _METRICS_PATH:
-            start("404 Not Found", [("Content-Length", "0")])
+            start_response("404 Not Found", [("Content-Length", "0")])
             return [b""]
         body = self._metrics.exposition()
         headers = [("Content-Type", _metrics.CONTENT_TYPE)]
-        start("200 OK", [*headers, ("Content-Length", str(len(body)))])
+        start_response(
+            "200 OK", [*headers, ("Content-Length", str(len(body)))]
+        )
         return [body]
 
 
-def _listener(
+def _new_server(
     address: _settings_types.AddressSettings, answer: Callable[..., Any]
 ) -> pywsgi.WSGIServer:
     return pywsgi.WSGIServer(
--- a/src/topazlug/forwarding/_start_gate.py
+++ b/src/topazlug/forwarding/_startup_gate.py
@@ -9,11 +9,11 @@
 # A daemon that starts has its table and its replicas 20 to 30 ms after it
 # listens. Ten times that covers a busy instance; whoever comes later, or finds
 # the store away, is answered at once.
-_START_SECONDS = 0.3
+_STARTUP_SECONDS = 0.3
 
 
 @final
-class StartGate:
+class StartupGate:
     """Holds requests up while the daemon has only just started.
 
     After all daemons were killed, the callers' connections come back before
@@ -28,7 +28,7 @@
 
     def __init__(self, *, clock: _clock.Clock) -> None:
         self._clock = clock
-        self._closes_at = clock.monotonic() + _START_SECONDS
+        self._closes_at = clock.monotonic() + _STARTUP_SECONDS
         self._opened = event.Event()
 
     def open(self) -> None:
@@ -37,6 +37,6 @@
 
     def wait(self) -> None:
         """Wait until the daemon can serve, or has had its time to start."""
-        left = self._closes_at - self._clock.monotonic()
-        if left > 0:
-            self._opened.wait(left)
+        remaining_seconds = self._closes_at - self._clock.monotonic()
+        if remaining_seconds > 0:
+            self._opened.wait(remaining_seconds)
--- a/src/topazlug/forwarding/_table.py
+++ b/src/topazlug/forwarding/_table.py
@@ -160,10 +160,12 @@
         self.routes_by_host: dict[str, list[Route]] = {}
         for route in routes:
             self.routes_by_host.setdefault(route.host, []).append(route)
-        for found in self.routes_by_host.values():
-            found.sort(key=lambda route: len(route.prefix), reverse=True)
+        for routes_of_host in self.routes_by_host.values():
+            routes_of_host.sort(
+                key=lambda route: len(route.prefix), reverse=True
+            )
 
-        self._rank_by_claim = _ranks(routes, teams_by_key)
+        self._rank_by_precedence = _rank_precedences(routes, teams_by_key)
 
     def rank_of(self, route: Route, team: Team | None) -> int:
         """Give a request's rank among all that the table knows, 0 first.
@@ -173,7 +175,7 @@
         team's priority alone, the most and the least urgent routes of a team
         wait in one line.
         """
-        return self._rank_by_claim[_claim(route, team)]
+        return self._rank_by_precedence[_precedence(route, team)]
 
     def find_route(self, host: str, path: str) -> Route:
         """Give the route with the longest prefix of a path.
@@ -205,36 +207,39 @@
         return team
 
 
-class _Claim(NamedTuple):
+class _Precedence(NamedTuple):
     """What decides who comes first, the smaller the earlier."""
 
     priority: int
     route_priority: int
 
 
-def _claim(route: Route, team: Team | None) -> _Claim:
+def _precedence(route: Route, team: Team | None) -> _Precedence:
     if team is None or team.priority is None:
-        return _Claim(route.priority, route.priority)
-    return _Claim(team.priority, route.priority)
+        return _Precedence(route.priority, route.priority)
+    return _Precedence(team.priority, route.priority)
 
 
-def _ranks(
+def _rank_precedences(
     routes: Iterable[Route], teams_by_key: Mapping[str, Team] | None
-) -> dict[_Claim, int]:
+) -> dict[_Precedence, int]:
     """Give the rank of each claim that a request of this table may have."""
     teams: set[Team | None] = {None, *(teams_by_key or {}).values()}
     route_by_priority = {route.priority: route for route in routes}
-    claims = sorted(
+    precedences = sorted(
         {
-            _claim(route, team)
+            _precedence(route, team)
             for route in route_by_priority.values()
             for team in teams
         }
     )
-    last = max(1, len(claims) - 1)
+    last = max(1, len(precedences) - 1)
     # Where there are more claims than ranks, neighbours share one.
     steps = min(LAST_RANK, last)
-    return {claim: place * steps // last for place, claim in enumerate(claims)}
+    return {
+        precedence: index * steps // last
+        for index, precedence in enumerate(precedences)
+    }
 
 
 @final
@@ -254,7 +259,7 @@
         """Give the version in force, 0 before the first."""
         return self.current.version if self.current else 0
 
-    def take(self, table: RoutingTable) -> bool:
+    def update(self, table: RoutingTable) -> bool:
         """Put a table in force if it is newer; tell whether it was."""
         if table.version <= self.version:
             return False
--- a/tests/topazlug/forwarding/test_blocked_requests.py
+++ b/tests/topazlug/forwarding/test_blocked_requests.py
@@ -17,35 +17,35 @@
 
 @pytest.fixture
 def store(clock):
-    made = store_fakes.FakeTables()
-    for note in (
+    tables = store_fakes.FakeTables()
+    for record in (
         crash_fixtures.crash("i-1@1", ("f", "a1"), at=clock.now()),
         crash_fixtures.block("f", "i-1@1", at=clock.now()),
         crash_fixtures.block("g", "i-2@1", at=clock.now(), released=True),
     ):
-        made.put(
+        tables.put(
             _crash_records.TABLE,
-            _crash_records.record_key(note),
-            _crash_records.encode(note),
+            _crash_records.record_key(record),
+            _crash_records.encode(record),
         )
-    made.put(_crash_records.TABLE, "block/spoilt", b"{")
-    return made
+    tables.put(_crash_records.TABLE, "block/spoilt", b"{")
+    return tables
 
 
-def names(store, clock):
-    found = _blocked_requests.blocked(store, clock=clock)
-    return [block.fingerprint for block in found]
+def blocked_fingerprints(store, clock):
+    blocks = _blocked_requests.blocked(store, clock=clock)
+    return [block.fingerprint for block in blocks]
 
 
 class TestBlocked:
     def test_those_in_force(self, store, clock):
-        assert names(store, clock) == ["f"]
+        assert blocked_fingerprints(store, clock) == ["f"]
         clock.advance(_crash_records.RETENTION.total_seconds())
-        assert names(store, clock) == []
+        assert blocked_fingerprints(store, clock) == []
 
     def test_release(self, store, clock):
         _blocked_requests.release(store, "f", clock=clock)
-        assert names(store, clock) == []
+        assert blocked_fingerprints(store, clock) == []
 
     def test_release_of_what_is_not_blocked(self, store, clock):
         with pytest.raises(_errors.NotBlocked):
--- a/tests/topazlug/forwarding/test_table.py
+++ b/tests/topazlug/forwarding/test_table.py
@@ -64,6 +64,6 @@
         shows was taken.
         """
         holder = _table.TableHolder()
-        assert holder.take(fixtures.table(version=7))
-        assert not holder.take(fixtures.table(version=5))
+        assert holder.update(fixtures.table(version=7))
+        assert not holder.update(fixtures.table(version=5))
         assert holder.version == 7
--- a/tests/topazlug_platform/crash_site.py
+++ b/tests/topazlug_platform/crash_site.py
@@ -229,7 +229,7 @@
         """Say whether there are so many rows, and all daemons know them."""
         rows = self.store._held(_crash_records.TABLE).keys()
         return len(rows) >= count and all(
-            rows <= daemon._crashes.guard._history._shared_by_key.keys()
+            rows <= daemon._crash_assembly.guard._history._shared_by_key.keys()
             for daemon in self.daemons
         )
 
@@ -239,7 +239,7 @@
 
     def is_blocked(self, number):
         """Say whether a daemon knows of a request that crashes replicas."""
-        return bool(self.daemons[number]._crashes.guard.blocked)
+        return bool(self.daemons[number]._crash_assembly.guard.blocked)
 
     def is_block_written(self):
         """Say whether a row of the store blocks a request."""
@@ -249,7 +249,7 @@
     def is_checked(self):
         """Say whether all daemons know which replicas live."""
         return not any(
-            daemon._crashes.guard._detector._check_by_incarnation
+            daemon._crash_assembly.guard._detector._check_by_incarnation
             for daemon in self.daemons
         )
 
--- a/tests/topazlug_platform/test_requests_that_crash.py
+++ b/tests/topazlug_platform/test_requests_that_crash.py
@@ -217,7 +217,7 @@
                 gevent.killall(asking)
             made.wait_blocked(0, 1, 2)
             for daemon in made.daemons:
-                assert daemon._crashes.guard.blocked == 1
+                assert daemon._crash_assembly.guard.blocked == 1
 
     def test_replicas_that_crash_by_themselves(self):
         """Replicas crashed again and again, whatever they ran."""
