--- a/src/topazlug/callers/_caller_answer.py
+++ b/src/topazlug/callers/_caller_answer.py
@@ -10,7 +10,7 @@
 from topazlug import _ids
 
 OUTCOME = "Topazlug-Outcome"
-_JSON = ("Content-Type", "application/json")
+_JSON_CONTENT_TYPE = ("Content-Type", "application/json")
 
 
 class CallerAnswer(msgspec.Struct):
@@ -63,14 +63,14 @@
     error: _errors.TopazlugError, request_id: _ids.RequestId
 ) -> bytes:
     """Give the error in the OpenAI shape, as JSON."""
-    kind = "server_error"
+    error_type = "server_error"
     if error.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-        kind = "invalid_request_error"
+        error_type = "invalid_request_error"
     return msgspec.json.encode(
         _ErrorDocument(
             _ErrorBody(
                 message=error.message,
-                type=kind,
+                type=error_type,
                 code=error.code.value,
                 request_id=request_id,
             )
@@ -78,7 +78,7 @@
     )
 
 
-def of_error(
+def error_answer(
     error: _errors.TopazlugError,
     request_id: _ids.RequestId,
     *,
@@ -103,26 +103,26 @@
         outcome = error.outcome
         retry_after = error.retry_after
     headers = [
-        _JSON,
+        _JSON_CONTENT_TYPE,
         ("Content-Length", str(len(body))),
         (OUTCOME, outcome.value),
         ("X-Request-Id", request_id),
     ]
     if retry_after is not None:
-        shown = f"{retry_after:.3f}"
+        header_value = f"{retry_after:.3f}"
         if whole_seconds:
-            shown = str(math.ceil(retry_after))
-        headers.append(("Retry-After", shown))
+            header_value = str(math.ceil(retry_after))
+        headers.append(("Retry-After", header_value))
     return CallerAnswer(
         status=int(error.status), headers=headers, body=iter([body])
     )
 
 
-def of_json(document: object, request_id: _ids.RequestId) -> CallerAnswer:
+def json_answer(document: object, request_id: _ids.RequestId) -> CallerAnswer:
     """Make a JSON answer of this daemon's own."""
     body = msgspec.json.encode(document)
     headers = [
-        _JSON,
+        _JSON_CONTENT_TYPE,
         ("Content-Length", str(len(body))),
         ("X-Request-Id", request_id),
     ]
--- a/src/topazlug/callers/_caller_connection.py
+++ b/src/topazlug/callers/_caller_connection.py
@@ -19,12 +19,12 @@
 IDLE_SECONDS = 75.0
 _WRITE_SECONDS = 30.0
 _LINGER_SECONDS = 2.0
-_LINGER_BLOCK = 65536
+_LINGER_BLOCK_BYTES = 65536
 
 
-def _refused(error: _errors.RequestError) -> bytes:
+def _error_response(error: _errors.RequestError) -> bytes:
     """Give the whole answer to what is no request."""
-    answer = _caller_answer.of_error(error, _ids.RequestId(""))
+    answer = _caller_answer.error_answer(error, _ids.RequestId(""))
     lines = [f"HTTP/1.1 {_caller_answer.status_line(answer.status)}"]
     lines += [f"{name}: {value}" for name, value in answer.headers]
     lines += ["Connection: close", "", ""]
@@ -34,8 +34,8 @@
 class CallersHandler(pywsgi.WSGIHandler):
     """The library's handler, with bounds on time and the socket at hand."""
 
-    _refusal: _errors.RequestError | None = None
-    _is_read_to_its_end = False
+    _rejection: _errors.RequestError | None = None
+    _has_ended_reading = False
 
     def handle(self) -> None:
         """Serve one connection."""
@@ -56,7 +56,7 @@
 
     def end_reading(self) -> None:
         """Take no further request than one that is already here."""
-        self._is_read_to_its_end = True
+        self._has_ended_reading = True
         try:
             # The library's own shutdown breaks off a read that waits, and
             # bytes that have just arrived would be thrown away with it.
@@ -70,9 +70,11 @@
         A caller that sends a byte now and then would otherwise hold a
         connection for ever, and enough of them hold all.
         """
-        late = _errors.BodyTooSlow("the head of the request took too long")
+        timeout_error = _errors.BodyTooSlow(
+            "the head of the request took too long"
+        )
         _caller_head.check_line(raw_requestline)
-        with gevent.Timeout(self.server.head_seconds, late):
+        with gevent.Timeout(self.server.head_seconds, timeout_error):
             return super().read_request(raw_requestline)
 
     def MessageClass(self, *args: Any) -> Any:  # noqa: N802
@@ -85,28 +87,28 @@
         result = super().handle_one_request()
         if not isinstance(result, tuple):
             return result
-        error = self._refusal or _errors.BadHeader(
+        error = self._rejection or _errors.BadHeader(
             "the request line is too long"
         )
-        self.socket.sendall(_refused(error))
+        self.socket.sendall(_error_response(error))
         self._linger()
         return None
 
     def _handle_client_error(self, ex: Exception) -> Any:
-        self._refusal = (
+        self._rejection = (
             ex
             if isinstance(ex, _errors.RequestError)
             else _errors.BadHeader("not an HTTP/1.1 request")
         )
-        _log.info("refused: {why}", why=self._refusal.message)
-        return super()._handle_client_error(self._refusal)
+        _log.info("refused: {why}", why=self._rejection.message)
+        return super()._handle_client_error(self._rejection)
 
     def get_environ(self) -> dict[str, Any]:
         """Give the WSGI environment and the connection."""
         environ = super().get_environ()
         # The end of reading looks like a caller that hangs up; a request
         # that had just arrived would be given up while it runs.
-        is_watched = not self._is_read_to_its_end
+        is_watched = not self._has_ended_reading
         environ[_caller_request.SOCKET] = self.socket if is_watched else None
         environ[_caller_request.RAW_PATH] = self.path.partition("?")[0]
         environ[_caller_request.FIELDS] = self.headers.items()
@@ -161,7 +163,7 @@
         try:
             self.socket.shutdown(_plain_socket.SHUT_WR)
             with gevent.Timeout(_LINGER_SECONDS, False):
-                while self.socket.recv(_LINGER_BLOCK):
+                while self.socket.recv(_LINGER_BLOCK_BYTES):
                     pass
         except OSError:
             return
--- a/src/topazlug/callers/_caller_head.py
+++ b/src/topazlug/callers/_caller_head.py
@@ -14,14 +14,14 @@
 
 from topazlug import _errors
 
-_MAX_LINE = 16384
-_MAX_HEAD = 65536
+_MAX_LINE_BYTES = 16384
+_MAX_HEAD_BYTES = 65536
 _MAX_FIELDS = 100
 _TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
 _FIELD = re.compile(rb"(" + _TOKEN + rb"):([\t\x20-\x7e\x80-\xff]*)\r\n")
 _LINE = re.compile(r"[A-Za-z]{1,32} [\x21-\x7e]+ HTTP/1\.[01]\r\n")
 _LENGTH = re.compile(rb"[0-9]{1,18}")
-_AT_MOST_ONCE = frozenset(
+_SINGLE_FIELDS = frozenset(
     {
         b"authorization",
         b"content-length",
@@ -73,11 +73,11 @@
     lines: list[bytes] = []
     values_by_name: dict[bytes, list[bytes]] = {}
     size = 0
-    while (line := stream.readline(_MAX_LINE)) != b"\r\n":
+    while (line := stream.readline(_MAX_LINE_BYTES)) != b"\r\n":
         size += len(line)
-        if size > _MAX_HEAD or len(lines) >= _MAX_FIELDS:
+        if size > _MAX_HEAD_BYTES or len(lines) >= _MAX_FIELDS:
             raise _errors.BadHeader(
-                f"more than {_MAX_FIELDS} fields or {_MAX_HEAD} bytes"
+                f"more than {_MAX_FIELDS} fields or {_MAX_HEAD_BYTES} bytes"
             )
         match = _FIELD.fullmatch(line)
         if match is None:
@@ -91,7 +91,7 @@
 
 
 def _check_repeats(values_by_name: dict[bytes, list[bytes]]) -> None:
-    for name in _AT_MOST_ONCE & values_by_name.keys():
+    for name in _SINGLE_FIELDS & values_by_name.keys():
         if len(values_by_name[name]) > 1:
             raise _errors.BadHeader(f"{name.decode()} is given twice")
 
--- a/src/topazlug/callers/_caller_request.py
+++ b/src/topazlug/callers/_caller_request.py
@@ -19,7 +19,7 @@
 from topazlug.configuration import _configuration
 
 _BEARER = "bearer "
-_READ_BLOCK = 65536
+_READ_BLOCK_BYTES = 65536
 _MAX_KEY_CHARACTERS = 512
 SOCKET = "topazlug.socket"
 RAW_PATH = "topazlug.raw_path"
@@ -42,10 +42,10 @@
     @property
     def class_name(self) -> str:
         """Give the request class's name."""
-        chosen = table.RequestClass.interactive
+        request_class = table.RequestClass.interactive
         if self.batch:
-            chosen = table.RequestClass.batch
-        return chosen.value
+            request_class = table.RequestClass.batch
+        return request_class.value
 
 
 @final
@@ -91,9 +91,9 @@
         for key, value in self._environ.items():
             if key.startswith("HTTP_"):
                 yield key[5:].replace("_", "-").title(), value
-        kind = self._environ.get("CONTENT_TYPE", "")
-        if kind:
-            yield "Content-Type", kind
+        content_type = self._environ.get("CONTENT_TYPE", "")
+        if content_type:
+            yield "Content-Type", content_type
 
     def identify(self, snapshot: _configuration.TableSnapshot) -> Caller:
         """Find the team by the API key.
@@ -105,10 +105,10 @@
         BadHeader
             An unknown request class.
         """
-        given = self.header("Authorization")
-        if not given.lower().startswith(_BEARER):
+        authorization = self.header("Authorization")
+        if not authorization.lower().startswith(_BEARER):
             raise _errors.BadKey("send Authorization: Bearer <API key>")
-        key = given[len(_BEARER) :].strip()
+        key = authorization[len(_BEARER) :].strip()
         if not key or len(key) > _MAX_KEY_CHARACTERS:
             raise _errors.BadKey("the API key is empty or too long")
         digest = hashlib.sha256(key.encode("latin-1")).hexdigest()
@@ -118,17 +118,19 @@
         return Caller(team=team, batch=self._is_batch(team))
 
     def _is_batch(self, team: table.TeamRow) -> bool:
-        named = self.header("X-Request-Class")
-        if not named:
+        value = self.header("X-Request-Class")
+        if not value:
             return team.request_class is table.RequestClass.batch
         try:
-            chosen = table.RequestClass(named)
+            request_class = table.RequestClass(value)
         except ValueError:
-            known = ", ".join(kind.value for kind in table.RequestClass)
+            known = ", ".join(
+                known_class.value for known_class in table.RequestClass
+            )
             raise _errors.BadHeader(
-                f"X-Request-Class is {named!r}; known are {known}"
+                f"X-Request-Class is {value!r}; known are {known}"
             ) from None
-        return chosen is table.RequestClass.batch
+        return request_class is table.RequestClass.batch
 
     def read_deadline(self, *, max_seconds: float | None = None) -> None:
         """Take the deadline that the caller names.
@@ -145,9 +147,9 @@
         """
         allowed = self._limits.max_deadline
         seconds = min(self._limits.default_deadline, allowed)
-        named = self.header("X-Request-Timeout")
-        if named:
-            seconds = min(_seconds(named), allowed)
+        value = self.header("X-Request-Timeout")
+        if value:
+            seconds = min(_parse_seconds(value), allowed)
         if max_seconds is not None:
             seconds = min(seconds, max_seconds)
         self.deadline = self.started + seconds
@@ -160,10 +162,10 @@
         DeadlineExceeded
             None are left.
         """
-        left = self.deadline - self._clock.monotonic()
-        if left <= 0:
+        remaining_seconds = self.deadline - self._clock.monotonic()
+        if remaining_seconds <= 0:
             raise _errors.DeadlineExceeded("the request's deadline passed")
-        return left
+        return remaining_seconds
 
     def read_body(self) -> bytes:
         """Read the whole body within the bounds on size and time.
@@ -203,8 +205,10 @@
     if declared.isdigit() and int(declared) > limit:
         raise _too_large(limit)
     stream: BinaryIO = environ["wsgi.input"]
-    late = _errors.BodyTooSlow(f"the body took longer than {timeout} s")
-    with gevent.Timeout(timeout, late):
+    timeout_error = _errors.BodyTooSlow(
+        f"the body took longer than {timeout} s"
+    )
+    with gevent.Timeout(timeout, timeout_error):
         try:
             body = _read_at_most(stream, limit)
         except (OSError, ValueError) as error:
@@ -223,7 +227,7 @@
 def _read_at_most(stream: BinaryIO, limit: int) -> bytes:
     blocks: list[bytes] = []
     size = 0
-    while block := stream.read(_READ_BLOCK):
+    while block := stream.read(_READ_BLOCK_BYTES):
         size += len(block)
         if size > limit:
             raise _too_large(limit)
@@ -231,13 +235,13 @@
     return b"".join(blocks)
 
 
-def _seconds(named: str) -> float:
+def _parse_seconds(value: str) -> float:
     try:
-        seconds = float(named)
+        seconds = float(value)
     except ValueError:
         seconds = 0.0
     if not 0 < seconds < 1e9:
         raise _errors.BadHeader(
-            f"X-Request-Timeout is {named!r}; give seconds above 0"
+            f"X-Request-Timeout is {value!r}; give seconds above 0"
         )
     return seconds
--- a/src/topazlug/callers/_caller_watch.py
+++ b/src/topazlug/callers/_caller_watch.py
@@ -36,9 +36,11 @@
     CallerLeft
         The caller hung up.
     """
-    here = gevent.getcurrent()
+    greenlet = gevent.getcurrent()
     error = CallerLeft("the caller hung up before its answer began")
-    watch = CallerWatch(connection, on_disconnect=lambda: here.throw(error))
+    watch = CallerWatch(
+        connection, on_disconnect=lambda: greenlet.throw(error)
+    )
     try:
         yield
     finally:
@@ -71,9 +73,9 @@
             return
         loop = gevent.get_hub().loop
         self._watcher = loop.io(connection.fileno(), 1)
-        self._watcher.start(self._look)
+        self._watcher.start(self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         flags = _plain_socket.MSG_PEEK | _plain_socket.MSG_DONTWAIT
         try:
             data = self._connection._sock.recv(1, flags)
--- a/src/topazlug/callers/_callers.py
+++ b/src/topazlug/callers/_callers.py
@@ -26,7 +26,7 @@
 _MODELS = "/v1/models"
 
 
-class Calls(Protocol):
+class CallHandler(Protocol):
     """What serves one kind of request."""
 
     def serve(
@@ -71,8 +71,8 @@
     def __init__(
         self,
         *,
-        chats: Calls,
-        services: Calls,
+        chats: CallHandler,
+        services: CallHandler,
         configuration: _configuration.ConfigurationHolder,
         limits: _settings_types.LimitSettings,
         metrics: _metrics.Metrics,
@@ -87,7 +87,7 @@
         self.in_progress = 0
 
     def __call__(
-        self, environ: Mapping[str, Any], start: _wsgi.StartResponse
+        self, environ: Mapping[str, Any], start_response: _wsgi.StartResponse
     ) -> Iterable[bytes]:
         """Answer one request, as WSGI asks."""
         request = _caller_request.CallerRequest(
@@ -96,12 +96,12 @@
         self.in_progress += 1
         return _wsgi.respond(
             lambda: self._answer(request),
-            start,
+            start_response,
             is_head=request.method == "HEAD",
-            ended=self._ended,
+            on_end=self._on_answer_end,
         )
 
-    def _ended(self) -> None:
+    def _on_answer_end(self) -> None:
         self.in_progress -= 1
 
     def _answer(
@@ -112,18 +112,18 @@
                 return self._serve(request)
             except _caller_watch.CallerLeft as error:
                 _log.info("the caller left before its answer began")
-                return _caller_answer.of_error(error, request.request_id)
+                return _caller_answer.error_answer(error, request.request_id)
             except _errors.TopazlugError as error:
                 _log.info(
                     "refused with {code}: {why}",
                     code=error.code.value,
                     why=error.message,
                 )
-                return _caller_answer.of_error(error, request.request_id)
+                return _caller_answer.error_answer(error, request.request_id)
             except Exception:
                 _log.exception("a request met a fault of this daemon")
                 fault = _errors.TopazlugError("internal error")
-                return _caller_answer.of_error(fault, request.request_id)
+                return _caller_answer.error_answer(fault, request.request_id)
 
     def _serve(
         self, request: _caller_request.CallerRequest
@@ -147,7 +147,7 @@
             try:
                 return self._dispatch(request, caller, snapshot)
             except _errors.RequestError as error:
-                self._count(caller, error)
+                self._count_failure(caller, error)
                 raise
 
     def _dispatch(
@@ -157,16 +157,16 @@
         snapshot: _configuration.TableSnapshot,
     ) -> _caller_answer.CallerAnswer:
         if request.path == _CHAT:
-            _want_method(request, "POST")
+            _require_method(request, "POST")
             return self._chats.serve(request, caller, snapshot)
         if request.path == _MODELS:
-            _want_method(request, "GET")
+            _require_method(request, "GET")
             return _models(request, caller, snapshot)
         if request.raw_path.startswith(_service_calls.PREFIX):
             return self._services.serve(request, caller, snapshot)
         raise _errors.UnknownPath(f"no path {request.path!r}")
 
-    def _count(
+    def _count_failure(
         self,
         caller: _caller_request.Caller,
         error: _errors.RequestError,
@@ -179,7 +179,9 @@
             self._metrics.count_refusal(caller.name, request_class, error.code)
 
 
-def _want_method(request: _caller_request.CallerRequest, method: str) -> None:
+def _require_method(
+    request: _caller_request.CallerRequest, method: str
+) -> None:
     if request.method != method:
         raise _errors.BadMethod(
             f"{request.path} takes {method}, not {request.method}"
@@ -198,4 +200,4 @@
         if not allowed or row.name in allowed
     )
     document = _Models(data=[_Model(id=name) for name in names])
-    return _caller_answer.of_json(document, request.request_id)
+    return _caller_answer.json_answer(document, request.request_id)
--- a/src/topazlug/callers/_wsgi.py
+++ b/src/topazlug/callers/_wsgi.py
@@ -15,50 +15,53 @@
 class AnswerBody:
     """An answer's pieces; tells when the answer has ended, however."""
 
-    def __init__(self, *, ended: Callable[[], None] | None = None) -> None:
+    def __init__(self, *, on_end: Callable[[], None] | None = None) -> None:
         self.pieces: Iterator[bytes] = iter(())
-        self._ended = ended
+        self._on_end = on_end
 
     def __iter__(self) -> Iterator[bytes]:
         return self.pieces
 
     def close(self) -> None:
         """End the answer, whole or not."""
-        ended, self._ended = self._ended, None
+        on_end, self._on_end = self._on_end, None
         try:
             close = getattr(self.pieces, "close", None)
             if close is not None:
                 close()
         finally:
-            if ended is not None:
-                ended()
+            if on_end is not None:
+                on_end()
 
 
 def respond(
-    answer: Callable[[], _caller_answer.CallerAnswer],
-    start: StartResponse,
+    make_answer: Callable[[], _caller_answer.CallerAnswer],
+    start_response: StartResponse,
     *,
     is_head: bool,
-    ended: Callable[[], None],
+    on_end: Callable[[], None],
 ) -> Iterable[bytes]:
     """Hand an answer to the WSGI server.
 
     Parameters
     ----------
-    answer : callable
+    make_answer : callable
         Makes the answer.
-    start : callable
+    start_response : callable
         The server's ``start_response``.
     is_head : bool
         Whether the request asks for the head only.
-    ended : callable
+    on_end : callable
         Called once when the answer has ended, however.
     """
-    body = AnswerBody(ended=ended)
+    body = AnswerBody(on_end=on_end)
     try:
-        made = answer()
-        body.pieces = made.body
-        start(_caller_answer.status_line(made.status), made.headers)
+        caller_answer = make_answer()
+        body.pieces = caller_answer.body
+        start_response(
+            _caller_answer.status_line(caller_answer.status),
+            caller_answer.headers,
+        )
     except BaseException:
         body.close()
         raise
--- a/src/topazlug/forwarding/_app.py
+++ b/src/topazlug/forwarding/_app.py
@@ -98,7 +98,7 @@
             lambda: self._answer(environ),
             start_response,
             is_head=environ["REQUEST_METHOD"] == "HEAD",
-            ended=self._on_answer_end,
+            on_end=self._on_answer_end,
         )
 
     def _on_answer_end(self) -> None:
@@ -125,7 +125,7 @@
         except Exception:
             _log.exception("internal error while handling a request")
             fault = _errors.TopazlugError("internal error")
-            return _caller_answer.of_error(fault, attempt)
+            return _caller_answer.error_answer(fault, attempt)
 
     def _read_call(
         self,
@@ -217,7 +217,9 @@
         attempt: _ids.RequestId,
         started_at: float,
     ) -> _caller_answer.CallerAnswer:
-        answer = _caller_answer.of_error(error, attempt, whole_seconds=False)
+        answer = _caller_answer.error_answer(
+            error, attempt, whole_seconds=False
+        )
         if answer.status in _NOT_RUN_STATUSES and not _has_not_run(error):
             answer.status = int(HTTPStatus.BAD_GATEWAY)
         with _logs.request_fields(request_id=attempt, status=answer.status):
--- a/tests/topazlug/callers/test_caller_request.py
+++ b/tests/topazlug/callers/test_caller_request.py
@@ -10,7 +10,7 @@
 
 
 @pytest.fixture
-def make():
+def make_request():
     def request(**fields):
         environ = {"REQUEST_METHOD": "GET", "PATH_INFO": "/"}
         for name, value in fields.items():
@@ -38,15 +38,15 @@
             ("", 20.0, 20.0),
         ],
     )
-    def test_shortest_holds(self, make, named, max_seconds, seconds):
-        request = make(x_request_timeout=named)
+    def test_shortest_holds(self, make_request, named, max_seconds, seconds):
+        request = make_request(x_request_timeout=named)
         request.read_deadline(max_seconds=max_seconds)
         assert request.remaining() == seconds
 
     @pytest.mark.parametrize("named", ["0", "-1", "nan", "inf", "x", "1e9"])
-    def test_no_number_of_seconds(self, make, named):
+    def test_no_number_of_seconds(self, make_request, named):
         with pytest.raises(_errors.BadHeader):
-            make(x_request_timeout=named).read_deadline()
+            make_request(x_request_timeout=named).read_deadline()
 
 
 class TestIdentify:
@@ -69,21 +69,21 @@
         return fixtures.table_holder(rows).current
 
     @pytest.mark.parametrize("scheme", ["Bearer", "bearer", "BEARER"])
-    def test_team_of_its_key(self, make, snapshot, scheme):
-        request = make(authorization=f"{scheme} {fixtures.KEY}")
+    def test_team_of_its_key(self, make_request, snapshot, scheme):
+        request = make_request(authorization=f"{scheme} {fixtures.KEY}")
         assert request.identify(snapshot).name == "acme"
 
     @pytest.mark.parametrize(
         "given",
         ["", "Bearer", "Bearer  ", "Basic x", "Bearer no", "Bearer old"],
     )
-    def test_without_a_valid_key(self, make, snapshot, given):
+    def test_without_a_valid_key(self, make_request, snapshot, given):
         with pytest.raises(_errors.BadKey):
-            make(authorization=given).identify(snapshot)
+            make_request(authorization=given).identify(snapshot)
 
-    def test_class_of_a_request(self, make, snapshot):
+    def test_class_of_a_request(self, make_request, snapshot):
         for named, batch in [("", False), ("batch", True)]:
-            request = make(
+            request = make_request(
                 authorization=f"Bearer {fixtures.KEY}", x_request_class=named
             )
             assert request.identify(snapshot).batch is batch
--- a/tests/topazlug/callers/test_callers.py
+++ b/tests/topazlug/callers/test_callers.py
@@ -19,19 +19,19 @@
 
 @pytest.fixture(scope="module")
 def rig():
-    made = fixtures.Rig(max_body_bytes=100_000, body_timeout=0.3)
-    made.engine("e1")
-    made.service("s1")
-    yield made
-    made.stop()
+    rig = fixtures.Rig(max_body_bytes=100_000, body_timeout=0.3)
+    rig.engine("e1")
+    rig.service("s1")
+    yield rig
+    rig.stop()
 
 
-def healthy(rig):
+def is_healthy(rig):
     """Say whether the listener still serves a proper request."""
     return rig.send("GET", "/v1/models").status == 200
 
 
-def sent(rig, data, *, half_close=False):
+def send_raw(rig, data, *, half_close=False):
     """Send bytes; give all that comes until the daemon hangs up."""
     with rig.connect() as sock:
         try:
@@ -47,7 +47,7 @@
     return rig.send("POST", path, body=body, **options)
 
 
-def refusal(data):
+def rejection(data):
     """Give status and code of the one answer in some bytes."""
     head, _, body = data.partition(b"\r\n\r\n")
     assert b"connection: close" in head.lower()
@@ -86,7 +86,7 @@
             chat(stream="yes"),
         ],
     )
-    def test_is_told(self, rig, body):
+    def test_is_rejected(self, rig, body):
         answer = post(rig, body)
         assert (answer.status, answer.code) == (400, "invalid_body")
         assert answer.outcome == "not-run"
@@ -102,22 +102,22 @@
             headers=[("Transfer-Encoding", "chunked")],
         )
         chunks = b"4000\r\n" + b"x" * 0x4000 + b"\r\n"
-        data = sent(rig, head + chunks * 20)
-        assert refusal(data) == (413, "body_too_large")
+        data = send_raw(rig, head + chunks * 20)
+        assert rejection(data) == (413, "body_too_large")
 
     def test_slow(self, rig):
         head = wire_fixtures.raw_request(
             "POST", fixtures.CHAT_PATH, headers=[("Content-Length", "10")]
         )
-        assert refusal(sent(rig, head + b"x")) == (408, "body_too_slow")
+        assert rejection(send_raw(rig, head + b"x")) == (408, "body_too_slow")
 
     def test_cut(self, rig):
         head = wire_fixtures.raw_request(
             "POST", fixtures.CHAT_PATH, headers=[("Content-Length", "10")]
         )
-        sent(rig, head + b"x", half_close=True)
+        send_raw(rig, head + b"x", half_close=True)
         rig.wait_idle()
-        assert healthy(rig)
+        assert is_healthy(rig)
 
     def test_unread_body_holds_no_connection(self, rig):
         """Symptom: connections run out, though nobody has a key.
@@ -132,8 +132,8 @@
             headers=[("Content-Length", "99999")],
             key="wrong",
         )
-        data = sent(rig, head + b"x")
-        assert refusal(data) == (401, "invalid_api_key")
+        data = send_raw(rig, head + b"x")
+        assert rejection(data) == (401, "invalid_api_key")
 
     def test_stream_may_be_null(self, rig):
         assert post(rig, chat(stream=None)).status == 200
@@ -151,7 +151,7 @@
             ("GET", "/v1/%73ervices/letters/x", 404, "path_not_found"),
         ],
     )
-    def test_is_told(self, rig, method, path, status, code):
+    def test_is_rejected(self, rig, method, path, status, code):
         answer = rig.send(method, path)
         assert (answer.status, answer.code) == (status, code)
         assert answer.outcome == "not-run"
@@ -162,8 +162,8 @@
         assert (answer.status, answer.code) == (401, "invalid_api_key")
 
     def test_no_key(self, rig):
-        data = sent(rig, b"GET /v1/models HTTP/1.0\r\n\r\n")
-        assert refusal(data) == (401, "invalid_api_key")
+        data = send_raw(rig, b"GET /v1/models HTTP/1.0\r\n\r\n")
+        assert rejection(data) == (401, "invalid_api_key")
 
     def test_what_a_team_may_not_use(self, rig):
         for answer, code in [
@@ -250,7 +250,7 @@
     )
     def test_head_with_two_readings(self, rig, fields):
         before = len(rig.services["s1"].journal)
-        status, code = refusal(sent(rig, framed(*fields) + MODELS))
+        status, code = rejection(send_raw(rig, framed(*fields) + MODELS))
         assert (status, code) == (400, "invalid_header")
         assert len(rig.services["s1"].journal) == before
 
@@ -267,17 +267,17 @@
         ],
     )
     def test_malformed_chunks(self, rig, chunks):
-        data = sent(
+        data = send_raw(
             rig,
             framed("Transfer-Encoding: chunked", body=chunks) + SMUGGLED,
             half_close=True,
         )
-        assert refusal(data) == (400, "invalid_body")
+        assert rejection(data) == (400, "invalid_body")
         rig.wait_idle()
 
     def test_chunked_before_http_11(self, rig):
         data = framed("Transfer-Encoding: chunked", version="HTTP/1.0")
-        assert refusal(sent(rig, data)) == (400, "invalid_header")
+        assert rejection(send_raw(rig, data)) == (400, "invalid_header")
 
     @pytest.mark.parametrize(
         "line",
@@ -297,7 +297,7 @@
         ],
     )
     def test_malformed_head(self, rig, line):
-        assert refusal(sent(rig, line)) == (400, "invalid_header")
+        assert rejection(send_raw(rig, line)) == (400, "invalid_header")
 
     def test_requests_in_one_write_are_answered_in_turn(self, rig):
         body = framed(
@@ -314,16 +314,16 @@
 
     def test_slow_head(self, rig):
         rig.server.head_seconds = 0.05
-        data = sent(rig, b"GET /v1/models HTTP/1.1\r\nHost: x\r\n")
-        assert refusal(data)[0] == 408
+        data = send_raw(rig, b"GET /v1/models HTTP/1.1\r\nHost: x\r\n")
+        assert rejection(data)[0] == 408
 
     def test_idle_connection_is_ended(self, rig):
         rig.server.idle_seconds = 0.05
-        assert sent(rig, b"") == b""
+        assert send_raw(rig, b"") == b""
 
     def test_error_to_head_has_no_body(self, rig):
         head = wire_fixtures.raw_request("HEAD", "/v1/models")
-        data = sent(rig, head + b"GET /v1/models HTTP/1.0\r\n\r\n")
+        data = send_raw(rig, head + b"GET /v1/models HTTP/1.0\r\n\r\n")
         first, _, rest = data.partition(b"\r\n\r\n")
         assert first.startswith(b"HTTP/1.1 405")
         assert rest.startswith(b"HTTP/1.1 401")
@@ -333,7 +333,7 @@
     def test_answers_close_their_connection(self):
         rig = fixtures.Rig()
         rig.server.stopping = True
-        data = sent(rig, MODELS)
+        data = send_raw(rig, MODELS)
         rig.stop()
         assert b"Connection: close" in data
         assert b"standin" in data
@@ -372,9 +372,9 @@
         Sequence: any bytes, then the caller's end. Cause: any.
         """
         with gevent.Timeout(10):
-            got = sent(rig, data, half_close=True)
-        assert b"HTTP/1.1 5" not in got
-        if got:
-            assert got.startswith(b"HTTP/1.1 ")
+            received = send_raw(rig, data, half_close=True)
+        assert b"HTTP/1.1 5" not in received
+        if received:
+            assert received.startswith(b"HTTP/1.1 ")
         rig.wait_idle()
-        assert healthy(rig)
+        assert is_healthy(rig)
