--- a/src/topazlug/callers/__init__.py
+++ b/src/topazlug/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' connections: listener, heads, bodies, answers."""
+"""Callers' side of HTTP: listener, connections, requests and answers."""
--- a/src/topazlug/callers/_caller_answer.py
+++ b/src/topazlug/callers/_caller_answer.py
@@ -1,4 +1,4 @@
-"""What a caller gets: an answer, or an error of one shape."""
+"""Answers to callers, and errors in the OpenAI format."""
 
 from collections.abc import Iterator
 from http import HTTPStatus
@@ -14,13 +14,14 @@
 
 
 class CallerAnswer(msgspec.Struct):
-    """An answer on its way to a caller.
+    """An answer to a caller.
 
     Attributes
     ----------
     body : iterator of bytes
-        Pieces; an exception in it cuts the connection without the
-        terminating chunk, so a torn answer never looks whole.
+        Pieces of the body. An exception raised by it cuts the connection
+        without the terminating chunk, so that the caller never takes a
+        truncated answer for a complete one.
     """
 
     status: int
@@ -29,18 +30,18 @@
 
 
 def prime(pieces: Iterator[bytes]) -> Iterator[bytes]:
-    """Run a generator up to its first piece, which must be empty.
+    """Start a generator, whose first piece must be empty, and return it.
 
-    Closing a generator that was never started skips its ``finally``. An
-    answer that fails before its first byte would then keep its place on the
-    replica, and the replica would look fuller with each.
+    Closing a generator that was never started skips its ``finally``. Each
+    answer that failed before its first byte would then keep its slot on the
+    replica.
     """
     next(pieces)
     return pieces
 
 
 def status_line(status: int) -> str:
-    """Give the status line; a target may use a status nobody knows."""
+    """Return the status line, also of a status that is not registered."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
@@ -62,7 +63,7 @@
 def error_document(
     error: _errors.TopazlugError, request_id: _ids.RequestId
 ) -> bytes:
-    """Give the error in the OpenAI shape, as JSON."""
+    """Return the error in the OpenAI format, as JSON."""
     error_type = "server_error"
     if error.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         error_type = "invalid_request_error"
@@ -84,17 +85,17 @@
     *,
     whole_seconds: bool = True,
 ) -> CallerAnswer:
-    """Make the answer of a request that failed.
+    """Return the answer to a request that failed.
 
     Parameters
     ----------
     error : TopazlugError
-        Why.
+        Reason of the failure.
     request_id : RequestId
-        The request.
+        Id of the request.
     whole_seconds : bool
-        Whether Retry-After is rounded up, as RFC 9110 has it. Some callers
-        take fractions.
+        Whether Retry-After is rounded up to whole seconds, as RFC 9110
+        requires. Some callers accept fractions.
     """
     body = error_document(error, request_id) + b"\n"
     outcome = _errors.Outcome.UNKNOWN
@@ -119,7 +120,7 @@
 
 
 def json_answer(document: object, request_id: _ids.RequestId) -> CallerAnswer:
-    """Make a JSON answer of this daemon's own."""
+    """Return a JSON answer of the daemon itself."""
     body = msgspec.json.encode(document)
     headers = [
         _JSON_CONTENT_TYPE,
--- a/src/topazlug/callers/_caller_connection.py
+++ b/src/topazlug/callers/_caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: the library's handler, held within bounds."""
+"""Connection handler of the callers' listener, with bounds on time."""
 
 import socket as _plain_socket
 import traceback
@@ -23,7 +23,7 @@
 
 
 def _error_response(error: _errors.RequestError) -> bytes:
-    """Give the whole answer to what is no request."""
+    """Return the bytes of the answer to a malformed request."""
     answer = _caller_answer.error_answer(error, _ids.RequestId(""))
     lines = [f"HTTP/1.1 {_caller_answer.status_line(answer.status)}"]
     lines += [f"{name}: {value}" for name, value in answer.headers]
@@ -32,7 +32,7 @@
 
 
 class CallersHandler(pywsgi.WSGIHandler):
-    """The library's handler, with bounds on time and the socket at hand."""
+    """Handler of one connection, with bounds on the time for each step."""
 
     _rejection: _errors.RequestError | None = None
     _has_ended_reading = False
@@ -45,7 +45,7 @@
         super().handle()
 
     def read_requestline(self) -> str:
-        """Read the request line; an idle connection ends in time."""
+        """Read the request line; close a connection that stays idle."""
         self.server.idle_handlers.add(self)
         try:
             with gevent.Timeout(self.server.idle_seconds, False):
@@ -55,20 +55,20 @@
         return ""
 
     def end_reading(self) -> None:
-        """Take no further request than one that is already here."""
+        """Accept no further request, except one that has already arrived."""
         self._has_ended_reading = True
         try:
-            # The library's own shutdown breaks off a read that waits, and
-            # bytes that have just arrived would be thrown away with it.
+            # The library's own shutdown interrupts a waiting read and so
+            # discards bytes that have just arrived.
             self.socket._sock.shutdown(_plain_socket.SHUT_RD)
         except OSError:
             return
 
     def read_request(self, raw_requestline: str) -> Any:
-        """Read the head; one that trickles in is given up.
+        """Read the head within the time limit.
 
-        A caller that sends a byte now and then would otherwise hold a
-        connection for ever, and enough of them hold all.
+        Otherwise a caller that sends a byte from time to time could hold a
+        connection for ever, and enough such callers would hold all of them.
         """
         timeout_error = _errors.BodyTooSlow(
             "the head of the request took too long"
@@ -78,12 +78,12 @@
             return super().read_request(raw_requestline)
 
     def MessageClass(self, *args: Any) -> Any:  # noqa: N802
-        """Read the fields; the library asks for them by this name."""
+        """Read the fields; the library calls this method by its name."""
         fields = _caller_head.read(self.rfile, version=self.request_version)
         return super().MessageClass(fields)
 
     def handle_one_request(self) -> Any:
-        """Serve one request; what is none gets an error of our shape."""
+        """Serve one request; answer a malformed one with a JSON error."""
         result = super().handle_one_request()
         if not isinstance(result, tuple):
             return result
@@ -100,14 +100,15 @@
             if isinstance(ex, _errors.RequestError)
             else _errors.BadHeader("not an HTTP/1.1 request")
         )
-        _log.info("refused: {why}", why=self._rejection.message)
+        _log.info("rejected a request: {why}", why=self._rejection.message)
         return super()._handle_client_error(self._rejection)
 
     def get_environ(self) -> dict[str, Any]:
-        """Give the WSGI environment and the connection."""
+        """Return the WSGI environment with the project's own keys."""
         environ = super().get_environ()
-        # The end of reading looks like a caller that hangs up; a request
-        # that had just arrived would be given up while it runs.
+        # After `end_reading` the socket looks as if the caller had
+        # disconnected, so a watch would cancel a request that had just
+        # arrived.
         is_watched = not self._has_ended_reading
         environ[_caller_request.SOCKET] = self.socket if is_watched else None
         environ[_caller_request.RAW_PATH] = self.path.partition("?")[0]
@@ -116,26 +117,26 @@
         return environ
 
     def handle_one_response(self) -> None:
-        """Answer; while the daemon stops, keep no connection after it."""
+        """Answer one request; close the connection if the daemon stops."""
         if getattr(self.server, "stopping", False):
             self.close_connection = True
-        # A caller that reads nothing would otherwise block the answer for
-        # ever, and with it a slot of an engine.
+        # Otherwise a caller that does not read could block the answer, and a
+        # slot of an engine, for ever.
         self.socket.settimeout(_WRITE_SECONDS)
         super().handle_one_response()
 
     def start_response(
         self, status: str, headers: Any, exc_info: Any = None
     ) -> Any:
-        """Start the answer, and say so when the connection ends with it."""
+        """Start the answer; add `Connection: close` if it is the last one."""
         if self.close_connection or self._has_unread_body():
             headers = [*headers, ("Connection", "close")]
         return super().start_response(status, headers, exc_info)
 
     def run_application(self) -> None:
-        """Answer; a body that nobody read is not read after the answer.
+        """Answer one request without reading an unread body afterwards.
 
-        The library reads what is left of it, however long that takes. A
+        The library reads the rest of the body without a time limit, so a
         caller without a key could hold a connection for ever.
         """
         try:
@@ -155,10 +156,10 @@
         return bool(body.position < (body.content_length or 0))
 
     def _linger(self) -> None:
-        """Let a caller that still sends read its answer first.
+        """Read what the caller still sends, so that it gets its answer.
 
-        A connection closed with bytes unread is reset, and the reset can
-        overtake the answer.
+        Closing a connection with unread bytes resets it, and the caller may
+        receive the reset before it has read the answer.
         """
         try:
             self.socket.shutdown(_plain_socket.SHUT_WR)
@@ -169,24 +170,24 @@
             return
 
     def log_request(self) -> None:
-        """Leave it out; the application logs what matters."""
+        """Log nothing; the application logs requests itself."""
 
     def log_error(self, msg: str, *args: object) -> None:
-        """Log through the daemon's own logger."""
+        """Log an error of the library with the daemon's logger."""
         _log.info("connection: {what}", what=str(msg)[:200])
 
     def handle_error(self, t: Any, v: Any, tb: Any) -> None:
-        """Cut a torn answer without its terminating chunk."""
+        """Cut off a truncated answer without the terminating chunk."""
         if isinstance(v, _errors.TopazlugError):
-            _log.warning("answer cut: {code}", code=v.code.value)
+            _log.warning("answer cut off: {code}", code=v.code.value)
         elif not issubclass(t, (OSError, GeneratorExit)):
-            _log.error("answer cut by {kind}: {why}", kind=t, why=str(v))
+            _log.error("answer cut off by {kind}: {why}", kind=t, why=str(v))
         if self.response_length or self.headers_sent:
             self.close_connection = True
             return
-        # The library would hand this to the event loop without a context,
-        # which takes it for a fault of its own and ends the process: one
-        # bad request would take all others with it.
+        # The library would report this to the event loop without a context.
+        # The loop would handle it as an error of its own and end the process
+        # with all its other requests.
         _log.error(
             "{trace}", trace="".join(traceback.format_exception(t, v, tb))
         )
--- a/src/topazlug/callers/_caller_head.py
+++ b/src/topazlug/callers/_caller_head.py
@@ -1,11 +1,11 @@
-"""The head of a caller's request, read within bounds and checked strictly.
-
-The library's parser is lenient: it takes a bare line break inside a value
-for a new field, overlooks ``Content-Length : 5`` and takes the first of two
-lengths. Whoever stands before the daemon may read the same bytes in another
-way; then the rest of one caller's body becomes the next request on a
-connection that several callers share. What two readers could read in two
-ways is refused here, so that there is only one way left.
+"""Reads the head of a caller's request within bounds and checks it strictly.
+
+The library's parser is lenient: it treats a bare line break inside a value as
+the start of a new field, ignores ``Content-Length : 5`` and uses the first of
+two lengths. A proxy in front of the daemon may parse the same bytes
+differently. On a connection that several callers share, part of one caller's
+body could then be taken for the next request (request smuggling). This module
+therefore rejects every head that can be parsed in two ways.
 """
 
 import io
@@ -42,8 +42,8 @@
     Raises
     ------
     BadHeader
-        It is not of the form that RFC 9112 gives, or of another version
-        than HTTP/1.0 and 1.1.
+        It does not have the form of RFC 9112, or its version is neither
+        HTTP/1.0 nor 1.1.
     """
     if not _LINE.fullmatch(line):
         raise _errors.BadHeader(f"not a request line: {line[:40]!r}")
@@ -55,20 +55,20 @@
     Parameters
     ----------
     stream : BinaryIO
-        The connection, after the request line.
+        The connection, positioned after the request line.
     version : str
-        As the request line names it.
+        HTTP version of the request line.
 
     Returns
     -------
     BinaryIO
-        The same bytes, checked.
+        The checked fields, including the empty line.
 
     Raises
     ------
     BadHeader
-        A field is malformed, too long, or repeated where it may not be, or
-        the length of the body can be read in two ways.
+        A field is malformed, too long or must not be repeated, or the length
+        of the body is ambiguous.
     """
     lines: list[bytes] = []
     values_by_name: dict[bytes, list[bytes]] = {}
@@ -93,7 +93,7 @@
 def _check_repeats(values_by_name: dict[bytes, list[bytes]]) -> None:
     for name in _SINGLE_FIELDS & values_by_name.keys():
         if len(values_by_name[name]) > 1:
-            raise _errors.BadHeader(f"{name.decode()} is given twice")
+            raise _errors.BadHeader(f"{name.decode()} occurs more than once")
 
 
 def _check_framing(
@@ -102,14 +102,16 @@
     lengths = values_by_name.get(b"content-length", [])
     codings = values_by_name.get(b"transfer-encoding", [])
     if lengths and not _LENGTH.fullmatch(lengths[0]):
-        raise _errors.BadHeader(f"Content-Length is {lengths[0][:40]!r}")
+        raise _errors.BadHeader(
+            f"Content-Length is {lengths[0][:40]!r}, not a valid length"
+        )
     if not codings:
         return
     if lengths or version != "HTTP/1.1":
         raise _errors.BadHeader(
-            "Transfer-Encoding with Content-Length, or before HTTP/1.1"
+            "Transfer-Encoding with Content-Length or before HTTP/1.1"
         )
     if codings[0].lower() != b"chunked":
         raise _errors.BadHeader(
-            f"Transfer-Encoding is {codings[0][:40]!r}; only chunked is read"
+            f"Transfer-Encoding is {codings[0][:40]!r}; use only chunked"
         )
--- a/src/topazlug/callers/_caller_request.py
+++ b/src/topazlug/callers/_caller_request.py
@@ -1,4 +1,4 @@
-"""What a caller sent, read and checked within bounds."""
+"""Requests of callers: fields, team, deadline and body."""
 
 from collections.abc import Iterator
 from collections.abc import Mapping
@@ -29,19 +29,19 @@
 
 @final
 class Caller(msgspec.Struct, frozen=True):
-    """Who calls, and how urgent it is."""
+    """Team of a caller, and whether its request is a batch request."""
 
     team: table.TeamRow
     batch: bool
 
     @property
     def name(self) -> _ids.TeamName:
-        """Give the team's name."""
+        """Return the team's name."""
         return _ids.TeamName(self.team.name)
 
     @property
     def class_name(self) -> str:
-        """Give the request class's name."""
+        """Return the request class's name."""
         request_class = table.RequestClass.interactive
         if self.batch:
             request_class = table.RequestClass.batch
@@ -57,9 +57,9 @@
     environ : mapping
         WSGI environment.
     limits : LimitSettings
-        Bounds.
+        Bounds on requests.
     clock : Clock
-        Time.
+        Clock of the daemon.
     """
 
     def __init__(
@@ -82,12 +82,12 @@
         self.socket = environ.get(SOCKET)
 
     def header(self, name: str) -> str:
-        """Give a header's value, empty when absent."""
+        """Return a header's value, empty if it is absent."""
         key = "HTTP_" + name.upper().replace("-", "_")
         return self._environ.get(key, "")
 
     def headers(self) -> Iterator[tuple[str, str]]:
-        """Give all headers but those of the body's framing."""
+        """Yield all headers except those of the body's framing."""
         for key, value in self._environ.items():
             if key.startswith("HTTP_"):
                 yield key[5:].replace("_", "-").title(), value
@@ -96,14 +96,14 @@
             yield "Content-Type", content_type
 
     def identify(self, snapshot: _configuration.TableSnapshot) -> Caller:
-        """Find the team by the API key.
+        """Return the caller, identified by the API key.
 
         Raises
         ------
         BadKey
-            No key, a wrong one, or one that was revoked or has expired.
+            The API key is missing, unknown, revoked or expired.
         BadHeader
-            An unknown request class.
+            The request class is unknown.
         """
         authorization = self.header("Authorization")
         if not authorization.lower().startswith(_BEARER):
@@ -114,7 +114,7 @@
         digest = hashlib.sha256(key.encode("latin-1")).hexdigest()
         team = snapshot.team_of_key(digest, now=self._clock.now())
         if team is None:
-            raise _errors.BadKey("the API key is not known")
+            raise _errors.BadKey("the API key is unknown")
         return Caller(team=team, batch=self._is_batch(team))
 
     def _is_batch(self, team: table.TeamRow) -> bool:
@@ -128,22 +128,22 @@
                 known_class.value for known_class in table.RequestClass
             )
             raise _errors.BadHeader(
-                f"X-Request-Class is {value!r}; known are {known}"
+                f"X-Request-Class is {value!r}; use one of {known}"
             ) from None
         return request_class is table.RequestClass.batch
 
     def read_deadline(self, *, max_seconds: float | None = None) -> None:
-        """Take the deadline that the caller names.
+        """Set the deadline that the caller requests, within the limits.
 
         Parameters
         ----------
         max_seconds : float or None
-            Seconds that the row allows at most.
+            Maximum seconds of the called service, if it sets any.
 
         Raises
         ------
         BadHeader
-            Not a number of seconds above 0.
+            X-Request-Timeout is not a positive number of seconds.
         """
         allowed = self._limits.max_deadline
         seconds = min(self._limits.default_deadline, allowed)
@@ -155,12 +155,12 @@
         self.deadline = self.started + seconds
 
     def remaining(self) -> float:
-        """Give the seconds left until the deadline.
+        """Return the seconds until the deadline.
 
         Raises
         ------
         DeadlineExceeded
-            None are left.
+            The deadline has passed.
         """
         remaining_seconds = self.deadline - self._clock.monotonic()
         if remaining_seconds <= 0:
@@ -168,7 +168,7 @@
         return remaining_seconds
 
     def read_body(self) -> bytes:
-        """Read the whole body within the bounds on size and time.
+        """Return the complete body, read within the limits.
 
         Raises
         ------
@@ -185,16 +185,16 @@
 def read_body(
     environ: Mapping[str, Any], *, limit: int, timeout: float
 ) -> bytes:
-    """Read the whole body of a WSGI request.
+    """Return the complete body of a WSGI request.
 
     Parameters
     ----------
     environ : mapping
         WSGI environment.
     limit : int
-        Most bytes.
+        Maximum bytes.
     timeout : float
-        Longest time in seconds.
+        Maximum seconds.
 
     Raises
     ------
@@ -216,7 +216,7 @@
                 f"the body could not be read: {error}"
             ) from error
     if declared.isdigit() and len(body) < int(declared):
-        raise _errors.BadBody("the body ended before its stated length")
+        raise _errors.BadBody("the body is shorter than its Content-Length")
     return body
 
 
@@ -242,6 +242,6 @@
         seconds = 0.0
     if not 0 < seconds < 1e9:
         raise _errors.BadHeader(
-            f"X-Request-Timeout is {value!r}; give seconds above 0"
+            f"X-Request-Timeout is {value!r}; use a positive number of seconds"
         )
     return seconds
--- a/src/topazlug/callers/_caller_server.py
+++ b/src/topazlug/callers/_caller_server.py
@@ -15,11 +15,11 @@
     Attributes
     ----------
     stopping : bool
-        Whether answers now close their connection.
+        Whether each answer closes its connection.
     head_seconds, idle_seconds : float
-        Longest time for the head of a request, and between two requests.
+        Maximum time for the head of a request, and between two requests.
     idle_handlers : set of CallersHandler
-        Connections that wait for their next request.
+        Handlers of the connections that wait for a request.
     """
 
     handler_class = _caller_connection.CallersHandler
@@ -42,7 +42,7 @@
             error_log=None,
             spawn=_pool.Pool(max_connections),
             backlog=1024,
-            # Without a name the library asks the resolver for one.
+            # Without this the library does a DNS look-up for the name.
             environ={"SERVER_NAME": address.host},
             **options,
         )
@@ -53,14 +53,14 @@
 
     @property
     def connections(self) -> int:
-        """Give the number of open connections."""
+        """Return the number of open connections."""
         return len(self.pool) if self.pool is not None else 0
 
     def close_idle(self) -> None:
-        """Close the connections that wait for a next request.
+        """Close the connections that wait for a request.
 
-        Only their reading side is shut: a request that has just arrived is
-        still read and answered.
+        Only their receiving side is shut down, so a request that has just
+        arrived is still read and answered.
         """
         for handler in list(self.idle_handlers):
             handler.end_reading()
--- a/src/topazlug/callers/_caller_watch.py
+++ b/src/topazlug/callers/_caller_watch.py
@@ -1,8 +1,8 @@
-"""Notices that a caller has left while its answer is still on its way.
+"""Detects that a caller has disconnected before its answer has ended.
 
-A caller that hangs up is otherwise noticed only at the next write. An engine
-that is still reading a long prompt writes nothing for seconds, and keeps a
-slot for nobody.
+Without this a disconnect is detected only at the next write. While an engine
+processes a long prompt, nothing is written for seconds, and its slot would
+stay in use for a request whose caller is gone.
 """
 
 from collections.abc import Callable
@@ -19,12 +19,12 @@
 
 
 class CallerLeft(_errors.TopazlugError):
-    """The caller hung up before its answer began; nobody hears of it."""
+    """The caller disconnected before its answer began."""
 
 
 @contextlib.contextmanager
 def cancel_on_disconnect(connection: Any) -> Iterator[None]:
-    """Stop what this greenlet does when the caller hangs up.
+    """Cancel the current greenlet's work if the caller disconnects.
 
     Parameters
     ----------
@@ -34,10 +34,10 @@
     Raises
     ------
     CallerLeft
-        The caller hung up.
+        The caller disconnected.
     """
     greenlet = gevent.getcurrent()
-    error = CallerLeft("the caller hung up before its answer began")
+    error = CallerLeft("the caller disconnected before its answer began")
     watch = CallerWatch(
         connection, on_disconnect=lambda: greenlet.throw(error)
     )
@@ -49,18 +49,19 @@
 
 @final
 class CallerWatch:
-    """Calls back once when the caller's connection ends.
+    """Calls back once when the caller disconnects.
 
-    It needs no greenlet of its own: a watcher of the event loop looks at
-    the socket when it becomes readable. Over TLS nothing can be looked at
-    without taking it, so there a hang-up is noticed at the next write.
+    It uses a watcher of the event loop, which peeks at the socket when it
+    becomes readable, instead of a greenlet. A TLS connection can't be peeked
+    at without consuming data, so a disconnect is detected there only at the
+    next write.
 
     Parameters
     ----------
     connection : socket or None
         The caller's connection.
     on_disconnect : callable
-        Called in the hub, which it must not block.
+        Called in the gevent hub, so it must not block.
     """
 
     def __init__(
@@ -83,14 +84,14 @@
             return
         except (OSError, AttributeError):
             data = b""
-        # Bytes are the caller's next request, sent early; they stay where
-        # they are, and from now on the socket is always readable.
+        # Data is the caller's next request, sent early. It stays in the
+        # socket, which is therefore readable from now on, so the watch ends.
         self.stop()
         if not data:
             self._on_disconnect()
 
     def stop(self) -> None:
-        """Stop watching; must come before the socket is used or closed."""
+        """Stop watching; required before the socket is read or closed."""
         if self._watcher is None:
             return
         self._watcher.stop()
--- a/src/topazlug/callers/_callers.py
+++ b/src/topazlug/callers/_callers.py
@@ -1,4 +1,4 @@
-"""The callers' listener: HTTP in, answers and errors out."""
+"""The WSGI application of the callers' listener."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -27,7 +27,7 @@
 
 
 class CallHandler(Protocol):
-    """What serves one kind of request."""
+    """Serves one kind of request."""
 
     def serve(
         self,
@@ -57,15 +57,15 @@
     Parameters
     ----------
     chats, services : Calls
-        What serves chats and plain services.
+        Handlers of chat requests and of service requests.
     configuration : ConfigurationHolder
-        The table in force.
+        Holds the configuration in force.
     limits : LimitSettings
-        Bounds.
+        Bounds on requests.
     metrics : Metrics
-        What is measured.
+        Metrics of the daemon.
     clock : Clock
-        Time.
+        Clock of the daemon.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
     def __call__(
         self, environ: Mapping[str, Any], start_response: _wsgi.StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request, as WSGI asks."""
+        """Answer one WSGI request."""
         request = _caller_request.CallerRequest(
             environ=environ, limits=self._limits, clock=self._clock
         )
@@ -111,17 +111,17 @@
             try:
                 return self._serve(request)
             except _caller_watch.CallerLeft as error:
-                _log.info("the caller left before its answer began")
+                _log.info("caller disconnected before its answer began")
                 return _caller_answer.error_answer(error, request.request_id)
             except _errors.TopazlugError as error:
                 _log.info(
-                    "refused with {code}: {why}",
+                    "rejected with {code}: {why}",
                     code=error.code.value,
                     why=error.message,
                 )
                 return _caller_answer.error_answer(error, request.request_id)
             except Exception:
-                _log.exception("a request met a fault of this daemon")
+                _log.exception("internal error while handling a request")
                 fault = _errors.TopazlugError("internal error")
                 return _caller_answer.error_answer(fault, request.request_id)
 
@@ -184,7 +184,7 @@
 ) -> None:
     if request.method != method:
         raise _errors.BadMethod(
-            f"{request.path} takes {method}, not {request.method}"
+            f"{request.path} accepts {method}, not {request.method}"
         )
 
 
--- a/src/topazlug/callers/_wsgi.py
+++ b/src/topazlug/callers/_wsgi.py
@@ -1,4 +1,4 @@
-"""What WSGI applications of this project share."""
+"""Helpers shared by the WSGI applications of the project."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 @final
 class AnswerBody:
-    """An answer's pieces; tells when the answer has ended, however."""
+    """Body of an answer; calls back once when the answer has ended."""
 
     def __init__(self, *, on_end: Callable[[], None] | None = None) -> None:
         self.pieces: Iterator[bytes] = iter(())
@@ -23,7 +23,7 @@
         return self.pieces
 
     def close(self) -> None:
-        """End the answer, whole or not."""
+        """End the answer, complete or not."""
         on_end, self._on_end = self._on_end, None
         try:
             close = getattr(self.pieces, "close", None)
@@ -41,18 +41,18 @@
     is_head: bool,
     on_end: Callable[[], None],
 ) -> Iterable[bytes]:
-    """Hand an answer to the WSGI server.
+    """Pass an answer to the WSGI server and return its body.
 
     Parameters
     ----------
     make_answer : callable
-        Makes the answer.
+        Returns the answer.
     start_response : callable
         The server's ``start_response``.
     is_head : bool
-        Whether the request asks for the head only.
+        Whether only the head is sent.
     on_end : callable
-        Called once when the answer has ended, however.
+        Called once when the answer has ended, complete or not.
     """
     body = AnswerBody(on_end=on_end)
     try:
@@ -66,7 +66,7 @@
         body.close()
         raise
     if is_head:
-        # Bytes after this head would be read as the next answer.
+        # The caller would parse bytes after this head as the next answer.
         body.close()
         return AnswerBody()
     return body
--- a/tests/topazlug/callers/test_caller_request.py
+++ b/tests/topazlug/callers/test_caller_request.py
@@ -1,4 +1,4 @@
-"""Who calls, until when, and how urgent it is."""
+"""Team, deadline and request class of a caller's request."""
 
 import pytest
 
@@ -38,13 +38,15 @@
             ("", 20.0, 20.0),
         ],
     )
-    def test_shortest_holds(self, make_request, named, max_seconds, seconds):
+    def test_shortest_limit_applies(
+        self, make_request, named, max_seconds, seconds
+    ):
         request = make_request(x_request_timeout=named)
         request.read_deadline(max_seconds=max_seconds)
         assert request.remaining() == seconds
 
     @pytest.mark.parametrize("named", ["0", "-1", "nan", "inf", "x", "1e9"])
-    def test_no_number_of_seconds(self, make_request, named):
+    def test_invalid_timeout_is_rejected(self, make_request, named):
         with pytest.raises(_errors.BadHeader):
             make_request(x_request_timeout=named).read_deadline()
 
@@ -69,7 +71,7 @@
         return fixtures.table_holder(rows).current
 
     @pytest.mark.parametrize("scheme", ["Bearer", "bearer", "BEARER"])
-    def test_team_of_its_key(self, make_request, snapshot, scheme):
+    def test_team_is_found_by_key(self, make_request, snapshot, scheme):
         request = make_request(authorization=f"{scheme} {fixtures.KEY}")
         assert request.identify(snapshot).name == "acme"
 
@@ -77,7 +79,7 @@
         "given",
         ["", "Bearer", "Bearer  ", "Basic x", "Bearer no", "Bearer old"],
     )
-    def test_without_a_valid_key(self, make_request, snapshot, given):
+    def test_invalid_key_is_rejected(self, make_request, snapshot, given):
         with pytest.raises(_errors.BadKey):
             make_request(authorization=given).identify(snapshot)
 
--- a/tests/topazlug/callers/test_callers.py
+++ b/tests/topazlug/callers/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' listener: what is no proper request is refused, and told."""
+"""The callers' listener answers malformed requests with an error."""
 
 import json
 import socket
@@ -27,12 +27,12 @@
 
 
 def is_healthy(rig):
-    """Say whether the listener still serves a proper request."""
+    """Return whether the listener still serves a valid request."""
     return rig.send("GET", "/v1/models").status == 200
 
 
 def send_raw(rig, data, *, half_close=False):
-    """Send bytes; give all that comes until the daemon hangs up."""
+    """Send bytes; return all bytes until the daemon closes."""
     with rig.connect() as sock:
         try:
             sock.sendall(data)
@@ -48,7 +48,7 @@
 
 
 def rejection(data):
-    """Give status and code of the one answer in some bytes."""
+    """Return status and error code of the only answer in the bytes."""
     head, _, body = data.partition(b"\r\n\r\n")
     assert b"connection: close" in head.lower()
     assert data.count(b"HTTP/1.1 4") == 1, data
@@ -120,11 +120,10 @@
         assert is_healthy(rig)
 
     def test_unread_body_holds_no_connection(self, rig):
-        """Symptom: connections run out, though nobody has a key.
+        """Callers without a key could use up all connections.
 
-        Sequence: callers without a key announce long bodies and send them
-        slowly. Cause: after the refusal the rest of the body is still read,
-        without any bound on time.
+        They announce a long body and send it slowly. After the rejection
+        the rest of the body was still read, without a time limit.
         """
         head = wire_fixtures.raw_request(
             "POST",
@@ -165,7 +164,7 @@
         data = send_raw(rig, b"GET /v1/models HTTP/1.0\r\n\r\n")
         assert rejection(data) == (401, "invalid_api_key")
 
-    def test_what_a_team_may_not_use(self, rig):
+    def test_unavailable_models_and_services_are_not_found(self, rig):
         for answer, code in [
             (post(rig, chat(), key="tzk_narrow"), "model_not_found"),
             (post(rig, chat(model="none")), "model_not_found"),
@@ -208,13 +207,12 @@
 
 
 class TestFraming:
-    """Symptom: a caller gets the answer to a request that another hid.
+    """Request smuggling on a connection that a load balancer shares.
 
-    It was hidden in a body, on a connection that a balancer shares.
-
-    Sequence: a head whose body's length can be read in two ways. Cause: the
-    daemon reads it otherwise than the balancer, and takes the rest of the
-    body for the next request.
+    A request is hidden in the body of another, whose head gives the length
+    of the body in two ways. If the daemon chooses another length than the
+    load balancer, it takes the rest of the body for the next request, and
+    another caller gets the answer.
     """
 
     @pytest.mark.parametrize(
@@ -248,7 +246,7 @@
             ("Authorization: Bearer x",),
         ],
     )
-    def test_head_with_two_readings(self, rig, fields):
+    def test_ambiguous_head_is_rejected(self, rig, fields):
         before = len(rig.services["s1"].journal)
         status, code = rejection(send_raw(rig, framed(*fields) + MODELS))
         assert (status, code) == (400, "invalid_header")
@@ -317,7 +315,7 @@
         data = send_raw(rig, b"GET /v1/models HTTP/1.1\r\nHost: x\r\n")
         assert rejection(data)[0] == 408
 
-    def test_idle_connection_is_ended(self, rig):
+    def test_idle_connection_is_closed(self, rig):
         rig.server.idle_seconds = 0.05
         assert send_raw(rig, b"") == b""
 
@@ -367,9 +365,9 @@
     @given(data=RAW)
     @example(data=b"")
     def test_listener_stays_healthy(self, rig, data):
-        """Symptom: the daemon falls over, or says 500, for a few bytes.
+        """The daemon must not fail or answer 500, whatever bytes it gets.
 
-        Sequence: any bytes, then the caller's end. Cause: any.
+        The caller sends arbitrary bytes and then closes its sending side.
         """
         with gevent.Timeout(10):
             received = send_raw(rig, data, half_close=True)
--- a/tests/topazlug/wire_fixtures.py
+++ b/tests/topazlug/wire_fixtures.py
@@ -1,4 +1,4 @@
-"""Requests and answers byte by byte, and servers that follow a script."""
+"""HTTP messages as bytes, and servers that run a script per connection."""
 
 from collections.abc import Callable
 import json
@@ -29,7 +29,7 @@
 
 
 def read_request(sock: Any) -> bytes:
-    """Read one whole request of the daemon's; empty when it hung up."""
+    """Return one request of the daemon, empty if it disconnected."""
     data = b""
     while b"\r\n\r\n" not in data:
         more = sock.recv(65536)
@@ -48,13 +48,13 @@
 
 
 def http_answer(body: bytes, *fields: str, status: str = "200 OK") -> bytes:
-    """Give the bytes of an answer of known length."""
+    """Return the bytes of an answer with a Content-Length."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *fields]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
 def chat_body(question: str, *, stream: bool = False, **options: Any) -> bytes:
-    """Give the body of a chat request."""
+    """Return the body of a chat request."""
     message = {"role": "user", "content": question}
     document = {
         "model": "standin",
@@ -73,7 +73,7 @@
     body: bytes = b"",
     key: str = KEY,
 ) -> bytes:
-    """Give the bytes of a request."""
+    """Return the bytes of a request."""
     lines = [f"{method} {path} HTTP/1.1", "Host: topazlug"]
     lines.append(f"Authorization: Bearer {key}")
     lines += [f"{name}: {value}" for name, value in headers]
@@ -84,7 +84,7 @@
 
 @final
 class Answer(msgspec.Struct):
-    """What a caller read; `whole` is false when the end was cut."""
+    """An answer as read by a caller; `whole` is false if it was cut off."""
 
     status: int
     headers: dict[str, str]
@@ -93,7 +93,7 @@
 
     @property
     def code(self) -> str:
-        """Give the error's code, also that of a stream's last event."""
+        """Return the error code, also that in a stream's last event."""
         text = self.body
         if text.startswith((b"data: ", b"id: ")):
             last = text.strip().rpartition(b"\n\n")[2]
@@ -105,17 +105,17 @@
 
     @property
     def outcome(self) -> str:
-        """Give what is said of the request's fate."""
+        """Return the outcome of the request that the headers state."""
         return self.headers.get("topazlug-outcome", "")
 
     @property
     def done(self) -> bool:
-        """Whether a stream has its closing event, and nothing after it."""
+        """Whether a stream ends with its closing event."""
         return self.body.endswith(b"data: [DONE]\n\n")
 
     @property
     def text(self) -> str:
-        """Give the tokens of a JSON or a streamed answer."""
+        """Return the tokens of a JSON or a streamed answer."""
         if not self.headers.get("content-type", "").startswith("text/event"):
             choice = json.loads(self.body)["choices"][0]
             return choice["message"]["content"]
@@ -129,7 +129,7 @@
 
 
 def read_answer(sock: Any, *, method: str = "GET") -> Answer:
-    """Read one answer; a cut one is given as far as it came."""
+    """Return one answer, as far as it was received if it was cut off."""
     buffer = _Buffer(sock)
     head = buffer.until(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
