--- a/src/topazlug/forwarding/_app.py
+++ b/src/topazlug/forwarding/_app.py
@@ -145,16 +145,16 @@
         host = environ.get("HTTP_HOST", "")
         route = table.find_route(host, path)
         team = table.find_team(route, head.key)
-        caller_timeout = (
+        timeout = (
             _DEFAULT_TIMEOUT_SECONDS
             if head.caller_timeout is None
             else head.caller_timeout
         )
-        caller_timeout = min(caller_timeout, route.timeout)
+        timeout = min(timeout, route.timeout)
         body = _caller_request.read_body(
             environ,
             limit=table.bounds.max_body_bytes,
-            timeout=min(_BODY_TIMEOUT_SECONDS, caller_timeout),
+            timeout=min(_BODY_TIMEOUT_SECONDS, timeout),
         )
         chat = _call.chat_of(head)
         return _call.ForwardedCall(
@@ -168,7 +168,7 @@
             rank=table.rank_of(route, team),
             chat=chat,
             started_at=started_at,
-            deadline=started_at + caller_timeout,
+            deadline=started_at + timeout,
             socket=environ.get(_caller_request.SOCKET),
             fingerprint=_fingerprint.fingerprint(
                 method=environ["REQUEST_METHOD"],
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -239,7 +239,7 @@
     def _update_replicas(self, targets: list[_targets.Target]) -> None:
         before = self.targets.target_by_replica
         _replica_list.log_changes(before, targets)
-        self._drop_restarted(targets)
+        self._drop_stale_connections(targets)
         self._crash_assembly.guard.handle_list_change(before, targets)
         self.views.take_list(targets)
         self.contexts.take_list(targets)
@@ -247,7 +247,7 @@
         self._has_replica_list = True
         self._open_gate()
 
-    def _drop_restarted(self, targets: list[_targets.Target]) -> None:
+    def _drop_stale_connections(self, targets: list[_targets.Target]) -> None:
         """Drop the connections to replica processes that have ended.
 
         Some of these connections are not reset but stop responding, so a
--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -203,7 +203,7 @@
                 return events
         return b""
 
-    def body_pieces(self, first: bytes) -> Iterator[bytes]:
+    def body_pieces(self, first_events: bytes) -> Iterator[bytes]:
         """Yield the body sent to the caller; an exception cuts it off."""
         watch = _caller_watch.CallerWatch(
             self._call.socket, on_disconnect=self._on_disconnect
@@ -211,7 +211,7 @@
         failed = True
         try:
             yield b""
-            yield first
+            yield first_events
             yield from self._relay_until_end()
             failed = False
             self._call_metrics.record_answer(self._call, self._answer.status)
--- a/src/topazlug/forwarding/_forwarder.py
+++ b/src/topazlug/forwarding/_forwarder.py
@@ -182,10 +182,10 @@
             return remaining_seconds
         if not self._budget.can_retry(call.group):
             return remaining_seconds
-        usual_latency = self._views.of_incarnation(placement.target).latency
+        recent_latency = self._views.of_incarnation(placement.target).latency
         early_retry_after = max(
             _EARLY_RETRY_OBJECTIVES * route.latency_objective,
-            _EARLY_RETRY_LATENCIES * usual_latency,
+            _EARLY_RETRY_LATENCIES * recent_latency,
         )
         return (
             early_retry_after
@@ -270,14 +270,14 @@
             call_metrics=self._call_metrics,
             clock=self._clock,
         )
-        first = relay.read_first_events(
+        first_events = relay.read_first_events(
             receive_timeout=self._answer_timeout(call, placement, tried)
         )
         self._call_metrics.record_first_byte(call)
         return _caller_answer.CallerAnswer(
             status=answer.status,
             headers=forwarded_fields(answer, keep_length=False),
-            body=_caller_answer.prime(relay.body_pieces(first)),
+            body=_caller_answer.prime(relay.body_pieces(first_events)),
         )
 
 
--- a/src/topazlug/forwarding/_startup_gate.py
+++ b/src/topazlug/forwarding/_startup_gate.py
@@ -29,7 +29,7 @@
 
     def __init__(self, *, clock: _clock.Clock) -> None:
         self._clock = clock
-        self._closes_at = clock.monotonic() + _STARTUP_SECONDS
+        self._opens_at = clock.monotonic() + _STARTUP_SECONDS
         self._opened = event.Event()
 
     def open(self) -> None:
@@ -38,6 +38,6 @@
 
     def wait(self) -> None:
         """Wait until the gate opens or the start-up time has passed."""
-        remaining_seconds = self._closes_at - self._clock.monotonic()
+        remaining_seconds = self._opens_at - self._clock.monotonic()
         if remaining_seconds > 0:
             self._opened.wait(remaining_seconds)
