--- a/src/topazlug/callers/_caller_request.py
+++ b/src/topazlug/callers/_caller_request.py
@@ -173,7 +173,7 @@
         Raises
         ------
         BodyTooLarge, BodyTooSlow, BadBody
-            As named.
+            The body is too long, took too long or is malformed.
         """
         return read_body(
             self._environ,
@@ -199,7 +199,7 @@
     Raises
     ------
     BodyTooLarge, BodyTooSlow, BadBody
-        As named.
+        The body is too long, took too long or is malformed.
     """
     declared = environ.get("CONTENT_LENGTH") or ""
     if declared.isdigit() and int(declared) > limit:
--- a/src/topazlug/callers/_callers.py
+++ b/src/topazlug/callers/_callers.py
@@ -56,7 +56,7 @@
 
     Parameters
     ----------
-    chats, services : Calls
+    chats, services : CallHandler
         Handlers of chat requests and of service requests.
     configuration : ConfigurationHolder
         Holds the configuration in force.
--- a/src/topazlug/forwarding/_call.py
+++ b/src/topazlug/forwarding/_call.py
@@ -27,8 +27,8 @@
     route : Route
         Route that matches the request.
     team : Team or None
-        Team of the caller; None if the request has no valid key and the
-        route or table requires none.
+        Team of the caller; None if the request has no known API key and
+        needs none.
     group : GroupName
         Service that runs it.
     rank : int
@@ -68,7 +68,7 @@
         excluded: frozenset[_ids.ReplicaId] = frozenset(),
         is_resumed: bool = False,
     ) -> _placement.PlacementRequest:
-        """Return the request to admission for a slot.
+        """Return the placement request of this call.
 
         Parameters
         ----------
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -46,9 +46,9 @@
 # that has not after this time is unreachable, or the first packet was lost.
 _CONNECT_TIMEOUT_SECONDS = 0.25
 _FLAP_WINDOW_SECONDS = 10.0
-# The fixed part of the retry budget is split among this many daemons until the
-# directory shows how many there are, and then among at least the minimum, as
-# others may be about to join.
+# The fixed part of the retry budget is split among `_ASSUMED_DAEMONS` until
+# the directory shows the number of daemons. After that it is split among at
+# least `_MIN_DAEMONS`, as others may be about to join.
 _ASSUMED_DAEMONS = 100
 _MIN_DAEMONS = 6
 # A replica accepts a few hundred connections from all daemons together and
@@ -256,7 +256,7 @@
         before = self.targets.target_by_replica
         for target in _listed_targets.restarted(before, targets):
             _log.warning(
-                "{replica} restarted; dropped connections to the old process",
+                "{replica} restarted; dropping connections to the old process",
                 replica=target.replica,
                 start=target.incarnation,
             )
@@ -303,7 +303,8 @@
         if self._owners is not None:
             self._owners.update_daemons(self._fleet.directory.daemons_by_id)
         # Rows of daemons that have left remain, so the number is never too low
-        # once all daemons have joined. Before that the fleet may be growing.
+        # once all daemons have joined. Before that the fleet may still be
+        # growing, hence the minimum.
         self.budget.daemons = max(_MIN_DAEMONS, daemons)
         seconds = _replica_view.REPORT_LIFETIME_SECONDS
         if daemons > _fleet_directory.MAX_SMALL_FLEET:
--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -26,8 +26,8 @@
 
 _log = _logs.logger("forwarding")
 # A resumable stream is resumed at another replica after it has been silent for
-# this many of its route's maximum pauses. Callers give up after eight, or
-# after two seconds.
+# this many of its route's maximum pauses. Callers give up after eight
+# pauses, or after two seconds.
 _SILENCE_TIMEOUT_PAUSES = 5.0
 
 
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -23,7 +23,7 @@
     def __call__(
         self, place: _placement.Placement, *, is_silent: bool
     ) -> None:
-        """Handle it; `is_silent` if the connection was not refused either."""
+        """Handle it; `is_silent` tells whether the connection timed out."""
 
 
 @final
@@ -64,11 +64,12 @@
     wire : ReplicaWire
         Encodes requests for replicas and decodes their answers.
     note_unreached : callable
-        Called with the placement when its replica could not be connected
-        to, and whether the connection timed out instead of being refused.
+        Called when the connection to a replica failed, with the placement
+        and whether the connection timed out instead of being refused.
     note_head : callable
-        Called with the placement, the running and waiting requests that the
-        head of an answer reports, and the seconds until that head.
+        Called when the head of an answer reports the replica's load, with
+        the placement, the numbers of running and waiting requests, and the
+        seconds from sending the request to that head.
     clock : Clock
         Clock of the daemon.
     disabled : frozenset of Mechanism
--- a/src/topazlug/forwarding/_graceful_stop.py
+++ b/src/topazlug/forwarding/_graceful_stop.py
@@ -23,7 +23,8 @@
 
     The daemon reports that it is not ready but still accepts connections
     until the load balancer has removed it. Each answer closes its
-    connection. The stop is complete when all requests have ended.
+    connection. The stop is complete when there has been no request and no
+    connection for `_IDLE_SECONDS`.
 
     Parameters
     ----------
--- a/src/topazlug/forwarding/_startup_gate.py
+++ b/src/topazlug/forwarding/_startup_gate.py
@@ -7,7 +7,7 @@
 from topazlug import _clock
 
 # A starting daemon has its table and its list of replicas 20 to 30 ms after it
-# begins to listen. Ten times that suffices on a busy instance. After that time
+# begins to listen. Ten times that covers a busy instance. After that time
 # requests are answered immediately, also if the store is unavailable.
 _STARTUP_SECONDS = 0.3
 
@@ -37,7 +37,7 @@
         self._opened.set()
 
     def wait(self) -> None:
-        """Wait until the gate opens or the start-up time has passed."""
+        """Wait until `open` is called or the start-up time has passed."""
         remaining_seconds = self._opens_at - self._clock.monotonic()
         if remaining_seconds > 0:
             self._opened.wait(remaining_seconds)
--- a/src/topazlug/forwarding/_table.py
+++ b/src/topazlug/forwarding/_table.py
@@ -53,7 +53,7 @@
     latency_objective : float
         Seconds until the first byte within which an answer is on time.
     max_pause : float
-        Maximum seconds between two events that are on time.
+        Seconds between two events within which a stream is on time.
     priority : int
         Priority of its requests, 0 first.
     shares : tuple of ServiceShare
@@ -192,7 +192,7 @@
         raise _errors.UnknownPath(f"no route for {path[:80]!r} on {name!r}")
 
     def find_team(self, route: Route, key: str | None) -> Team | None:
-        """Return the team of an API key, None if there is none.
+        """Return the team of an API key, None if the request needs no key.
 
         Raises
         ------
@@ -223,7 +223,7 @@
 def _rank_precedences(
     routes: Iterable[Route], teams_by_key: Mapping[str, Team] | None
 ) -> dict[_Precedence, int]:
-    """Return the rank of each precedence that requests of a table have."""
+    """Return the rank of each precedence that a request can have."""
     teams: set[Team | None] = {None, *(teams_by_key or {}).values()}
     route_by_priority = {route.priority: route for route in routes}
     precedences = sorted(
