--- a/src/topazlug/callers/_callers.py
+++ b/src/topazlug/callers/_callers.py
@@ -22,8 +22,8 @@
 from topazlug.telemetry import _metrics
 
 _log = _logs.logger("callers")
-_CHAT = "/v1/chat/completions"
-_MODELS = "/v1/models"
+_CHAT_PATH = "/v1/chat/completions"
+_MODELS_PATH = "/v1/models"
 
 
 class CallHandler(Protocol):
@@ -156,10 +156,10 @@
         caller: _caller_request.Caller,
         snapshot: _configuration.TableSnapshot,
     ) -> _caller_answer.CallerAnswer:
-        if request.path == _CHAT:
+        if request.path == _CHAT_PATH:
             _require_method(request, "POST")
             return self._chats.serve(request, caller, snapshot)
-        if request.path == _MODELS:
+        if request.path == _MODELS_PATH:
             _require_method(request, "GET")
             return _models(request, caller, snapshot)
         if request.raw_path.startswith(_service_calls.PREFIX):
