--- a/src/topazlug/forwarding/_app.py
+++ b/src/topazlug/forwarding/_app.py
@@ -31,7 +31,7 @@
 _DEFAULT_TIMEOUT_SECONDS = 60.0
 _BODY_TIMEOUT_SECONDS = 10.0
 _NOT_READY_RETRY_SECONDS = 0.5
-# Statuses by which a caller knows that its request has not run.
+# Statuses that promise the caller that its request has not run.
 _NOT_RUN_STATUSES = frozenset(
     {
         HTTPStatus.REQUEST_TIMEOUT,
--- a/tests/topazlug/callers/test_callers.py
+++ b/tests/topazlug/callers/test_callers.py
@@ -111,7 +111,7 @@
         )
         assert rejection(send_raw(rig, head + b"x")) == (408, "body_too_slow")
 
-    def test_cut(self, rig):
+    def test_truncated_body_does_no_harm(self, rig):
         head = wire_fixtures.raw_request(
             "POST", fixtures.CHAT_PATH, headers=[("Content-Length", "10")]
         )
