--- a/src/topazlug/membership/_membership.py
+++ b/src/topazlug/membership/_membership.py
@@ -144,7 +144,7 @@
                 zone=zone,
             )
         )
-        links.before_each(self.check_pause)
+        links.before_each_message(self.check_pause)
         instances.on_change(self._merge_listed)
 
     def start(self) -> None:
--- a/src/topazlug/peers/_peer_auth.py
+++ b/src/topazlug/peers/_peer_auth.py
@@ -36,14 +36,14 @@
 from topazlug.peers import _peer_codec
 
 VERSION = 1
-OLDEST_VERSION = 1
+MIN_VERSION = 1
 NONCE_BYTES = 16
-SEAL_BYTES = 16
-SEAL_OVERHEAD_BYTES = 32
+BATCH_MAC_BYTES = 16
+BATCH_OVERHEAD_BYTES = 32
 MAX_NAME_LENGTH = 64
 MAX_HANDSHAKE_BYTES = 1024
 MAX_HANDSHAKE_ITEMS = 32
-UNPACKER_BYTES = 4096
+UNPACKER_READ_BYTES = 4096
 READ_BYTES = 16384
 MAX_IDLE_UNPACKERS = 4
 
@@ -83,40 +83,42 @@
     ----------
     peer : Identity
         The proven other side.
-    sealer : Sealer
+    signer : Sealer
         Seals what is sent.
-    opener : Opener
+    verifier : Opener
         Checks and opens what is received.
     """
 
     peer: Identity
-    sealer: "Sealer"
-    opener: "Opener"
+    signer: "BatchSigner"
+    verifier: "BatchVerifier"
 
 
-def _seal(key: bytes, number: int, batch: bytes) -> bytes:
+def _batch_mac(key: bytes, number: int, batch: bytes) -> bytes:
     salt = number.to_bytes(hashlib.blake2b.SALT_SIZE, "big")
-    made = hashlib.blake2b(batch, digest_size=SEAL_BYTES, key=key, salt=salt)
+    made = hashlib.blake2b(
+        batch, digest_size=BATCH_MAC_BYTES, key=key, salt=salt
+    )
     return made.digest()
 
 
 @final
-class Sealer:
+class BatchSigner:
     """Seals batches in one direction of one connection."""
 
     def __init__(self, key: bytes) -> None:
         self._key = key
         self._number = 0
 
-    def sealed(self, batch: bytes) -> bytes:
+    def sign(self, batch: bytes) -> bytes:
         """Give the bytes to send for a batch."""
-        seal = _seal(self._key, self._number, batch)
+        seal = _batch_mac(self._key, self._number, batch)
         self._number += 1
         return msgpack.packb((seal, batch))
 
 
 @final
-class Opener:
+class BatchVerifier:
     """Checks and opens sealed batches as their bytes come in.
 
     Parameters
@@ -144,25 +146,25 @@
             If the bytes are no sealed batch, or pass the bound, or the seal
             is wrong. The connection can't be used any further.
         """
-        unpacker = self._unpacker or self._taken_unpacker()
+        unpacker = self._unpacker or self._borrow_unpacker()
         read = -1
         try:
             unpacker.feed(data)
             self._end += len(data)
             for sealed in unpacker:
                 read = unpacker.tell()
-                yield self._opened(sealed)
+                yield self._verified(sealed)
         except (ValueError, msgpack.UnpackException, TypeError) as error:
             raise _errors.PeerMessageInvalid(
                 f"no sealed batch within {self._max_bytes} bytes: {error!r}"
             ) from error
         if read == self._end:
-            self._give_back(unpacker)
+            self._return_unpacker(unpacker)
 
-    def _opened(self, sealed: Any) -> bytes:
+    def _verified(self, sealed: Any) -> bytes:
         match sealed:
             case [bytes(seal), bytes(batch)]:
-                expected = _seal(self._key, self._number, batch)
+                expected = _batch_mac(self._key, self._number, batch)
             case _:
                 raise _errors.PeerMessageInvalid("no seal before the batch")
         if not hmac.compare_digest(seal, expected):
@@ -172,17 +174,17 @@
         self._number += 1
         return batch
 
-    def _taken_unpacker(self) -> msgpack.Unpacker:
+    def _borrow_unpacker(self) -> msgpack.Unpacker:
         # An unpacker holds 45 KiB, most of it a stack for nested values.
         # With hundreds of links that would be tens of megabytes: a link
         # has one only while a batch is underway.
         idle = _idle_unpackers(self._max_bytes)
-        unpacker = idle.pop() if idle else _fresh_unpacker(self._max_bytes)
+        unpacker = idle.pop() if idle else _new_unpacker(self._max_bytes)
         self._unpacker = unpacker
         self._start = self._end = unpacker.tell()
         return unpacker
 
-    def _give_back(self, unpacker: msgpack.Unpacker) -> None:
+    def _return_unpacker(self, unpacker: msgpack.Unpacker) -> None:
         self._unpacker = None
         idle = _idle_unpackers(self._max_bytes)
         # The buffer grows to twice the largest batch, and never shrinks.
@@ -196,12 +198,12 @@
     return []
 
 
-def _fresh_unpacker(max_bytes: int) -> msgpack.Unpacker:
+def _new_unpacker(max_bytes: int) -> msgpack.Unpacker:
     # By default an unpacker takes a buffer of 1 MiB and walks through it
     # before starting over, so that all of it comes to be resident.
     return msgpack.Unpacker(
-        read_size=UNPACKER_BYTES,
-        max_buffer_size=max_bytes + SEAL_OVERHEAD_BYTES + READ_BYTES,
+        read_size=UNPACKER_READ_BYTES,
+        max_buffer_size=max_bytes + BATCH_OVERHEAD_BYTES + READ_BYTES,
         max_bin_len=max_bytes,
         max_array_len=2,
         max_map_len=0,
@@ -264,16 +266,16 @@
         self._received += len(data)
         self._unpacker.feed(data)
 
-    def check_nothing_left(self) -> None:
+    def check_no_trailing_bytes(self) -> None:
         if self._unpacker.tell() != self._received:
             raise _errors.PeerRefused("bytes ahead of the handshake's end")
 
 
-def shake_hands(
+def perform_handshake(
     sock: Socket,
     *,
     role: Role,
-    me: Identity,
+    identity: Identity,
     secret: str,
     max_batch_bytes: int,
     expected: _ids.DaemonId | None = None,
@@ -288,7 +290,7 @@
         The new connection.
     role : Role
         Our side of it.
-    me : Identity
+    identity : Identity
         Our name and incarnation.
     secret : str
         The fleet's secret.
@@ -308,8 +310,8 @@
     nonce = secrets.token_hex(NONCE_BYTES)
     mine = messages.Hello(
         version=VERSION,
-        daemon=me.daemon_id,
-        incarnation=me.incarnation,
+        daemon=identity.daemon_id,
+        incarnation=identity.incarnation,
         nonce=nonce,
     )
     if role is Role.DIALLING:
@@ -325,12 +327,12 @@
         transcript = _transcript(dialling=mine, accepting=theirs)
         handshake.send(_proof(secret, Role.DIALLING, transcript))
         _check_proof(handshake, secret, Role.ACCEPTING, transcript)
-    handshake.check_nothing_left()
+    handshake.check_no_trailing_bytes()
     other = Role.ACCEPTING if role is Role.DIALLING else Role.DIALLING
     return Session(
         peer=Identity(_ids.DaemonId(theirs.daemon), theirs.incarnation),
-        sealer=Sealer(_key(secret, role, transcript)),
-        opener=Opener(
+        signer=BatchSigner(_key(secret, role, transcript)),
+        verifier=BatchVerifier(
             _key(secret, other, transcript), max_bytes=max_batch_bytes
         ),
     )
@@ -342,9 +344,9 @@
     mine: messages.Hello,
     expected: _ids.DaemonId | None,
 ) -> None:
-    if theirs.version < OLDEST_VERSION:
+    if theirs.version < MIN_VERSION:
         raise _errors.PeerRefused(
-            f"version {theirs.version} is older than {OLDEST_VERSION}"
+            f"version {theirs.version} is older than {MIN_VERSION}"
         )
     if not 0 < len(theirs.daemon) <= MAX_NAME_LENGTH:
         raise _errors.PeerRefused(
--- a/src/topazlug/peers/_peer_backoff.py
+++ b/src/topazlug/peers/_peer_backoff.py
@@ -8,13 +8,13 @@
 from topazlug import _ids
 
 BASE_SECONDS = 0.05
-LIMIT_SECONDS = 2.0
-KEPT_SECONDS = 60.0
-MAX_KEPT = 4096
+MAX_SECONDS = 2.0
+RETENTION_SECONDS = 60.0
+MAX_ENTRIES = 4096
 
 
 @final
-class _Wait:
+class _PeerBackoff:
     def __init__(self) -> None:
         self.failures = 0
         self.until = 0.0
@@ -32,7 +32,7 @@
 
     def __init__(self, *, clock: _clock.Clock) -> None:
         self._clock = clock
-        self._wait_by_id: dict[_ids.DaemonId, _Wait] = {}
+        self._backoff_by_id: dict[_ids.DaemonId, _PeerBackoff] = {}
 
     def check(self, peer: _ids.DaemonId) -> None:
         """Let an attempt pass, or fail it at once.
@@ -42,33 +42,33 @@
         PeerUnreachable
             If the peer is left alone for now.
         """
-        wait = self._wait_by_id.get(peer)
-        if wait is not None and self._clock.monotonic() < wait.until:
+        entry = self._backoff_by_id.get(peer)
+        if entry is not None and self._clock.monotonic() < entry.until:
             raise _errors.PeerUnreachable(
-                f"{peer!r} failed {wait.failures} times; retried within "
-                f"{LIMIT_SECONDS} s"
+                f"{peer!r} failed {entry.failures} times; retried within "
+                f"{MAX_SECONDS} s"
             )
 
-    def succeeded(self, peer: _ids.DaemonId) -> None:
+    def record_success(self, peer: _ids.DaemonId) -> None:
         """Forget the failures of a peer."""
-        self._wait_by_id.pop(peer, None)
+        self._backoff_by_id.pop(peer, None)
 
-    def failed(self, peer: _ids.DaemonId) -> None:
+    def record_failure(self, peer: _ids.DaemonId) -> None:
         """Leave a peer alone, longer with each failure in a row."""
         now = self._clock.monotonic()
-        if len(self._wait_by_id) >= MAX_KEPT:
-            self._forget_before(now - KEPT_SECONDS)
-        wait = self._wait_by_id.setdefault(peer, _Wait())
-        longest = BASE_SECONDS * 2.0 ** min(wait.failures, 16)
-        longest = min(longest, LIMIT_SECONDS)
+        if len(self._backoff_by_id) >= MAX_ENTRIES:
+            self._evict_before(now - RETENTION_SECONDS)
+        entry = self._backoff_by_id.setdefault(peer, _PeerBackoff())
+        max_delay = BASE_SECONDS * 2.0 ** min(entry.failures, 16)
+        max_delay = min(max_delay, MAX_SECONDS)
         # Without jitter, all daemons dial a peer that comes back in the
         # same instant, and fill its backlog again and again.
-        wait.until = now + longest * random.uniform(0.5, 1.0)
-        wait.failures += 1
+        entry.until = now + max_delay * random.uniform(0.5, 1.0)
+        entry.failures += 1
 
-    def _forget_before(self, until: float) -> None:
-        self._wait_by_id = {
-            peer: wait
-            for peer, wait in self._wait_by_id.items()
-            if wait.until > until
+    def _evict_before(self, until: float) -> None:
+        self._backoff_by_id = {
+            peer: entry
+            for peer, entry in self._backoff_by_id.items()
+            if entry.until > until
         }
--- a/src/topazlug/peers/_peer_connections.py
+++ b/src/topazlug/peers/_peer_connections.py
@@ -67,7 +67,7 @@
 
     Parameters
     ----------
-    me : Identity
+    identity : Identity
         This daemon.
     settings : PeerSettings
         Secret, certificates, bounds and timeout.
@@ -76,11 +76,11 @@
     def __init__(
         self,
         *,
-        me: _peer_auth.Identity,
+        identity: _peer_auth.Identity,
         settings: _settings.PeerSettings,
     ) -> None:
         self.traffic = Traffic()
-        self._me = me
+        self._identity = identity
         self._settings = settings
         tls = settings.tls
         self._client_tls = _peer_tls.client_context(tls) if tls else None
@@ -109,7 +109,7 @@
                 if self._client_tls is not None:
                     sock = self._client_tls.wrap_socket(sock)
                 role = _peer_auth.Role.DIALLING
-                return self._proven(sock, role, expected)
+                return self._authenticated(sock, role, expected)
             except BaseException:
                 sock.close()
                 raise
@@ -131,7 +131,9 @@
                 _set_options(sock)
                 if self._server_tls is not None:
                     sock = self._server_tls.wrap_socket(sock, server_side=True)
-                return self._proven(sock, _peer_auth.Role.ACCEPTING, None)
+                return self._authenticated(
+                    sock, _peer_auth.Role.ACCEPTING, None
+                )
             except BaseException:
                 sock.close()
                 raise
@@ -141,17 +143,17 @@
             self._settings.connect_timeout, TimeoutError("no handshake")
         )
 
-    def _proven(
+    def _authenticated(
         self,
         sock: socket.socket,
         role: _peer_auth.Role,
         expected: _ids.DaemonId | None,
     ) -> tuple[CountedSocket, _peer_auth.Session]:
         counted = CountedSocket(sock, self.traffic)
-        session = _peer_auth.shake_hands(
+        session = _peer_auth.perform_handshake(
             counted,
             role=role,
-            me=self._me,
+            identity=self._identity,
             secret=self._settings.secret,
             max_batch_bytes=self._settings.max_frame_bytes + BATCH_BYTES,
             expected=expected,
--- a/src/topazlug/peers/_peer_link.py
+++ b/src/topazlug/peers/_peer_link.py
@@ -22,7 +22,7 @@
 from topazlug.peers import _peer_connections
 
 QUEUE_BYTES = 1048576
-SILENCE_SECONDS = 2.0
+MAX_UNANSWERED_SECONDS = 2.0
 
 _log = logbook.Logger("topazlug.peers")
 
@@ -47,11 +47,11 @@
         self.name = name
         self.closed = False
         self.last_used = clock.monotonic()
-        self.last_heard = -math.inf
+        self.last_received = -math.inf
         self._clock = clock
         self._max_frame_bytes = max_frame_bytes
         self._sock: _peer_connections.CountedSocket | None = None
-        self._sealer: _peer_auth.Sealer | None = None
+        self._signer: _peer_auth.BatchSigner | None = None
         self._queue: collections.deque[bytes] = collections.deque()
         self._queued_bytes = 0
         self._writing = False
@@ -66,7 +66,7 @@
     ) -> None:
         """Start to send what is queued, over a proven connection."""
         self._sock = sock
-        self._sealer = session.sealer
+        self._signer = session.signer
         self._wake_writer()
 
     def post(self, message: msgspec.Struct, *, call: int) -> None:
@@ -133,13 +133,13 @@
             self._result_by_call.pop(call, None)
         if result.ready():
             return result.get()
-        self._close_if_silent()
+        self._close_if_unresponsive()
         kind = type(message).__name__
         raise _errors.PeerUnreachable(
             f"{self.name} left {kind} unanswered for {timeout} s"
         )
 
-    def answer(self, frame: _peer_codec.Frame) -> None:
+    def resolve_call(self, frame: _peer_codec.Frame) -> None:
         """Hand an answer to who waits for it."""
         result = self._result_by_call.pop(-frame.call, None)
         if result is None:
@@ -155,7 +155,7 @@
 
     def read(
         self,
-        opener: _peer_auth.Opener,
+        verifier: _peer_auth.BatchVerifier,
         handle: Callable[[_peer_codec.Frame], None],
     ) -> None:
         """Read frames until the connection ends.
@@ -173,14 +173,14 @@
             if not data:
                 return
             self.last_used = self._clock.monotonic()
-            self.last_heard = self.last_used
+            self.last_received = self.last_used
             self._unanswered_since = None
-            for batch in opener.batches(data):
+            for batch in verifier.batches(data):
                 for frame in _peer_codec.decode(batch):
                     handle(frame)
 
     @property
-    def waits(self) -> bool:
+    def has_pending_calls(self) -> bool:
         """Whether a call waits for its answer."""
         return bool(self._result_by_call)
 
@@ -198,14 +198,14 @@
             )
         self._result_by_call.clear()
 
-    def _close_if_silent(self) -> None:
+    def _close_if_unresponsive(self) -> None:
         # A path that drops packets, or a peer frozen for long, keeps the
         # connection open and silent. Each call would wait out its timeout.
         # Closed, the next ones fail at once until a new one is proven.
         since = self._unanswered_since
         if since is None:
             return
-        if self._clock.monotonic() - since > SILENCE_SECONDS:
+        if self._clock.monotonic() - since > MAX_UNANSWERED_SECONDS:
             self.close()
 
     def _wake_writer(self) -> None:
@@ -218,30 +218,30 @@
         # Runs in the hub, after all greenlets that had something to send
         # at this moment, and must not block. A greenlet of its own for each
         # write would cost a third of the time of a call.
-        rest = b""
+        unsent = b""
         try:
-            while self._queue and not self.closed and not rest:
-                rest = self._open_socket().try_send(self._taken_batch())
+            while self._queue and not self.closed and not unsent:
+                unsent = self._open_socket().try_send(self._next_batch())
                 self.last_used = self._clock.monotonic()
         except OSError as error:
-            self._broke(error)
-        if rest:
-            gevent.spawn(self._write, rest)
+            self._close_after(error)
+        if unsent:
+            gevent.spawn(self._write, unsent)
         else:
             self._writing = False
 
-    def _write(self, rest: bytes) -> None:
+    def _write(self, unsent: bytes) -> None:
         try:
-            self._open_socket().sendall(rest)
+            self._open_socket().sendall(unsent)
             while self._queue and not self.closed:
-                self._open_socket().sendall(self._taken_batch())
+                self._open_socket().sendall(self._next_batch())
                 self.last_used = self._clock.monotonic()
         except OSError as error:
-            self._broke(error)
+            self._close_after(error)
         finally:
             self._writing = False
 
-    def _broke(self, error: OSError) -> None:
+    def _close_after(self, error: OSError) -> None:
         _log.info("link to {} broke: {}", self.name, error)
         self.close()
 
@@ -249,11 +249,11 @@
         assert self._sock is not None
         return self._sock
 
-    def _taken_batch(self) -> bytes:
-        assert self._sealer is not None
-        return self._sealer.sealed(_peer_codec.join(self._taken_frames()))
+    def _next_batch(self) -> bytes:
+        assert self._signer is not None
+        return self._signer.sign(_peer_codec.join(self._pop_frames()))
 
-    def _taken_frames(self) -> list[bytes]:
+    def _pop_frames(self) -> list[bytes]:
         frames = [self._queue.popleft()]
         size = len(frames[0])
         while (
--- a/src/topazlug/peers/_peers.py
+++ b/src/topazlug/peers/_peers.py
@@ -32,7 +32,7 @@
 
 IDLE_SECONDS = 60.0
 IDLE_MARGIN_SECONDS = 30.0
-REAP_PART = 4
+REAPS_PER_IDLE_PERIOD = 4
 MAX_HANDSHAKES = 128
 BACKLOG = 1024
 
@@ -95,13 +95,14 @@
         self._idle_seconds = idle_seconds
         self._backoff = _peer_backoff.Backoff(clock=clock)
         self._connector = _peer_connections.Connector(
-            me=_peer_auth.Identity(daemon_id, incarnation), settings=settings
+            identity=_peer_auth.Identity(daemon_id, incarnation),
+            settings=settings,
         )
         self._handler_by_kind: dict[str, Handler] = {}
         self._dialled_by_id: dict[_ids.DaemonId, _peer_link.Link] = {}
         self._accepted: set[_peer_link.Link] = set()
         self._greenlets: set[gevent.Greenlet] = set()
-        self._before_each: Callable[[], object] = _do_nothing
+        self._before_each_message: Callable[[], object] = _do_nothing
         self._handshakes = 0
         self._server: server.StreamServer | None = None
         self._stopped = False
@@ -155,13 +156,13 @@
         """
         self._handler_by_kind[kind.__name__] = handler
 
-    def before_each(self, callback: Callable[[], object]) -> None:
+    def before_each_message(self, callback: Callable[[], object]) -> None:
         """Have a callable called before each message is handled.
 
         After this process was frozen, old messages wait in its sockets. The
         callable finds that out before one of them is acted on.
         """
-        self._before_each = callback
+        self._before_each_message = callback
 
     def send(self, to: _ids.DaemonId, message: msgspec.Struct) -> None:
         """Queue a one-way message without blocking.
@@ -191,7 +192,7 @@
         """
         return self._link_to(to).call(message, timeout=timeout)
 
-    def heard_since(self, peer: _ids.DaemonId, moment: float) -> bool:
+    def received_since(self, peer: _ids.DaemonId, moment: float) -> bool:
         """Say whether a peer sent anything on the stream dialled to it.
 
         Parameters
@@ -200,7 +201,7 @@
             Monotonic seconds.
         """
         link = self._dialled_by_id.get(peer)
-        return link is not None and link.last_heard >= moment
+        return link is not None and link.last_received >= moment
 
     def disconnect(self, peer: _ids.DaemonId) -> None:
         """Close the stream that was dialled to a peer, if there is one."""
@@ -236,12 +237,15 @@
         # The dialling side closes first. The other waits a little longer
         # and closes streams whose dialler is gone without a word.
         while True:
-            self._clock.sleep(self._idle_seconds / REAP_PART)
+            self._clock.sleep(self._idle_seconds / REAPS_PER_IDLE_PERIOD)
             now = self._clock.monotonic()
             dialled_limit = now - self._idle_seconds
             accepted_limit = dialled_limit - IDLE_MARGIN_SECONDS
             for link in list(self._dialled_by_id.values()):
-                if link.last_used < dialled_limit and not link.waits:
+                if (
+                    link.last_used < dialled_limit
+                    and not link.has_pending_calls
+                ):
                     link.close()
             for link in list(self._accepted):
                 if link.last_used < accepted_limit:
@@ -262,24 +266,26 @@
     def _dial(
         self, to: _ids.DaemonId, address: Address, link: _peer_link.Link
     ) -> None:
-        proven = False
+        authenticated = False
         try:
             sock, session = self._connector.dial(*address, expected=to)
-            proven = True
-            self._backoff.succeeded(to)
+            authenticated = True
+            self._backoff.record_success(to)
             if link.closed:
                 sock.close()
                 return
             link.open(sock, session)
-            link.read(session.opener, lambda frame: _take(link, frame))
+            link.read(
+                session.verifier, lambda frame: _handle_answer(link, frame)
+            )
         except _errors.TopazlugError as error:
             _log.warning("stream to {}: {}", to, error)
-            proven = False
+            authenticated = False
         except OSError as error:
             _log.info("stream to {} ended: {}", to, error)
         finally:
-            if not proven:
-                self._backoff.failed(to)
+            if not authenticated:
+                self._backoff.record_failure(to)
             link.close()
             if self._dialled_by_id.get(to) is link:
                 del self._dialled_by_id[to]
@@ -321,7 +327,8 @@
             link.open(sock, session)
             peer = session.peer.daemon_id
             link.read(
-                session.opener, lambda frame: self._dispatch(peer, link, frame)
+                session.verifier,
+                lambda frame: self._dispatch(peer, link, frame),
             )
         finally:
             self._accepted.discard(link)
@@ -336,33 +343,33 @@
         handler = self._handler_by_kind.get(frame.kind)
         if handler is None or frame.message is None:
             _log.debug("{} sent unknown kind {!r}", peer, frame.kind)
-            _refuse(link, frame)
+            _send_refusal(link, frame)
             return
         try:
-            self._before_each()
-            handler(peer, frame.message, _reply(link, frame))
+            self._before_each_message()
+            handler(peer, frame.message, _reply_callback(link, frame))
         except Exception:
             # One message that trips a handler must not cut the stream:
             # all other questions on it would fail with it.
             _log.exception("handler of {} from {}", frame.kind, peer)
-            _refuse(link, frame)
+            _send_refusal(link, frame)
 
 
 def _do_nothing() -> None:
     pass
 
 
-def _take(link: _peer_link.Link, frame: _peer_codec.Frame) -> None:
+def _handle_answer(link: _peer_link.Link, frame: _peer_codec.Frame) -> None:
     if frame.call < 0:
-        link.answer(frame)
+        link.resolve_call(frame)
 
 
-def _refuse(link: _peer_link.Link, frame: _peer_codec.Frame) -> None:
+def _send_refusal(link: _peer_link.Link, frame: _peer_codec.Frame) -> None:
     if frame.call > 0 and not link.closed:
         link.post_frame(_peer_codec.encode_refusal(frame.call))
 
 
-def _reply(link: _peer_link.Link, frame: _peer_codec.Frame) -> Reply:
+def _reply_callback(link: _peer_link.Link, frame: _peer_codec.Frame) -> Reply:
     if frame.call <= 0:
         return ignore_reply
 
--- a/src/topazlug/routing/_held_placements.py
+++ b/src/topazlug/routing/_held_placements.py
@@ -35,7 +35,7 @@
     ) -> msgspec.Struct:
         """Send a request and return its reply; raises PeerUnreachable."""
 
-    def heard_since(self, peer: _ids.DaemonId, moment: float) -> bool:
+    def received_since(self, peer: _ids.DaemonId, moment: float) -> bool:
         """Return whether a peer has sent anything since a moment."""
 
 
--- a/src/topazlug/routing/_owner_client.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -223,7 +223,7 @@
         when the load is highest.
         """
         self.unanswered_count += 1
-        if not waited and not self._links.heard_since(owner, since):
+        if not waited and not self._links.received_since(owner, since):
             timeouts = self._consecutive_timeouts.get(owner, 0)
             self._consecutive_timeouts[owner] = timeouts + 1
             skip_seconds = _INITIAL_SKIP_SECONDS * 2 ** min(timeouts, 8)
--- a/tests/topazlug/fleet_fakes.py
+++ b/tests/topazlug/fleet_fakes.py
@@ -75,7 +75,7 @@
             raise _errors.PeerUnreachable(to)
         return replies[0]
 
-    def heard_since(self, peer, moment):
+    def received_since(self, peer, moment):
         return False
 
     def send(self, to, message):
--- a/tests/topazlug/membership/test_membership.py
+++ b/tests/topazlug/membership/test_membership.py
@@ -16,7 +16,7 @@
     """Daemons that share one platform list."""
 
     def __init__(self):
-        self.instances = peer_fixtures.FakeList()
+        self.instances = peer_fixtures.FakeInstanceList()
         self.nodes = []
 
     def add(self, name, *, listed=True, incarnation=1):
@@ -29,7 +29,7 @@
         return node
 
     def list_all(self, *nodes):
-        self.instances.show(*(node.instance() for node in nodes))
+        self.instances.set_instances(*(node.instance() for node in nodes))
 
     def started(self, count):
         nodes = [self.add(f"d{number}") for number in range(count)]
@@ -45,7 +45,7 @@
 
 def all_see_each_other(nodes):
     return all(
-        node.sees(*(other for other in nodes if other is not node))
+        node.usable_peers_are(*(other for other in nodes if other is not node))
         for node in nodes
     )
 
@@ -146,7 +146,7 @@
 
         def pause_sender(_peer, _message, _reply):
             requests.append(1)
-            nodes[0].clock.ahead += 0.9
+            nodes[0].clock.offset += 0.9
 
         nodes[1].links.handle(messages.Exchange, pause_sender)
         wait_until(lambda: len(requests) > 4)
@@ -189,7 +189,7 @@
         nodes = fleet.started(3)
         nodes[0].membership.announce_leaving()
         wait_until(lambda: all_see_each_other(nodes[1:]))
-        nodes[0].clock.ahead += 60.0
+        nodes[0].clock.offset += 60.0
         wait_until(lambda: nodes[0].membership.pause_count == 1)
         fleet.list_all(*nodes)
         assert all_see_each_other(nodes[1:])
@@ -199,7 +199,7 @@
         leaving = msgspec.structs.replace(
             nodes[0].instance(), state=_instances.InstanceState.LEAVING
         )
-        fleet.instances.show(leaving)
+        fleet.instances.set_instances(leaving)
         assert all_see_each_other(nodes[1:])
         assert "d0" not in nodes[0].membership.usable()
 
@@ -257,7 +257,7 @@
         nodes = fleet.started(3)
         pauses = []
         nodes[0].membership.on_pause(pauses.append)
-        nodes[0].clock.ahead += 60.0
+        nodes[0].clock.offset += 60.0
         wait_until(lambda: bool(pauses))
         assert pauses[0] >= 60.0
         assert nodes[0].membership.pause_count == 1
@@ -282,7 +282,7 @@
             node.membership.stop()
         membership = nodes[0].membership
         membership._on_no_answer("d1")
-        nodes[0].clock.ahead += 60.0
+        nodes[0].clock.offset += 60.0
         assert membership.check_pause()
         membership._expire_suspected()
         assert nodes[0].member(nodes[1]).state is State.suspected
@@ -304,7 +304,7 @@
             ),
         )
         membership.stop()
-        nodes[0].clock.ahead += 60.0
+        nodes[0].clock.offset += 60.0
         pull = messages.ConfigPull(after=0)
         nodes[1].links.call("d0", pull, timeout=10.0)
         assert counts == [1]
@@ -365,18 +365,20 @@
         halves = (nodes[:2], nodes[2:])
         for half, others in (halves, halves[::-1]):
             for node in half:
-                node.part_from(others)
+                node.disconnect_from(others)
         wait_until(lambda: all(all_see_each_other(half) for half in halves))
         for node in nodes:
-            node.part_from([])
+            node.disconnect_from([])
         wait_until(lambda: all_see_each_other(nodes))
 
     def test_isolated_daemon_contacts_dead_peers(self, fleet, monkeypatch):
         monkeypatch.setattr(_fact_exchange, "DEAD_PEER_RETRY_SECONDS", 3600.0)
         nodes = fleet.started(2)
-        nodes[0].part_from(nodes[1:])
-        nodes[1].part_from(nodes[:1])
-        wait_until(lambda: nodes[0].sees() and nodes[1].sees())
-        nodes[0].part_from([])
-        nodes[1].part_from([])
+        nodes[0].disconnect_from(nodes[1:])
+        nodes[1].disconnect_from(nodes[:1])
+        wait_until(
+            lambda: nodes[0].usable_peers_are() and nodes[1].usable_peers_are()
+        )
+        nodes[0].disconnect_from([])
+        nodes[1].disconnect_from([])
         wait_until(lambda: all_see_each_other(nodes))
--- a/tests/topazlug/peer_fixtures.py
+++ b/tests/topazlug/peer_fixtures.py
@@ -48,11 +48,11 @@
         gevent.sleep(seconds)
 
 
-class JumpClock:
+class SteppableClock:
     """The system's clock, which can be made to jump."""
 
     def __init__(self) -> None:
-        self.ahead = 0.0
+        self.offset = 0.0
         self._system = _clock.SystemClock()
 
     def now(self) -> datetime.datetime:
@@ -61,7 +61,7 @@
 
     def monotonic(self) -> float:
         """Give monotonic time with the jumps."""
-        return self._system.monotonic() + self.ahead
+        return self._system.monotonic() + self.offset
 
     def sleep(self, seconds: float) -> None:
         """Let other greenlets run."""
@@ -102,7 +102,7 @@
             links.stop()
 
 
-class FakeList:
+class FakeInstanceList:
     """The platform's list, set by the test."""
 
     def __init__(self) -> None:
@@ -113,7 +113,7 @@
         """Have a callable called on each change."""
         self._callbacks.append(callback)
 
-    def show(self, *instances: _instances.Instance) -> None:
+    def set_instances(self, *instances: _instances.Instance) -> None:
         """Show these instances and no others."""
         self.instances_by_id = {one.id: one for one in instances}
         for callback in self._callbacks:
@@ -124,12 +124,12 @@
     """Links and membership of one daemon."""
 
     def __init__(
-        self, name: str, instances: FakeList, *, incarnation: int = 1
+        self, name: str, instances: FakeInstanceList, *, incarnation: int = 1
     ) -> None:
         self.name = _ids.DaemonId(name)
         self.incarnation = incarnation
-        self.clock = JumpClock()
-        self.cut_ids: set[str] = set()
+        self.clock = SteppableClock()
+        self.unreachable_ids: set[str] = set()
         self.revision = 0
         self.links = _peers.PeerLinks(
             daemon_id=self.name,
@@ -165,7 +165,7 @@
             incarnation=self.incarnation,
         )
 
-    def sees(self, *others: "Node") -> bool:
+    def usable_peers_are(self, *others: "Node") -> bool:
         """Tell whether just these and itself are usable here."""
         names = {self.name, *(other.name for other in others)}
         return set(self.membership.usable()) == names
@@ -174,9 +174,9 @@
         """Give what this daemon holds of another."""
         return self.membership.members_by_id[other.name]
 
-    def part_from(self, others: list["Node"]) -> None:
+    def disconnect_from(self, others: list["Node"]) -> None:
         """Reach these daemons no more."""
-        self.cut_ids = {other.name for other in others}
+        self.unreachable_ids = {other.name for other in others}
         for other in others:
             self.links.disconnect(other.name)
 
@@ -186,6 +186,6 @@
         self.links.stop()
 
     def _address_of(self, peer: _ids.DaemonId) -> _peers.Address | None:
-        if peer in self.cut_ids:
+        if peer in self.unreachable_ids:
             return None
         return self.membership.address_of(peer)
--- a/tests/topazlug/peers/test_peer_auth.py
+++ b/tests/topazlug/peers/test_peer_auth.py
@@ -16,14 +16,16 @@
 KEY = b"k" * 32
 
 
-def shake(sock, role, *, name, secret=peer_fixtures.SECRET, expected=None):
+def perform_one_side(
+    sock, role, *, name, secret=peer_fixtures.SECRET, expected=None
+):
     """Go through one side of a handshake, and close when it fails."""
     try:
         with gevent.Timeout(5, TimeoutError()):
-            return _peer_auth.shake_hands(
+            return _peer_auth.perform_handshake(
                 sock,
                 role=role,
-                me=_peer_auth.Identity(name, 3),
+                identity=_peer_auth.Identity(name, 3),
                 secret=secret,
                 max_batch_bytes=LIMIT,
                 expected=expected,
@@ -35,12 +37,12 @@
 
 def accept_in_greenlet(sock, **values):
     return gevent.spawn(
-        shake, sock, _peer_auth.Role.ACCEPTING, name="b", **values
+        perform_one_side, sock, _peer_auth.Role.ACCEPTING, name="b", **values
     )
 
 
 def dial(sock, **values):
-    return shake(sock, _peer_auth.Role.DIALLING, name="a", **values)
+    return perform_one_side(sock, _peer_auth.Role.DIALLING, name="a", **values)
 
 
 class RecordingSocket:
@@ -68,18 +70,18 @@
 class TestHandshake:
     """Both sides prove that they hold the secret."""
 
-    def test_each_learns_the_other(self, pair):
+    def test_each_side_identifies_the_other(self, pair):
         accepting = accept_in_greenlet(pair[1])
         assert dial(pair[0]).peer == _peer_auth.Identity("b", 3)
         assert accepting.get().peer == _peer_auth.Identity("a", 3)
 
-    def test_each_opens_what_the_other_seals(self, pair):
+    def test_each_side_verifies_the_others_batches(self, pair):
         accepting = accept_in_greenlet(pair[1])
         dialled, accepted = dial(pair[0]), accepting.get()
-        asked = dialled.sealer.sealed(b"question")
-        assert list(accepted.opener.batches(asked)) == [b"question"]
-        answered = accepted.sealer.sealed(b"answer")
-        assert list(dialled.opener.batches(answered)) == [b"answer"]
+        asked = dialled.signer.sign(b"question")
+        assert list(accepted.verifier.batches(asked)) == [b"question"]
+        answered = accepted.signer.sign(b"answer")
+        assert list(dialled.verifier.batches(answered)) == [b"answer"]
 
     def test_wrong_secret(self, pair):
         accepting = accept_in_greenlet(pair[1])
@@ -98,7 +100,7 @@
         with pytest.raises(_errors.PeerRefused, match="dialled 'c'"):
             dial(pair[0], expected="c")
 
-    def test_recorded_handshake_is_refused(self, pair):
+    def test_replayed_handshake_is_refused(self, pair):
         """A stranger gets in by sending what a daemon once sent.
 
         Sequence: one handshake is recorded and sent again word for word.
@@ -114,7 +116,7 @@
         with pytest.raises(_errors.PeerRefused, match="wrong proof"):
             accepting.get()
 
-    def test_own_words_sent_back_are_refused(self, pair):
+    def test_reflected_handshake_is_refused(self, pair):
         """A stranger gets in by sending a daemon its own words.
 
         Sequence: all that the dialling side sends comes straight back.
@@ -152,76 +154,78 @@
         stranger.close()
 
 
-class TestSeals:
+class TestBatches:
     """Batches arrive whole, unchanged and in order, or not at all."""
 
     @pytest.fixture
-    def sealer(self):
-        return _peer_auth.Sealer(KEY)
+    def signer(self):
+        return _peer_auth.BatchSigner(KEY)
 
     @pytest.fixture
-    def opener(self):
-        return _peer_auth.Opener(KEY, max_bytes=LIMIT)
+    def verifier(self):
+        return _peer_auth.BatchVerifier(KEY, max_bytes=LIMIT)
 
     @settings(max_examples=100, deadline=None)
     @given(
         batches=strategies.lists(strategies.binary(max_size=LIMIT)),
         cuts=strategies.integers(1, 5000),
     )
-    def test_any_pieces(self, batches, cuts):
-        sealer = _peer_auth.Sealer(KEY)
-        opener = _peer_auth.Opener(KEY, max_bytes=LIMIT)
-        data = b"".join(sealer.sealed(batch) for batch in batches)
+    def test_batches_split_at_any_byte(self, batches, cuts):
+        signer = _peer_auth.BatchSigner(KEY)
+        verifier = _peer_auth.BatchVerifier(KEY, max_bytes=LIMIT)
+        data = b"".join(signer.sign(batch) for batch in batches)
         pieces = (data[at : at + cuts] for at in range(0, len(data), cuts))
-        found = [one for piece in pieces for one in opener.batches(piece)]
+        found = [one for piece in pieces for one in verifier.batches(piece)]
         assert found == batches
 
-    def test_two_connections_in_pieces(self):
+    def test_partial_batches_on_two_connections(self):
         """Bytes of one connection are read as another's.
 
         Sequence: half a batch comes in on each of two connections. Cause:
         a reader shared by connections while it holds bytes of one.
         """
-        sealers = [_peer_auth.Sealer(KEY) for _ in range(2)]
-        openers = [_peer_auth.Opener(KEY, max_bytes=LIMIT) for _ in range(2)]
-        data = [sealer.sealed(b"x" * 50) for sealer in sealers]
+        signers = [_peer_auth.BatchSigner(KEY) for _ in range(2)]
+        verifiers = [
+            _peer_auth.BatchVerifier(KEY, max_bytes=LIMIT) for _ in range(2)
+        ]
+        data = [signer.sign(b"x" * 50) for signer in signers]
         for part in (slice(None, 30), slice(30, 31), slice(31, None)):
             found = [
-                list(opener.batches(one[part]))
-                for opener, one in zip(openers, data)
+                list(verifier.batches(one[part]))
+                for verifier, one in zip(verifiers, data)
             ]
         assert found == [[b"x" * 50], [b"x" * 50]]
 
-    def test_many_large_batches(self, sealer):
-        opener = _peer_auth.Opener(KEY, max_bytes=10**6)
+    def test_many_large_batches(self, signer):
+        verifier = _peer_auth.BatchVerifier(KEY, max_bytes=10**6)
         for size in (10**6, 10, 10**5, 0):
-            data = sealer.sealed(b"x" * size)
-            assert list(opener.batches(data)) == [b"x" * size]
+            data = signer.sign(b"x" * size)
+            assert list(verifier.batches(data)) == [b"x" * size]
 
-    def test_changed_batch(self, sealer, opener):
-        data = sealer.sealed(b"pay 100").replace(b"100", b"900")
+    def test_changed_batch(self, signer, verifier):
+        data = signer.sign(b"pay 100").replace(b"100", b"900")
         with pytest.raises(_errors.PeerMessageInvalid, match="seal"):
-            list(opener.batches(data))
+            list(verifier.batches(data))
 
-    def test_repeated_batch(self, sealer, opener):
-        data = sealer.sealed(b"once")
+    def test_repeated_batch(self, signer, verifier):
+        data = signer.sign(b"once")
         with pytest.raises(_errors.PeerMessageInvalid, match="seal"):
-            list(opener.batches(data + data))
+            list(verifier.batches(data + data))
 
-    def test_dropped_batch(self, sealer, opener):
-        sealer.sealed(b"lost")
+    def test_dropped_batch(self, signer, verifier):
+        signer.sign(b"lost")
         with pytest.raises(_errors.PeerMessageInvalid, match="seal"):
-            list(opener.batches(sealer.sealed(b"next")))
+            list(verifier.batches(signer.sign(b"next")))
 
-    def test_oversized_batch(self, sealer, opener):
+    def test_oversized_batch(self, signer, verifier):
         with pytest.raises(_errors.PeerMessageInvalid):
-            list(opener.batches(sealer.sealed(b"x" * (LIMIT + 1))))
+            list(verifier.batches(signer.sign(b"x" * (LIMIT + 1))))
 
     @settings(max_examples=200, deadline=None)
     @given(data=strategies.binary(min_size=1, max_size=200))
-    def test_garbage_never_opens(self, data):
-        opener = _peer_auth.Opener(KEY, max_bytes=LIMIT)
+    def test_garbage_is_never_accepted(self, data):
+        verifier = _peer_auth.BatchVerifier(KEY, max_bytes=LIMIT)
         try:
-            assert not list(opener.batches(data))
+            assert not list(verifier.batches(data))
         except _errors.PeerMessageInvalid:
             pass
--- a/tests/topazlug/peers/test_peers.py
+++ b/tests/topazlug/peers/test_peers.py
@@ -15,7 +15,7 @@
 from topazlug.peers import _peer_link
 from topazlug.peers import _peers
 
-PATIENT = 10.0
+CALL_TIMEOUT = 10.0
 CERTIFICATES = pathlib.Path(__file__).parent / "peer_certificates"
 
 
@@ -47,9 +47,9 @@
 class ListeningPeer:
     """A TCP listener that a test gives its manners."""
 
-    def __init__(self, pair, name, manners):
+    def __init__(self, pair, name, on_connection):
         self.sockets = []
-        self._manners = manners
+        self._on_connection = on_connection
         self.server = server.StreamServer(("127.0.0.1", 0), self._accept)
         self.server.start()
         address = _peers.Address("127.0.0.1", self.server.server_port)
@@ -57,18 +57,18 @@
 
     def _accept(self, sock, _address):
         self.sockets.append(sock)
-        self._manners(sock)
+        self._on_connection(sock)
 
 
-def say_nothing(_sock):
+def never_respond(_sock):
     gevent.sleep(3600)
 
 
-def prove_and_say_nothing(sock):
-    _peer_auth.shake_hands(
+def authenticate_then_never_respond(sock):
+    _peer_auth.perform_handshake(
         sock,
         role=_peer_auth.Role.ACCEPTING,
-        me=_peer_auth.Identity("b", 1),
+        identity=_peer_auth.Identity("b", 1),
         secret=peer_fixtures.SECRET,
         max_batch_bytes=100,
     )
@@ -80,19 +80,19 @@
 
     def test_answer(self, asking, answering):
         answering.handle(messages.ConfigPull, answer_with_number)
-        assert asking.call("b", pull(5), timeout=PATIENT).lent == 5
+        assert asking.call("b", pull(5), timeout=CALL_TIMEOUT).lent == 5
 
-    def test_handler_learns_who_asks(self, asking, answering):
-        askers = []
+    def test_handler_receives_the_sender(self, asking, answering):
+        senders = []
         answering.handle(
             messages.ConfigPull,
             lambda peer, _message, reply: (
-                askers.append(peer),
+                senders.append(peer),
                 reply(messages.Ack()),
             ),
         )
-        asking.call("b", pull(5), timeout=PATIENT)
-        assert askers == ["a"]
+        asking.call("b", pull(5), timeout=CALL_TIMEOUT)
+        assert senders == ["a"]
 
     def test_answers_out_of_order(self, asking, answering):
         kept = []
@@ -101,7 +101,7 @@
             lambda _peer, message, reply: kept.append((message, reply)),
         )
         calls = [
-            gevent.spawn(asking.call, "b", pull(n), timeout=PATIENT)
+            gevent.spawn(asking.call, "b", pull(n), timeout=CALL_TIMEOUT)
             for n in range(3)
         ]
         peer_fixtures.wait_until(lambda: len(kept) == 3)
@@ -109,7 +109,7 @@
             answer_with_number("a", message, reply)
         assert [call.get().lent for call in calls] == [0, 1, 2]
 
-    def test_late_answer_goes_to_nobody(self, asking, answering):
+    def test_late_answer_is_discarded(self, asking, answering):
         """A question is answered with the answer to an earlier one.
 
         Sequence: a call times out, another is made, and both answers come.
@@ -122,7 +122,7 @@
         )
         with pytest.raises(_errors.PeerUnreachable, match="unanswered"):
             asking.call("b", pull(1), timeout=0.2)
-        second = gevent.spawn(asking.call, "b", pull(2), timeout=PATIENT)
+        second = gevent.spawn(asking.call, "b", pull(2), timeout=CALL_TIMEOUT)
         peer_fixtures.wait_until(lambda: len(kept) == 2)
         for message, reply in kept:
             answer_with_number("a", message, reply)
@@ -132,20 +132,22 @@
         answering.handle(messages.ConfigPull, lambda *_: None)
         with pytest.raises(gevent.Timeout):
             with gevent.Timeout(0.1):
-                asking.call("b", pull(1), timeout=PATIENT)
+                asking.call("b", pull(1), timeout=CALL_TIMEOUT)
 
     def test_unknown_kind_fails_at_once(self, asking, answering):
         with pytest.raises(_errors.PeerUnreachable, match="refused"):
-            asking.call("b", pull(1), timeout=PATIENT)
+            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
 
-    def test_handler_that_fails_leaves_the_stream(self, asking, answering):
+    def test_failing_handler_keeps_the_stream_open(self, asking, answering):
         answering.handle(messages.ConfigPull, lambda *_: 1 / 0)
         answering.handle(
             messages.Release, lambda _p, _m, reply: reply(pull(1))
         )
         with pytest.raises(_errors.PeerUnreachable, match="refused"):
-            asking.call("b", pull(1), timeout=PATIENT)
-        answer = asking.call("b", messages.Release(asks=[]), timeout=PATIENT)
+            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
+        answer = asking.call(
+            "b", messages.Release(asks=[]), timeout=CALL_TIMEOUT
+        )
         assert answer == pull(1)
         assert answering.link_count == 1
 
@@ -165,11 +167,11 @@
             messages.Release, lambda _p, message, reply: reply(message)
         )
         large = messages.Release(asks=list(range(500_000)))
-        assert asking.call("b", large, timeout=PATIENT) == large
+        assert asking.call("b", large, timeout=CALL_TIMEOUT) == large
 
     def test_bytes_are_counted_alike(self, asking, answering):
         answering.handle(messages.ConfigPull, answer_with_number)
-        asking.call("b", pull(1), timeout=PATIENT)
+        asking.call("b", pull(1), timeout=CALL_TIMEOUT)
         assert asking.bytes_sent == answering.bytes_received > 0
         assert asking.bytes_received == answering.bytes_sent > 0
 
@@ -179,32 +181,34 @@
 
     def test_unknown_peer(self, asking):
         with pytest.raises(_errors.PeerUnreachable, match="no address"):
-            asking.call("b", pull(1), timeout=PATIENT)
+            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
 
-    def test_cut_fails_those_who_wait(self, asking, answering):
+    def test_cut_fails_pending_calls(self, asking, answering):
         answering.handle(messages.ConfigPull, lambda *_: answering.stop())
         with pytest.raises(_errors.PeerUnreachable, match="cut"):
-            asking.call("b", pull(1), timeout=PATIENT)
+            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
 
-    def test_peer_that_comes_back_is_dialled_anew(self, pair, asking):
+    def test_restarted_peer_is_dialled_again(self, pair, asking):
         pair.make("b").handle(messages.ConfigPull, answer_with_number)
-        asking.call("b", pull(1), timeout=PATIENT)
+        asking.call("b", pull(1), timeout=CALL_TIMEOUT)
         pair.links_by_id["b"].stop()
         pair.make("b").handle(messages.ConfigPull, answer_with_number)
         peer_fixtures.wait_until(lambda: asking.link_count == 0)
-        assert asking.call("b", pull(2), timeout=PATIENT).lent == 2
+        assert asking.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
 
-    def test_back_off_fails_at_once_and_ends(self, pair, asking, answering):
+    def test_backoff_fails_calls_until_it_expires(
+        self, pair, asking, answering
+    ):
         answering.handle(messages.ConfigPull, answer_with_number)
         right = pair.address_by_id["b"]
         pair.address_by_id["b"] = _peers.Address("127.0.0.1", 1)
         with pytest.raises(_errors.PeerUnreachable, match="cut"):
-            asking.call("b", pull(1), timeout=PATIENT)
+            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
         pair.address_by_id["b"] = right
         with pytest.raises(_errors.PeerUnreachable, match="retried"):
-            asking.call("b", pull(1), timeout=PATIENT)
+            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
         pair.clock.seconds += 2.0
-        assert asking.call("b", pull(2), timeout=PATIENT).lent == 2
+        assert asking.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
 
     def test_frozen_peer_fails_the_call(self, pair, asking):
         """Callers hang on a peer that is stopped.
@@ -212,45 +216,47 @@
         Sequence: the peer's process is frozen, its kernel still accepts.
         Cause: no bound on the time for the handshake.
         """
-        ListeningPeer(pair, "b", say_nothing)
+        ListeningPeer(pair, "b", never_respond)
         with pytest.raises(_errors.PeerUnreachable):
-            asking.call("b", pull(1), timeout=PATIENT)
+            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
 
-    def test_peer_that_does_not_read_blocks_nobody(self, pair, asking):
+    def test_peer_that_does_not_read_does_not_block_senders(
+        self, pair, asking
+    ):
         """Senders hang, or memory grows, at a peer that reads nothing.
 
         Sequence: a peer freezes after the handshake, its buffers fill up.
         Cause: writing in the sender's greenlet, or a queue without bound.
         """
-        ListeningPeer(pair, "b", prove_and_say_nothing)
+        ListeningPeer(pair, "b", authenticate_then_never_respond)
         large = messages.Release(asks=list(range(100_000)))
         with pytest.raises(_errors.PeerUnreachable, match="takes nothing"):
             for _ in range(1000):
                 asking.send("b", large)
                 gevent.sleep(0.001)
 
-    def test_silent_stream_is_given_up(self, pair, asking):
+    def test_unresponsive_stream_is_closed(self, pair, asking):
         """Each call to a peer that is cut off waits out its timeout.
 
         Sequence: the path drops all packets; the connection stays open.
         Cause: a stream judged by its socket, not by its answers.
         """
-        ListeningPeer(pair, "b", prove_and_say_nothing)
+        ListeningPeer(pair, "b", authenticate_then_never_respond)
         with pytest.raises(_errors.PeerUnreachable, match="unanswered"):
             asking.call("b", pull(1), timeout=0.2)
         assert asking.link_count == 1
-        pair.clock.seconds += _peer_link.SILENCE_SECONDS + 1
+        pair.clock.seconds += _peer_link.MAX_UNANSWERED_SECONDS + 1
         with pytest.raises(_errors.PeerUnreachable):
             asking.call("b", pull(1), timeout=0.2)
         peer_fixtures.wait_until(lambda: asking.link_count == 0)
 
     def test_idle_stream_closes(self, pair, asking, answering):
         answering.handle(messages.ConfigPull, answer_with_number)
-        asking.call("b", pull(1), timeout=PATIENT)
+        asking.call("b", pull(1), timeout=CALL_TIMEOUT)
         pair.clock.seconds += 1.0
         peer_fixtures.wait_until(lambda: asking.link_count == 0)
         peer_fixtures.wait_until(lambda: answering.link_count == 0)
-        assert asking.call("b", pull(2), timeout=PATIENT).lent == 2
+        assert asking.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
 
 
 class TestStrangers:
@@ -260,7 +266,7 @@
     def test_connection_is_closed(self, pair, answering, data):
         with socket.create_connection(pair.address_by_id["b"]) as stranger:
             stranger.sendall(data)
-            stranger.settimeout(PATIENT)
+            stranger.settimeout(CALL_TIMEOUT)
             try:
                 assert stranger.recv(1) == b""
             except ConnectionResetError:
@@ -271,20 +277,20 @@
         answering.handle(messages.ConfigPull, lambda *_: found.append(1))
         stranger = pair.make("c", secret="another secret of some length")
         with pytest.raises(_errors.PeerUnreachable):
-            stranger.call("b", pull(1), timeout=PATIENT)
+            stranger.call("b", pull(1), timeout=CALL_TIMEOUT)
         assert not found
 
     def test_invalid_message_cuts_the_stream(self, pair, answering):
         sock = socket.create_connection(pair.address_by_id["b"])
-        session = _peer_auth.shake_hands(
+        session = _peer_auth.perform_handshake(
             sock,
             role=_peer_auth.Role.DIALLING,
-            me=_peer_auth.Identity("c", 1),
+            identity=_peer_auth.Identity("c", 1),
             secret=peer_fixtures.SECRET,
             max_batch_bytes=100,
         )
-        sock.sendall(session.sealer.sealed(b"no frames"))
-        sock.settimeout(PATIENT)
+        sock.sendall(session.signer.sign(b"no frames"))
+        sock.settimeout(CALL_TIMEOUT)
         assert sock.recv(1) == b""
         sock.close()
 
@@ -293,29 +299,29 @@
     """Certificates of the fleet's authority, where settings give them."""
 
     @pytest.fixture
-    def tls_of(self):
-        def tls_of(name):
+    def make_tls_settings(self):
+        def make_tls_settings(name):
             return settings.TlsSettings(
                 certificate=str(CERTIFICATES / f"{name}.pem"),
                 key=str(CERTIFICATES / f"{name}-key.pem"),
                 authority=str(CERTIFICATES / "authority.pem"),
             )
 
-        return tls_of
+        return make_tls_settings
 
-    def test_call(self, pair, tls_of):
-        asking = pair.make("a", tls=tls_of("daemon"))
-        answering = pair.make("b", tls=tls_of("daemon"))
+    def test_call(self, pair, make_tls_settings):
+        asking = pair.make("a", tls=make_tls_settings("daemon"))
+        answering = pair.make("b", tls=make_tls_settings("daemon"))
         answering.handle(
             messages.Release, lambda _p, message, reply: reply(message)
         )
         large = messages.Release(asks=list(range(100_000)))
-        assert asking.call("b", large, timeout=PATIENT) == large
+        assert asking.call("b", large, timeout=CALL_TIMEOUT) == large
 
-    def test_another_authority_is_refused(self, pair, tls_of):
-        asking = pair.make("a", tls=tls_of("stranger"))
-        answering = pair.make("b", tls=tls_of("daemon"))
+    def test_another_authority_is_refused(self, pair, make_tls_settings):
+        asking = pair.make("a", tls=make_tls_settings("stranger"))
+        answering = pair.make("b", tls=make_tls_settings("daemon"))
         answering.handle(messages.ConfigPull, answer_with_number)
         with pytest.raises(_errors.PeerUnreachable):
-            asking.call("b", pull(1), timeout=PATIENT)
+            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
         assert answering.link_count == 0
--- a/tests/topazlug/placement/owner_fixtures.py
+++ b/tests/topazlug/placement/owner_fixtures.py
@@ -155,7 +155,7 @@
             raise _errors.PeerUnreachable("no answer")
         return answers[0]
 
-    def heard_since(self, to, moment):
+    def received_since(self, to, moment):
         return self._fleet.last_received_at.get(to, -1.0) >= moment
 
     def _deliver(self, to, message, reply):
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -132,7 +132,7 @@
     def call(self, to, message, *, timeout):
         raise _errors.PeerUnreachable(to)
 
-    def heard_since(self, peer, moment):
+    def received_since(self, peer, moment):
         return False
 
 
--- a/tests/topazlug/table_fakes.py
+++ b/tests/topazlug/table_fakes.py
@@ -156,7 +156,7 @@
         self._deliver(to, message, replies.append)
         return replies[0]
 
-    def heard_since(self, peer: str, moment: float) -> bool:
+    def received_since(self, peer: str, moment: float) -> bool:
         return False
 
     def _deliver(self, to: str, message: Any, reply: Any) -> None:
