--- a/src/topazlug/peers/__init__.py
+++ b/src/topazlug/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Streams of messages between daemons."""
+"""Message streams between daemons."""
--- a/src/topazlug/peers/_peer_auth.py
+++ b/src/topazlug/peers/_peer_auth.py
@@ -1,19 +1,20 @@
-"""Proof of who a peer is, and seals on what it sends.
-
-Each side of a new connection says hello with a fresh nonce. Then each
-proves that it holds the fleet's secret by an HMAC-SHA256 over its role,
-both nonces, both names and both incarnations: the dialling side first, so
-that a stranger who dials gets no proof to guess the secret from. The roles
-keep a proof from being sent back to its maker, the nonces keep a recorded
-handshake from being played again. No other message counts before.
-
-From the same transcript both sides derive one key for each direction. Each
-batch of frames carries a keyed BLAKE2b over its number and bytes, so that
-one who sits on the path can neither insert, change, repeat, drop nor
-reorder batches unnoticed. **Without TLS** such a one still reads all that is
-said, may cut the connection, and who once learns the secret can read and
-forge all connections of a recorded past as of the future. Where that
-matters, give the daemons certificates (`topazlug.peers._peer_tls`).
+"""Mutual authentication of peers, and authentication of their messages.
+
+Each side of a new connection sends a ``Hello`` with a fresh nonce. Each side
+then proves that it holds the fleet's secret with an HMAC-SHA256 over its
+role, both nonces, both names and both incarnations. The dialling side sends
+its proof first, so that an unauthenticated client receives no proof that it
+could use to guess the secret. The roles prevent reflection of a proof to its
+sender, and the nonces prevent replay of a recorded handshake. No other
+message is accepted before the handshake is complete.
+
+Both sides derive one key for each direction from the same transcript. Each
+batch of frames carries a keyed BLAKE2b MAC over its number and bytes, so
+that an attacker on the path can't insert, change, repeat, drop or reorder
+batches undetected. **Without TLS** such an attacker can still read all
+messages and cut the connection, and one who learns the secret can read
+recorded connections, and read and forge future ones. Where that matters,
+configure certificates for the daemons (`topazlug.peers._peer_tls`).
 """
 
 from collections.abc import Iterator
@@ -58,18 +59,18 @@
 
 
 class Socket(Protocol):
-    """What the handshake asks of a socket."""
+    """Socket operations that the handshake uses."""
 
     def recv(self, size: int, /) -> bytes:
-        """Read at most this many bytes; empty at the end."""
+        """Read at most `size` bytes; return none at the end of the stream."""
 
     def sendall(self, data: bytes, /) -> None:
-        """Write all the bytes."""
+        """Write all of `data`."""
 
 
 @final
 class Identity(msgspec.Struct, frozen=True):
-    """A daemon as it names itself in a handshake."""
+    """Name and incarnation that a daemon sends in a handshake."""
 
     daemon_id: _ids.DaemonId
     incarnation: int
@@ -77,16 +78,16 @@
 
 @final
 class Session(msgspec.Struct, frozen=True):
-    """What a handshake settles.
+    """Result of a handshake.
 
     Attributes
     ----------
     peer : Identity
-        The proven other side.
-    signer : Sealer
-        Seals what is sent.
-    verifier : Opener
-        Checks and opens what is received.
+        The authenticated other side.
+    signer : BatchSigner
+        Adds the MAC to outgoing batches.
+    verifier : BatchVerifier
+        Verifies incoming batches.
     """
 
     peer: Identity
@@ -96,37 +97,37 @@
 
 def _batch_mac(key: bytes, number: int, batch: bytes) -> bytes:
     salt = number.to_bytes(hashlib.blake2b.SALT_SIZE, "big")
-    made = hashlib.blake2b(
+    digest = hashlib.blake2b(
         batch, digest_size=BATCH_MAC_BYTES, key=key, salt=salt
     )
-    return made.digest()
+    return digest.digest()
 
 
 @final
 class BatchSigner:
-    """Seals batches in one direction of one connection."""
+    """Adds MACs to the batches of one direction of a connection."""
 
     def __init__(self, key: bytes) -> None:
         self._key = key
         self._number = 0
 
     def sign(self, batch: bytes) -> bytes:
-        """Give the bytes to send for a batch."""
-        seal = _batch_mac(self._key, self._number, batch)
+        """Return the bytes to send for a batch: its MAC and the batch."""
+        mac = _batch_mac(self._key, self._number, batch)
         self._number += 1
-        return msgpack.packb((seal, batch))
+        return msgpack.packb((mac, batch))
 
 
 @final
 class BatchVerifier:
-    """Checks and opens sealed batches as their bytes come in.
+    """Decodes and verifies signed batches from received bytes.
 
     Parameters
     ----------
     key : bytes
         Key of this direction.
     max_bytes : int
-        Largest batch taken.
+        Largest batch accepted.
     """
 
     def __init__(self, key: bytes, *, max_bytes: int) -> None:
@@ -138,46 +139,46 @@
         self._end = 0
 
     def batches(self, data: bytes) -> Iterator[bytes]:
-        """Give each batch that is whole and bears the right seal.
+        """Yield each batch that is complete and has a valid MAC.
 
         Raises
         ------
         PeerMessageInvalid
-            If the bytes are no sealed batch, or pass the bound, or the seal
-            is wrong. The connection can't be used any further.
+            If the bytes are not a signed batch, a batch is too large, or
+            its MAC is wrong. The connection must then be closed.
         """
         unpacker = self._unpacker or self._borrow_unpacker()
         read = -1
         try:
             unpacker.feed(data)
             self._end += len(data)
-            for sealed in unpacker:
+            for signed in unpacker:
                 read = unpacker.tell()
-                yield self._verified(sealed)
+                yield self._verified(signed)
         except (ValueError, msgpack.UnpackException, TypeError) as error:
             raise _errors.PeerMessageInvalid(
-                f"no sealed batch within {self._max_bytes} bytes: {error!r}"
+                f"no signed batch within {self._max_bytes} bytes: {error!r}"
             ) from error
         if read == self._end:
             self._return_unpacker(unpacker)
 
-    def _verified(self, sealed: Any) -> bytes:
-        match sealed:
-            case [bytes(seal), bytes(batch)]:
+    def _verified(self, signed: Any) -> bytes:
+        match signed:
+            case [bytes(mac), bytes(batch)]:
                 expected = _batch_mac(self._key, self._number, batch)
             case _:
-                raise _errors.PeerMessageInvalid("no seal before the batch")
-        if not hmac.compare_digest(seal, expected):
+                raise _errors.PeerMessageInvalid("no MAC before the batch")
+        if not hmac.compare_digest(mac, expected):
             raise _errors.PeerMessageInvalid(
-                f"wrong seal on batch {self._number}: changed on its way"
+                f"wrong MAC of batch {self._number}: altered in transit"
             )
         self._number += 1
         return batch
 
     def _borrow_unpacker(self) -> msgpack.Unpacker:
-        # An unpacker holds 45 KiB, most of it a stack for nested values.
-        # With hundreds of links that would be tens of megabytes: a link
-        # has one only while a batch is underway.
+        # An unpacker takes 45 KiB, most of it a stack for nested values.
+        # For hundreds of links that would be tens of megabytes, so a link
+        # borrows one only while part of a batch has been received.
         idle = _idle_unpackers(self._max_bytes)
         unpacker = idle.pop() if idle else _new_unpacker(self._max_bytes)
         self._unpacker = unpacker
@@ -187,7 +188,8 @@
     def _return_unpacker(self, unpacker: msgpack.Unpacker) -> None:
         self._unpacker = None
         idle = _idle_unpackers(self._max_bytes)
-        # The buffer grows to twice the largest batch, and never shrinks.
+        # The buffer grows to twice the largest batch and never shrinks, so
+        # an unpacker that has grown is not reused.
         grown = self._end - self._start > READ_BYTES
         if not grown and len(idle) < MAX_IDLE_UNPACKERS:
             idle.append(unpacker)
@@ -199,8 +201,8 @@
 
 
 def _new_unpacker(max_bytes: int) -> msgpack.Unpacker:
-    # By default an unpacker takes a buffer of 1 MiB and walks through it
-    # before starting over, so that all of it comes to be resident.
+    # By default an unpacker allocates a buffer of 1 MiB and fills all of it
+    # before it starts over, so that all of it becomes resident.
     return msgpack.Unpacker(
         read_size=UNPACKER_READ_BYTES,
         max_buffer_size=max_bytes + BATCH_OVERHEAD_BYTES + READ_BYTES,
@@ -236,7 +238,7 @@
             found, _call, body = self._next()
             if found != kind.__name__:
                 raise _errors.PeerRefused(
-                    f"expected {kind.__name__}, found {found!r}"
+                    f"expected {kind.__name__}, received {found!r}"
                 )
             return msgspec.convert(body, kind)
         except (
@@ -246,7 +248,7 @@
             msgspec.MsgspecError,
         ) as error:
             raise _errors.PeerRefused(
-                f"handshake can't be read: {error!r}"
+                f"invalid handshake message: {error!r}"
             ) from error
 
     def _next(self) -> list[Any]:
@@ -260,7 +262,7 @@
         data = self._sock.recv(MAX_HANDSHAKE_BYTES)
         if not data:
             raise _errors.PeerRefused(
-                "the peer closed the connection in the handshake; compare "
+                "the peer closed the connection during the handshake; compare "
                 "peers.secret of both daemons"
             )
         self._received += len(data)
@@ -268,7 +270,9 @@
 
     def check_no_trailing_bytes(self) -> None:
         if self._unpacker.tell() != self._received:
-            raise _errors.PeerRefused("bytes ahead of the handshake's end")
+            raise _errors.PeerRefused(
+                "unexpected bytes after the last handshake message"
+            )
 
 
 def perform_handshake(
@@ -280,31 +284,31 @@
     max_batch_bytes: int,
     expected: _ids.DaemonId | None = None,
 ) -> Session:
-    """Prove both sides of a connection to each other.
+    """Authenticate both sides of a connection to each other.
 
-    The caller bounds the time.
+    The caller sets a timeout.
 
     Parameters
     ----------
     sock : Socket
         The new connection.
     role : Role
-        Our side of it.
+        This daemon's side of it.
     identity : Identity
-        Our name and incarnation.
+        This daemon's name and incarnation.
     secret : str
         The fleet's secret.
     max_batch_bytes : int
-        Largest batch taken afterwards.
+        Largest batch accepted after the handshake.
     expected : DaemonId or None
-        The daemon that was dialled. Instances are replaced and their
-        addresses given out again: a message for one daemon would reach
-        another, which counts it as its own.
+        The daemon that was dialled. The address of a replaced instance may
+        be assigned to another, which would then process messages meant for
+        the first.
 
     Raises
     ------
     PeerRefused
-        If the other side is not proven, or not the one expected.
+        If the other side is not authenticated, or not the one expected.
     """
     handshake = _Handshake(sock)
     nonce = secrets.token_hex(NONCE_BYTES)
@@ -351,13 +355,13 @@
     if not 0 < len(theirs.daemon) <= MAX_NAME_LENGTH:
         raise _errors.PeerRefused(
             f"name of {len(theirs.daemon)} characters, at most "
-            f"{MAX_NAME_LENGTH} are taken"
+            f"{MAX_NAME_LENGTH} are allowed"
         )
     if theirs.nonce == mine.nonce:
-        raise _errors.PeerRefused("our own nonce came back")
+        raise _errors.PeerRefused("the peer sent our own nonce back")
     if expected is not None and theirs.daemon != expected:
         raise _errors.PeerRefused(
-            f"dialled {expected!r}, found {theirs.daemon!r}"
+            f"dialled {expected!r}, reached {theirs.daemon!r}"
         )
 
 
--- a/src/topazlug/peers/_peer_backoff.py
+++ b/src/topazlug/peers/_peer_backoff.py
@@ -1,4 +1,4 @@
-"""Waits between attempts to reach a peer that can't be reached."""
+"""Backoff between attempts to connect to an unreachable peer."""
 
 import random
 from typing import final
@@ -22,7 +22,7 @@
 
 @final
 class Backoff:
-    """Remembers which peers failed, and until when they are left alone.
+    """Tracks failed connection attempts and the backoff of each peer.
 
     Parameters
     ----------
@@ -35,34 +35,34 @@
         self._backoff_by_id: dict[_ids.DaemonId, _PeerBackoff] = {}
 
     def check(self, peer: _ids.DaemonId) -> None:
-        """Let an attempt pass, or fail it at once.
+        """Raise an error while a peer is in backoff.
 
         Raises
         ------
         PeerUnreachable
-            If the peer is left alone for now.
+            If the peer is in backoff.
         """
         entry = self._backoff_by_id.get(peer)
         if entry is not None and self._clock.monotonic() < entry.until:
             raise _errors.PeerUnreachable(
-                f"{peer!r} failed {entry.failures} times; retried within "
-                f"{MAX_SECONDS} s"
+                f"{peer!r} was unreachable {entry.failures} times; retried "
+                f"within {MAX_SECONDS} s"
             )
 
     def record_success(self, peer: _ids.DaemonId) -> None:
-        """Forget the failures of a peer."""
+        """End the backoff of a peer."""
         self._backoff_by_id.pop(peer, None)
 
     def record_failure(self, peer: _ids.DaemonId) -> None:
-        """Leave a peer alone, longer with each failure in a row."""
+        """Start a backoff that grows with each consecutive failure."""
         now = self._clock.monotonic()
         if len(self._backoff_by_id) >= MAX_ENTRIES:
             self._evict_before(now - RETENTION_SECONDS)
         entry = self._backoff_by_id.setdefault(peer, _PeerBackoff())
         max_delay = BASE_SECONDS * 2.0 ** min(entry.failures, 16)
         max_delay = min(max_delay, MAX_SECONDS)
-        # Without jitter, all daemons dial a peer that comes back in the
-        # same instant, and fill its backlog again and again.
+        # Without jitter, all daemons would dial a restarted peer at the same
+        # moment and fill its backlog again and again.
         entry.until = now + max_delay * random.uniform(0.5, 1.0)
         entry.failures += 1
 
--- a/src/topazlug/peers/_peer_codec.py
+++ b/src/topazlug/peers/_peer_codec.py
@@ -1,17 +1,16 @@
 """Frames between daemons.
 
 A frame is the msgpack array ``[kind, call, body]``. The kind is the name of
-a generated message. The call is positive on a question, its negative on
-the answer, and 0 on a one-way message. The frames that one write sends
-travel together in a batch: a msgpack array of frames, which
-`topazlug.peers._peer_auth` seals. An unknown kind, an unknown field of a body
-and additional elements of a frame are passed over, so that daemons of two
-versions can talk. An unknown value of an enumeration is not: the message is
-invalid.
-
-Bodies are decoded straight into their types. Nothing is built from bytes
-that no type asks for, so a frame can't make the reader allocate a multiple
-of its size, other than by a map that a type leaves open.
+a generated message. The call is a positive number in a request, its negative
+in the answer, and 0 in a one-way message. Frames are sent in batches: a batch
+is a msgpack array of frames, which `topazlug.peers._peer_auth` signs. An
+unknown kind, unknown fields of a body and additional elements of a frame are
+ignored, so that daemons of two versions can communicate. A message with an
+unknown value of an enumeration is invalid.
+
+Bodies are decoded directly into their types. Bytes that no type requires are
+skipped, so a frame can't make the reader allocate a multiple of the frame's
+size, except through a map whose type doesn't restrict its keys.
 """
 
 from collections.abc import Iterable
@@ -37,9 +36,9 @@
     kind : str
         Name of the message.
     call : int
-        Number of the question, its negative for an answer, 0 for none.
+        Number of the request, negative in its answer; 0 for one-way.
     message : msgspec.Struct or None
-        The message; None for a kind that this version doesn't know.
+        The message; None for a kind that this version doesn't define.
     """
 
     kind: str
@@ -77,9 +76,9 @@
     message : msgspec.Struct
         A generated message.
     call : int
-        Number of the question, its negative for an answer, 0 for none.
+        Number of the request, negative in its answer; 0 for one-way.
     max_bytes : int
-        Largest frame that peers take.
+        Largest frame that peers accept.
 
     Raises
     ------
@@ -90,19 +89,19 @@
     frame = _ENCODER.encode((kind, call, message))
     if len(frame) > max_bytes:
         raise _errors.PeerMessageInvalid(
-            f"{kind} of {len(frame)} bytes passes peers.max_frame_bytes "
+            f"{kind} of {len(frame)} bytes exceeds peers.max_frame_bytes "
             f"({max_bytes}); split it or raise the setting on all daemons"
         )
     return frame
 
 
 def encode_refusal(call: int) -> bytes:
-    """Encode the answer to a question that no handler answers."""
+    """Encode the answer to a request that no handler can answer."""
     return _ENCODER.encode((REFUSAL_KIND, -call, {}))
 
 
 def join(frames: Iterable[bytes]) -> bytes:
-    """Join encoded frames to a batch."""
+    """Join encoded frames into a batch."""
     kept = list(frames)
     header = msgpack.Packer().pack_array_header(len(kept))
     return header + b"".join(kept)
@@ -114,13 +113,13 @@
     Raises
     ------
     PeerMessageInvalid
-        If the bytes are no batch, or a body does not fit its kind.
+        If the bytes are not a batch, or a body does not match its kind.
     """
     try:
         return [_decoded(raw) for raw in _BATCH_DECODER.decode(batch)]
     except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
         raise _errors.PeerMessageInvalid(
-            f"batch of {len(batch)} bytes can't be read: {error}"
+            f"batch of {len(batch)} bytes can't be decoded: {error}"
         ) from error
 
 
--- a/src/topazlug/peers/_peer_connections.py
+++ b/src/topazlug/peers/_peer_connections.py
@@ -1,4 +1,4 @@
-"""New connections between daemons, up to the end of the handshake."""
+"""Establishes connections between daemons, handshake included."""
 
 import os
 from typing import final
@@ -18,7 +18,7 @@
 
 @final
 class Traffic:
-    """Bytes over all connections of one daemon, without TCP's headers."""
+    """Bytes of all connections of one daemon, without TCP headers."""
 
     def __init__(self) -> None:
         self.sent = 0
@@ -27,7 +27,7 @@
 
 @final
 class CountedSocket:
-    """A socket whose bytes are counted."""
+    """A socket that counts its bytes in `Traffic`."""
 
     def __init__(self, sock: socket.socket, traffic: Traffic) -> None:
         self._sock = sock
@@ -35,18 +35,18 @@
         self._is_tls = isinstance(sock, ssl.SSLSocket)
 
     def recv(self, size: int, /) -> bytes:
-        """Read at most this many bytes; empty at the end."""
+        """Read at most `size` bytes; return none at the end of the stream."""
         data: bytes = self._sock.recv(size)
         self._traffic.received += len(data)
         return data
 
     def sendall(self, data: bytes, /) -> None:
-        """Write all the bytes."""
+        """Write all of `data`."""
         self._sock.sendall(data)
         self._traffic.sent += len(data)
 
     def try_send(self, data: bytes, /) -> bytes:
-        """Write what goes without blocking; give the rest."""
+        """Write without blocking; return the bytes that were not written."""
         if self._is_tls:
             return data
         try:
@@ -57,13 +57,13 @@
         return data[sent:]
 
     def close(self) -> None:
-        """Close the connection; a greenlet that reads it is woken."""
+        """Close the connection and wake a greenlet that reads from it."""
         self._sock.close()
 
 
 @final
 class Connector:
-    """Makes proven connections, both ways.
+    """Opens and accepts authenticated connections.
 
     Parameters
     ----------
@@ -94,13 +94,13 @@
         Raises
         ------
         PeerRefused
-            If it is not the peer expected, or not of the fleet.
+            If it is not the expected peer, or not a member of the fleet.
         OSError
-            If no connection and handshake came about in time.
+            If the connection fails or the handshake times out.
         """
         with self._timeout():
-            # Not create_connection(): it resolves even an IP number in a
-            # pool of threads, at half the cost of a new connection.
+            # create_connection() would resolve even an IP number in a thread
+            # pool, which takes half the cost of a new connection.
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
             sock = socket.socket(family, socket.SOCK_STREAM)
             try:
@@ -117,14 +117,14 @@
     def accept(
         self, sock: socket.socket
     ) -> tuple[CountedSocket, _peer_auth.Session]:
-        """Let a peer prove itself; closes the socket of one that doesn't.
+        """Authenticate a connected peer; close the socket on failure.
 
         Raises
         ------
         PeerRefused
-            If it is not of the fleet.
+            If it is not a member of the fleet.
         OSError
-            If there was no handshake in time.
+            If the connection fails or the handshake times out.
         """
         with self._timeout():
             try:
@@ -140,7 +140,7 @@
 
     def _timeout(self) -> gevent.Timeout:
         return gevent.Timeout(
-            self._settings.connect_timeout, TimeoutError("no handshake")
+            self._settings.connect_timeout, TimeoutError("handshake timed out")
         )
 
     def _authenticated(
@@ -163,9 +163,9 @@
 
 def _set_options(sock: socket.socket) -> None:
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    # Where packets are dropped, TCP goes on for a quarter of an hour and
-    # tries ever more rarely: after the network is whole again, the link
-    # would stay dead for minutes. A fresh connection works at once.
+    # When packets are lost, TCP retransmits for a quarter of an hour at
+    # growing intervals, so the link would stay unusable for minutes after
+    # the network recovers. A new connection works at once.
     sock.setsockopt(
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
--- a/src/topazlug/peers/_peer_link.py
+++ b/src/topazlug/peers/_peer_link.py
@@ -1,8 +1,8 @@
-"""One connection between two daemons, after its handshake or before.
+"""One connection between two daemons; usable before its handshake ends.
 
-Memory of an idle link, besides the kernel's buffers: the greenlet that
-reads; no timer, no writer, no unpacker. The buffer for a read (16 KiB) lives
-only while bytes are there.
+Besides the kernel's buffers, an idle link holds only the memory of the
+greenlet that reads: no timer, no writer and no unpacker. The buffer of a read
+(16 KiB) exists only while there is data to process.
 """
 
 import collections
@@ -29,14 +29,14 @@
 
 @final
 class Link:
-    """Frames out and in over one connection.
+    """Sends and receives frames over one connection.
 
     Parameters
     ----------
     name : str
-        The other side, for errors and logs.
+        The peer, for errors and logs.
     clock : Clock
-        Tells when the link was last used.
+        Source of monotonic time.
     max_frame_bytes : int
         Largest frame sent.
     """
@@ -64,7 +64,7 @@
         sock: _peer_connections.CountedSocket,
         session: _peer_auth.Session,
     ) -> None:
-        """Start to send what is queued, over a proven connection."""
+        """Send queued frames over an authenticated connection from now on."""
         self._sock = sock
         self._signer = session.signer
         self._wake_writer()
@@ -95,13 +95,13 @@
         if self.closed:
             raise _errors.PeerUnreachable(f"link to {self.name} is closed")
         if self._queue and self._queued_bytes + len(frame) > QUEUE_BYTES:
-            # A frozen peer reads nothing. Its queue would grow without
-            # end, and dropping single frames would break their order, on
-            # which receivers rely. So the link ends, and all who wait on
-            # it hear of it.
+            # A frozen peer reads nothing, so its queue would grow without
+            # bound. Dropping single frames would leave gaps in the sequence
+            # on which receivers rely, so the link is closed and all its
+            # pending calls fail.
             self.close()
             raise _errors.PeerUnreachable(
-                f"{self.name} takes nothing: over {QUEUE_BYTES} bytes wait"
+                f"{self.name} does not read: over {QUEUE_BYTES} bytes queued"
             )
         self._queue.append(frame)
         self._queued_bytes += len(frame)
@@ -110,16 +110,16 @@
     def call(
         self, message: msgspec.Struct, *, timeout: float
     ) -> msgspec.Struct:
-        """Ask and wait for the answer.
+        """Send a request and wait for the answer.
 
         Raises
         ------
         PeerUnreachable
-            If no answer came in time, the link was cut, or the peer has
-            none to give.
+            If the call timed out, the link was closed, or the peer refused
+            to answer.
         """
-        # Numbers never come twice on a link: a late answer finds nobody
-        # waiting, instead of answering another question.
+        # Numbers are never reused on a link, so that a late answer is
+        # discarded instead of being taken for the answer to another call.
         self._last_call += 1
         call = self._last_call
         result = event.AsyncResult()
@@ -140,14 +140,14 @@
         )
 
     def resolve_call(self, frame: _peer_codec.Frame) -> None:
-        """Hand an answer to who waits for it."""
+        """Pass an answer to the call that waits for it."""
         result = self._result_by_call.pop(-frame.call, None)
         if result is None:
             return
         if frame.message is None:
             result.set_exception(
                 _errors.PeerUnreachable(
-                    f"{self.name} has no answer: {frame.kind}"
+                    f"{self.name} did not answer the request: {frame.kind}"
                 )
             )
             return
@@ -163,7 +163,7 @@
         Raises
         ------
         PeerMessageInvalid
-            If the bytes are no frames of ours.
+            If the bytes are not valid frames.
         OSError
             If the connection fails.
         """
@@ -181,11 +181,11 @@
 
     @property
     def has_pending_calls(self) -> bool:
-        """Whether a call waits for its answer."""
+        """Whether any call waits for its answer."""
         return bool(self._result_by_call)
 
     def close(self) -> None:
-        """End the connection and fail all that waits on it."""
+        """Close the connection and fail all pending calls."""
         if self.closed:
             return
         self.closed = True
@@ -199,9 +199,10 @@
         self._result_by_call.clear()
 
     def _close_if_unresponsive(self) -> None:
-        # A path that drops packets, or a peer frozen for long, keeps the
-        # connection open and silent. Each call would wait out its timeout.
-        # Closed, the next ones fail at once until a new one is proven.
+        # A path that drops packets, or a frozen peer, leaves the connection
+        # open without any answer, and each call would wait for its timeout.
+        # Once it is closed, further calls fail at once, until a new
+        # connection has been authenticated.
         since = self._unanswered_since
         if since is None:
             return
@@ -215,9 +216,9 @@
         gevent.get_hub().loop.run_callback(self._write_now)
 
     def _write_now(self) -> None:
-        # Runs in the hub, after all greenlets that had something to send
-        # at this moment, and must not block. A greenlet of its own for each
-        # write would cost a third of the time of a call.
+        # Runs in the hub after all greenlets that are ready to run, so that
+        # their frames go out in one batch. It must not block. Starting a
+        # greenlet for each write would take a third of the time of a call.
         unsent = b""
         try:
             while self._queue and not self.closed and not unsent:
@@ -242,7 +243,7 @@
             self._writing = False
 
     def _close_after(self, error: OSError) -> None:
-        _log.info("link to {} broke: {}", self.name, error)
+        _log.info("link to {} failed: {}", self.name, error)
         self.close()
 
     def _open_socket(self) -> _peer_connections.CountedSocket:
--- a/src/topazlug/peers/_peer_tls.py
+++ b/src/topazlug/peers/_peer_tls.py
@@ -1,8 +1,8 @@
 """Mutual TLS between daemons.
 
-Both sides show a certificate of the fleet's authority. Host names are not
-compared, as daemons are dialled by IP number: which daemon answers is
-settled by the handshake inside (`topazlug.peers._peer_auth`).
+Both sides present a certificate of the fleet's authority. Host names are not
+checked, as daemons are dialled by IP number: the handshake over the TLS
+connection (`topazlug.peers._peer_auth`) verifies which daemon answers.
 """
 
 from gevent import ssl
@@ -11,23 +11,23 @@
 
 
 def server_context(tls: settings.TlsSettings) -> ssl.SSLContext:
-    """Give the context of the accepting side.
+    """Return the context of the accepting side.
 
     Raises
     ------
     OSError
-        If a file can't be read or holds no certificate.
+        If a file can't be read or contains no certificate.
     """
     return _with_files(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER), tls)
 
 
 def client_context(tls: settings.TlsSettings) -> ssl.SSLContext:
-    """Give the context of the dialling side.
+    """Return the context of the dialling side.
 
     Raises
     ------
     OSError
-        If a file can't be read or holds no certificate.
+        If a file can't be read or contains no certificate.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
--- a/src/topazlug/peers/_peers.py
+++ b/src/topazlug/peers/_peers.py
@@ -1,13 +1,14 @@
-"""Streams of messages between daemons.
+"""Message streams between daemons.
 
-A daemon dials a peer when it first has something for it, keeps the stream
-while it is used, and hears the answers on the stream of the questions.
-Frames to one peer arrive in the order in which they were sent, as long as
-the stream lasts; what was queued when it broke is lost, and calls fail.
+A daemon dials a peer when it first sends it a message, keeps the stream
+while it is in use, and receives answers on the stream on which it sent the
+requests. Frames to one peer arrive in the order in which they were sent, as
+long as the stream is open. When it fails, queued messages are lost and
+pending calls fail.
 
-Reading is done by one greenlet for each connection; writing by one that
-lives while there is something to write and sends all that is queued in one
-batch.
+Each connection is read by a greenlet of its own. Queued frames are written
+in batches from the event loop; a greenlet takes over when a write would
+block, and ends when the queue is empty.
 """
 
 from collections.abc import Callable
@@ -43,7 +44,7 @@
 
 
 def ignore_reply(message: msgspec.Struct) -> None:
-    """Stand in as the reply to a message that wants none."""
+    """Ignore the reply to a one-way message."""
 
 
 class Address(NamedTuple):
@@ -55,28 +56,28 @@
 
 @final
 class PeerLinks:
-    """All connections to and from other daemons.
+    """Manages the connections to and from other daemons.
 
     Parameters
     ----------
     daemon_id : DaemonId
         This daemon.
     incarnation : int
-        Grows with each start of the daemon.
+        Increases with each start of the daemon.
     settings : PeerSettings
-        Secret, certificates and bounds.
+        Secret, certificates, limits and timeouts.
     clock : Clock
         Source of monotonic time.
     address_of : callable
-        Where a daemon listens; None if it is not known.
+        Returns the address at which a daemon listens, None if unknown.
     idle_seconds : float
-        Time without a byte after which a dialled stream is closed.
+        Time without traffic after which a dialled stream is closed.
 
     Attributes
     ----------
     bytes_sent, bytes_received : int
-        Over all connections so far, handshakes included, without the
-        headers of TCP and IP.
+        Total of all connections, handshakes included, without TCP and IP
+        headers.
     """
 
     def __init__(
@@ -120,12 +121,12 @@
 
     @property
     def max_frame_bytes(self) -> int:
-        """Largest message that goes through."""
+        """Largest frame that can be sent."""
         return self._settings.max_frame_bytes
 
     @property
     def link_count(self) -> int:
-        """Connections that are open or being opened."""
+        """Number of connections that are open or being opened."""
         return len(self._dialled_by_id) + len(self._accepted)
 
     def serve(self, *, host: str, port: int) -> int:
@@ -148,19 +149,19 @@
         return int(self._server.server_port)
 
     def handle(self, kind: type[msgspec.Struct], handler: Handler) -> None:
-        """Have all messages of a kind handled by a callable.
+        """Register the handler of a kind of message.
 
         It runs in the connection's greenlet, must not block for long, and
-        may reply at once, later from another greenlet, or never. With a
-        one-way message it gets `ignore_reply`.
+        may reply at once, later from another greenlet, or never. For a
+        one-way message it receives `ignore_reply` as the reply callback.
         """
         self._handler_by_kind[kind.__name__] = handler
 
     def before_each_message(self, callback: Callable[[], object]) -> None:
-        """Have a callable called before each message is handled.
+        """Set the callback that is called before each message is handled.
 
-        After this process was frozen, old messages wait in its sockets. The
-        callable finds that out before one of them is acted on.
+        When this process resumes after a freeze, its sockets hold old
+        messages. The callback can detect the freeze before they are handled.
         """
         self._before_each_message = callback
 
@@ -170,47 +171,48 @@
         Raises
         ------
         PeerUnreachable
-            If the peer can't be reached just now. None raised is no proof
-            that the message arrived.
+            If the peer is unreachable. If none is raised, the message may
+            still be lost.
         """
         self._link_to(to).post(message, call=_peer_codec.ONE_WAY)
 
     def call(
         self, to: _ids.DaemonId, message: msgspec.Struct, *, timeout: float
     ) -> msgspec.Struct:
-        """Ask a peer and wait for its answer.
+        """Send a request to a peer and wait for its answer.
 
         Parameters
         ----------
         timeout : float
-            Longest wait in seconds, with the connecting.
+            Maximum wait in seconds, including the time to connect.
 
         Raises
         ------
         PeerUnreachable
-            On timeout, cut, refusal, or while the peer is in back-off.
+            If the call times out, the connection fails, the peer refuses to
+            answer, or the peer is in backoff.
         """
         return self._link_to(to).call(message, timeout=timeout)
 
     def received_since(self, peer: _ids.DaemonId, moment: float) -> bool:
-        """Say whether a peer sent anything on the stream dialled to it.
+        """Return whether a peer has sent data on the stream dialled to it.
 
         Parameters
         ----------
         moment : float
-            Monotonic seconds.
+            Start of the period, in monotonic seconds.
         """
         link = self._dialled_by_id.get(peer)
         return link is not None and link.last_received >= moment
 
     def disconnect(self, peer: _ids.DaemonId) -> None:
-        """Close the stream that was dialled to a peer, if there is one."""
+        """Close the stream dialled to a peer, if there is one."""
         link = self._dialled_by_id.get(peer)
         if link is not None:
             link.close()
 
     def stop(self) -> None:
-        """Close all connections and listen no more."""
+        """Stop listening and close all connections."""
         self._stopped = True
         if self._server is not None:
             self._server.stop()
@@ -234,8 +236,9 @@
         return link
 
     def _reap_forever(self) -> None:
-        # The dialling side closes first. The other waits a little longer
-        # and closes streams whose dialler is gone without a word.
+        # The dialling side closes idle streams first. The accepting side
+        # waits longer, and closes only streams whose dialler has gone
+        # without closing them.
         while True:
             self._clock.sleep(self._idle_seconds / REAPS_PER_IDLE_PERIOD)
             now = self._clock.monotonic()
@@ -279,7 +282,7 @@
                 session.verifier, lambda frame: _handle_answer(link, frame)
             )
         except _errors.TopazlugError as error:
-            _log.warning("stream to {}: {}", to, error)
+            _log.warning("stream to {} failed: {}", to, error)
             authenticated = False
         except OSError as error:
             _log.info("stream to {} ended: {}", to, error)
@@ -291,9 +294,9 @@
                 del self._dialled_by_id[to]
 
     def _accept(self, sock: socket.socket, address: object) -> None:
-        # A stranger may open connections and say nothing. Each holds a
-        # greenlet until the handshake's timeout; more than this many are
-        # closed at once, so that memory stays bounded.
+        # A client that opens connections and sends nothing holds a greenlet
+        # for each until the handshake times out. Connections beyond this
+        # number are closed at once, to bound memory.
         if self._handshakes >= MAX_HANDSHAKES or self._stopped:
             sock.close()
             return
@@ -301,7 +304,7 @@
         try:
             self._serve_connection(sock)
         except _errors.TopazlugError as error:
-            _log.warning("connection from {}: {}", address, error)
+            _log.warning("connection from {} failed: {}", address, error)
         except OSError as error:
             _log.info("connection from {} ended: {}", address, error)
         finally:
@@ -342,16 +345,18 @@
     ) -> None:
         handler = self._handler_by_kind.get(frame.kind)
         if handler is None or frame.message is None:
-            _log.debug("{} sent unknown kind {!r}", peer, frame.kind)
+            _log.debug(
+                "{} sent message of unknown kind {!r}", peer, frame.kind
+            )
             _send_refusal(link, frame)
             return
         try:
             self._before_each_message()
             handler(peer, frame.message, _reply_callback(link, frame))
         except Exception:
-            # One message that trips a handler must not cut the stream:
-            # all other questions on it would fail with it.
-            _log.exception("handler of {} from {}", frame.kind, peer)
+            # A message whose handler fails must not close the stream, as
+            # all other pending calls on it would fail too.
+            _log.exception("handler of {} from {} failed", frame.kind, peer)
             _send_refusal(link, frame)
 
 
@@ -379,6 +384,6 @@
         try:
             link.post(message, call=-frame.call)
         except _errors.PeerUnreachable as error:
-            _log.info("answer lost: {}", error)
+            _log.info("answer could not be sent: {}", error)
 
     return reply
--- a/tests/topazlug/peer_fixtures.py
+++ b/tests/topazlug/peer_fixtures.py
@@ -1,4 +1,4 @@
-"""Daemons' peer parts in one process, over loopback."""
+"""Links and membership of several daemons in one process."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -20,47 +20,47 @@
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; fail if it doesn't come true."""
+    """Wait for a condition; fail if it stays false."""
     limit = time.monotonic() + WAIT_SECONDS
     while not condition():
-        assert time.monotonic() < limit, "the condition never came true"
+        assert time.monotonic() < limit, "the condition stayed false"
         gevent.sleep(0.005)
 
 
 class ManualClock:
-    """Stands still until it is told to go on."""
+    """A clock that only the test advances."""
 
     def __init__(self) -> None:
         self.seconds = 1000.0
 
     def now(self) -> datetime.datetime:
-        """Give the wall time."""
+        """Return the wall time."""
         return datetime.datetime.fromtimestamp(
             self.seconds, tz=datetime.timezone.utc
         )
 
     def monotonic(self) -> float:
-        """Give the seconds it was told."""
+        """Return the seconds set by the test."""
         return self.seconds
 
     def sleep(self, seconds: float) -> None:
-        """Let other greenlets run; the time is not ours to move."""
+        """Let other greenlets run; the clock stands still."""
         gevent.sleep(seconds)
 
 
 class SteppableClock:
-    """The system's clock, which can be made to jump."""
+    """The system clock plus an offset, which simulates freezes."""
 
     def __init__(self) -> None:
         self.offset = 0.0
         self._system = _clock.SystemClock()
 
     def now(self) -> datetime.datetime:
-        """Give the wall time."""
+        """Return the wall time."""
         return self._system.now()
 
     def monotonic(self) -> float:
-        """Give monotonic time with the jumps."""
+        """Return monotonic time plus the offset."""
         return self._system.monotonic() + self.offset
 
     def sleep(self, seconds: float) -> None:
@@ -69,12 +69,12 @@
 
 
 def peer_settings(**values: object) -> _settings.PeerSettings:
-    """Give settings with the fleet's secret."""
+    """Return settings with the fleet's secret."""
     return _settings.PeerSettings(**{"secret": SECRET, **values})
 
 
 class LinkPair:
-    """Streams of daemons ``a`` and ``b``; more on demand."""
+    """Links of several daemons that can reach each other."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -82,7 +82,7 @@
         self.links_by_id: dict[str, _peers.PeerLinks] = {}
 
     def make(self, name: str, **values: object) -> _peers.PeerLinks:
-        """Start the streams of one more daemon."""
+        """Start the links of one more daemon."""
         links = _peers.PeerLinks(
             daemon_id=_ids.DaemonId(name),
             incarnation=1,
@@ -97,24 +97,24 @@
         return links
 
     def stop(self) -> None:
-        """Stop all."""
+        """Stop all links."""
         for links in self.links_by_id.values():
             links.stop()
 
 
 class FakeInstanceList:
-    """The platform's list, set by the test."""
+    """The platform's instance list, set by the test."""
 
     def __init__(self) -> None:
         self.instances_by_id: Mapping[str, _instances.Instance] = {}
         self._callbacks: list[Callable[[], None]] = []
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Have a callable called on each change."""
+        """Add a callback for each change of the list."""
         self._callbacks.append(callback)
 
     def set_instances(self, *instances: _instances.Instance) -> None:
-        """Show these instances and no others."""
+        """Replace the instances on the list."""
         self.instances_by_id = {one.id: one for one in instances}
         for callback in self._callbacks:
             callback()
@@ -154,7 +154,7 @@
         )
 
     def instance(self) -> _instances.Instance:
-        """Give this daemon's entry on the list."""
+        """Return this daemon's entry on the list."""
         return _instances.Instance(
             id=self.name,
             kind=_instances.InstanceKind.DAEMON,
@@ -166,22 +166,22 @@
         )
 
     def usable_peers_are(self, *others: "Node") -> bool:
-        """Tell whether just these and itself are usable here."""
+        """Return whether exactly these and itself are usable here."""
         names = {self.name, *(other.name for other in others)}
         return set(self.membership.usable()) == names
 
     def member(self, other: "Node") -> _membership.Member:
-        """Give what this daemon holds of another."""
+        """Return what this daemon has recorded about another."""
         return self.membership.members_by_id[other.name]
 
     def disconnect_from(self, others: list["Node"]) -> None:
-        """Reach these daemons no more."""
+        """Make exactly these daemons unreachable."""
         self.unreachable_ids = {other.name for other in others}
         for other in others:
             self.links.disconnect(other.name)
 
     def stop(self) -> None:
-        """Fall silent without a word."""
+        """Stop without notifying the others."""
         self.membership.stop()
         self.links.stop()
 
--- a/tests/topazlug/peers/test_peer_auth.py
+++ b/tests/topazlug/peers/test_peer_auth.py
@@ -1,4 +1,4 @@
-"""Handshakes and seals."""
+"""Handshakes and MACs of batches."""
 
 import gevent
 from gevent import socket
@@ -19,7 +19,7 @@
 def perform_one_side(
     sock, role, *, name, secret=peer_fixtures.SECRET, expected=None
 ):
-    """Go through one side of a handshake, and close when it fails."""
+    """Perform one side of a handshake; close the socket on failure."""
     try:
         with gevent.Timeout(5, TimeoutError()):
             return _peer_auth.perform_handshake(
@@ -46,7 +46,7 @@
 
 
 class RecordingSocket:
-    """Keeps what was sent."""
+    """Records what is sent."""
 
     def __init__(self, sock):
         self._sock = sock
@@ -68,7 +68,7 @@
 
 
 class TestHandshake:
-    """Both sides prove that they hold the secret."""
+    """Both sides prove that they have the secret."""
 
     def test_each_side_identifies_the_other(self, pair):
         accepting = accept_in_greenlet(pair[1])
@@ -78,10 +78,10 @@
     def test_each_side_verifies_the_others_batches(self, pair):
         accepting = accept_in_greenlet(pair[1])
         dialled, accepted = dial(pair[0]), accepting.get()
-        asked = dialled.signer.sign(b"question")
-        assert list(accepted.verifier.batches(asked)) == [b"question"]
-        answered = accepted.signer.sign(b"answer")
-        assert list(dialled.verifier.batches(answered)) == [b"answer"]
+        request = dialled.signer.sign(b"question")
+        assert list(accepted.verifier.batches(request)) == [b"question"]
+        answer = accepted.signer.sign(b"answer")
+        assert list(dialled.verifier.batches(answer)) == [b"answer"]
 
     def test_wrong_secret(self, pair):
         accepting = accept_in_greenlet(pair[1])
@@ -91,20 +91,20 @@
             accepting.get()
 
     def test_another_daemon_at_the_address(self, pair):
-        """Messages for a replaced daemon reach the one in its place.
+        """Guards against messages that reach the wrong daemon.
 
-        Sequence: a daemon is replaced, its address goes to another, a peer
-        dials by the old list. Cause: a name taken from the address alone.
+        A daemon is replaced, its address is assigned to another, and a peer
+        dials the address from an outdated list. Fails if the peer's name is
+        inferred from its address.
         """
         accept_in_greenlet(pair[1])
         with pytest.raises(_errors.PeerRefused, match="dialled 'c'"):
             dial(pair[0], expected="c")
 
     def test_replayed_handshake_is_refused(self, pair):
-        """A stranger gets in by sending what a daemon once sent.
+        """Guards against authentication by a replayed handshake.
 
-        Sequence: one handshake is recorded and sent again word for word.
-        Cause: a proof that does not depend on the acceptor's nonce.
+        It would succeed if the proof did not depend on the acceptor's nonce.
         """
         recording = RecordingSocket(pair[0])
         accepting = accept_in_greenlet(pair[1])
@@ -117,10 +117,10 @@
             accepting.get()
 
     def test_reflected_handshake_is_refused(self, pair):
-        """A stranger gets in by sending a daemon its own words.
+        """Guards against authentication by reflected messages.
 
-        Sequence: all that the dialling side sends comes straight back.
-        Cause: a proof that both sides would make alike.
+        The acceptor returns all that the dialling side sends. This would
+        succeed if both sides sent the same proof.
         """
 
         def echo():
@@ -155,7 +155,7 @@
 
 
 class TestBatches:
-    """Batches arrive whole, unchanged and in order, or not at all."""
+    """Batches are accepted only complete, unaltered and in order."""
 
     @pytest.fixture
     def signer(self):
@@ -179,10 +179,10 @@
         assert found == batches
 
     def test_partial_batches_on_two_connections(self):
-        """Bytes of one connection are read as another's.
+        """Guards against mixing up the bytes of two connections.
 
-        Sequence: half a batch comes in on each of two connections. Cause:
-        a reader shared by connections while it holds bytes of one.
+        Half a batch arrives on each of two connections. An unpacker must not
+        be shared while it holds bytes of a connection.
         """
         signers = [_peer_auth.BatchSigner(KEY) for _ in range(2)]
         verifiers = [
@@ -204,17 +204,17 @@
 
     def test_changed_batch(self, signer, verifier):
         data = signer.sign(b"pay 100").replace(b"100", b"900")
-        with pytest.raises(_errors.PeerMessageInvalid, match="seal"):
+        with pytest.raises(_errors.PeerMessageInvalid, match="wrong MAC"):
             list(verifier.batches(data))
 
     def test_repeated_batch(self, signer, verifier):
         data = signer.sign(b"once")
-        with pytest.raises(_errors.PeerMessageInvalid, match="seal"):
+        with pytest.raises(_errors.PeerMessageInvalid, match="wrong MAC"):
             list(verifier.batches(data + data))
 
     def test_dropped_batch(self, signer, verifier):
         signer.sign(b"lost")
-        with pytest.raises(_errors.PeerMessageInvalid, match="seal"):
+        with pytest.raises(_errors.PeerMessageInvalid, match="wrong MAC"):
             list(verifier.batches(signer.sign(b"next")))
 
     def test_oversized_batch(self, signer, verifier):
--- a/tests/topazlug/peers/test_peer_codec.py
+++ b/tests/topazlug/peers/test_peer_codec.py
@@ -39,12 +39,12 @@
 
 
 def packed(*frames: object) -> bytes:
-    """Give a batch of frames as another program might make it."""
+    """Return a batch of frames that this codec did not encode."""
     return msgpack.packb(frames)
 
 
 class TestRoundTrip:
-    """What is encoded comes out the same."""
+    """Decoding returns what was encoded."""
 
     @settings(max_examples=200, deadline=None)
     @given(
@@ -69,7 +69,7 @@
 
 
 class TestOtherVersions:
-    """A newer daemon may say more than this one knows."""
+    """Messages of a newer version are decoded as far as possible."""
 
     def test_unknown_kind_has_no_message(self):
         (frame,) = _peer_codec.decode(packed(["Novelty", 3, {"a": [1]}]))
@@ -87,7 +87,7 @@
 
 
 class TestInvalid:
-    """Bytes that are no frames raise the one error for it."""
+    """Invalid frames raise `PeerMessageInvalid`."""
 
     @settings(max_examples=200, deadline=None)
     @given(data=strategies.binary(max_size=200))
--- a/tests/topazlug/peers/test_peers.py
+++ b/tests/topazlug/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Streams between daemons."""
+"""Message streams between daemons."""
 
 import pathlib
 
@@ -45,7 +45,7 @@
 
 
 class ListeningPeer:
-    """A TCP listener that a test gives its manners."""
+    """A TCP listener that handles connections with a given function."""
 
     def __init__(self, pair, name, on_connection):
         self.sockets = []
@@ -76,7 +76,7 @@
 
 
 class TestCalls:
-    """Questions find their answers."""
+    """Each call receives its own answer."""
 
     def test_answer(self, asking, answering):
         answering.handle(messages.ConfigPull, answer_with_number)
@@ -110,9 +110,9 @@
         assert [call.get().lent for call in calls] == [0, 1, 2]
 
     def test_late_answer_is_discarded(self, asking, answering):
-        """A question is answered with the answer to an earlier one.
+        """Guards against a call that receives another call's answer.
 
-        Sequence: a call times out, another is made, and both answers come.
+        A call times out, another is made, and then both answers arrive.
         Cause: answers matched by their place in the stream.
         """
         kept = []
@@ -177,7 +177,7 @@
 
 
 class TestBrokenStreams:
-    """Each way in which a peer fails ends in the one error."""
+    """Every failure of a peer raises `PeerUnreachable`."""
 
     def test_unknown_peer(self, asking):
         with pytest.raises(_errors.PeerUnreachable, match="no address"):
@@ -211,10 +211,10 @@
         assert asking.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
 
     def test_frozen_peer_fails_the_call(self, pair, asking):
-        """Callers hang on a peer that is stopped.
+        """Guards against calls that hang on a frozen peer.
 
-        Sequence: the peer's process is frozen, its kernel still accepts.
-        Cause: no bound on the time for the handshake.
+        The peer's process is frozen, while its kernel still accepts
+        connections. Fails if the handshake has no timeout.
         """
         ListeningPeer(pair, "b", never_respond)
         with pytest.raises(_errors.PeerUnreachable):
@@ -223,23 +223,25 @@
     def test_peer_that_does_not_read_does_not_block_senders(
         self, pair, asking
     ):
-        """Senders hang, or memory grows, at a peer that reads nothing.
+        """Guards against blocked senders and unbounded memory.
 
-        Sequence: a peer freezes after the handshake, its buffers fill up.
-        Cause: writing in the sender's greenlet, or a queue without bound.
+        A peer freezes after the handshake, and its buffers fill up. Senders
+        would block if they wrote to the socket themselves, and memory would
+        grow if the queue were unbounded.
         """
         ListeningPeer(pair, "b", authenticate_then_never_respond)
         large = messages.Release(asks=list(range(100_000)))
-        with pytest.raises(_errors.PeerUnreachable, match="takes nothing"):
+        with pytest.raises(_errors.PeerUnreachable, match="does not read"):
             for _ in range(1000):
                 asking.send("b", large)
                 gevent.sleep(0.001)
 
     def test_unresponsive_stream_is_closed(self, pair, asking):
-        """Each call to a peer that is cut off waits out its timeout.
+        """Guards against calls that each wait for their timeout.
 
-        Sequence: the path drops all packets; the connection stays open.
-        Cause: a stream judged by its socket, not by its answers.
+        The path to the peer drops all packets, and the connection stays
+        open. The stream must be closed for its missing answers, as its
+        socket reports no error.
         """
         ListeningPeer(pair, "b", authenticate_then_never_respond)
         with pytest.raises(_errors.PeerUnreachable, match="unanswered"):
@@ -259,8 +261,8 @@
         assert asking.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
 
 
-class TestStrangers:
-    """Who does not prove itself gets nothing."""
+class TestUnauthenticated:
+    """Clients that fail the handshake are disconnected."""
 
     @pytest.mark.parametrize("data", [b"", b"GET / HTTP/1.1\r\n\r\n" * 90])
     def test_connection_is_closed(self, pair, answering, data):
@@ -296,7 +298,7 @@
 
 
 class TestTls:
-    """Certificates of the fleet's authority, where settings give them."""
+    """Connections with certificates of the fleet's authority."""
 
     @pytest.fixture
     def make_tls_settings(self):
