--- a/src/topazlug/peers/_peer_auth.py
+++ b/src/topazlug/peers/_peer_auth.py
@@ -97,10 +97,10 @@
 
 def _batch_mac(key: bytes, number: int, batch: bytes) -> bytes:
     salt = number.to_bytes(hashlib.blake2b.SALT_SIZE, "big")
-    digest = hashlib.blake2b(
+    hasher = hashlib.blake2b(
         batch, digest_size=BATCH_MAC_BYTES, key=key, salt=salt
     )
-    return digest.digest()
+    return hasher.digest()
 
 
 @final
--- a/src/topazlug/store/_instances.py
+++ b/src/topazlug/store/_instances.py
@@ -1,7 +1,8 @@
-"""The platform's list of instances: read at intervals, and written for us.
+"""Client of the platform's instance list.
 
-The list lags, and may be out of reach for long. What was read last stays in
-force until a newer list is read whole.
+Reads the list at intervals and keeps a program's own entries on it. The list
+lags behind, and may be unreachable for long. The last list read stays in use
+until a newer one has been read completely.
 """
 
 from collections.abc import Callable
@@ -38,7 +39,7 @@
 
 
 class InstanceState(enum.Enum):
-    """What the platform says of an instance."""
+    """State of an instance on the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -51,11 +52,11 @@
     Attributes
     ----------
     group : str
-        Pool of an engine, service of a plain service, fleet of a daemon.
+        Pool of an engine, name of a plain service, fleet of a daemon.
     port : int
-        For a daemon, the port for peers.
+        For a daemon, the port at which it accepts peers.
     slots : int
-        Requests that a target runs at once; 0 where it says none.
+        Requests that a target runs concurrently; 0 if not specified.
     """
 
     id: str
@@ -74,60 +75,62 @@
     instances: list[Instance]
 
 
-class _LooseDocument(msgspec.Struct):
+class _RawDocument(msgspec.Struct):
     instances: list[msgspec.Raw]
 
 
 def decode(data: bytes) -> dict[str, Instance]:
-    """Decode a list, by id.
+    """Decode a list; return its instances by id.
 
-    An entry that can't be read, such as one of a kind to come, is left out:
-    it must not hide all others.
+    An entry that can't be decoded, such as one of a kind added later, is
+    skipped, so that the others remain usable.
 
     Raises
     ------
     msgspec.MsgspecError
-        If it is no list at all.
+        If the data is not a list of instances.
     """
     try:
         found = msgspec.json.decode(data, type=_Document).instances
     except msgspec.ValidationError:
-        loose = msgspec.json.decode(data, type=_LooseDocument)
-        found = [one for raw in loose.instances for one in _decoded(raw)]
+        raw_document = msgspec.json.decode(data, type=_RawDocument)
+        found = [
+            one for raw in raw_document.instances for one in _decode_entry(raw)
+        ]
     return {instance.id: instance for instance in found}
 
 
-def _decoded(raw: msgspec.Raw) -> list[Instance]:
+def _decode_entry(raw: msgspec.Raw) -> list[Instance]:
     try:
         return [msgspec.json.decode(raw, type=Instance)]
     except msgspec.ValidationError as error:
-        _log.warning("entry left out of the list: {}", error)
+        _log.warning("invalid entry of the instance list skipped: {}", error)
         return []
 
 
 @final
 class InstanceList:
-    """Keeps the last list, and this program's own entries on it.
+    """Caches the instance list, and keeps own entries registered.
 
     Parameters
     ----------
     host, port
-        Where the platform serves the list.
+        Address at which the platform serves the list.
     timeout : float
-        Longest wait for one answer, in seconds.
+        Maximum duration of one request, in seconds.
     interval : callable
-        Gives the seconds to the next read. At the fleet's target size the
-        list is 1.3 MB, so daemons share one rate of reads and tell each
-        other what is new on it.
+        Returns the seconds until the next read. At the fleet's target size
+        the list is 1.3 MB, so daemons share one rate of reads and send each
+        other the changes.
     clock : Clock
         Source of monotonic time.
 
     Attributes
     ----------
     instances_by_id : Mapping
-        The list as it was last read; replaced, never changed in place.
+        The list that was read last; replaced, never changed in place.
     refreshed_at : float or None
-        Monotonic time of the last read that succeeded.
+        Monotonic time of the last successful read.
     """
 
     def __init__(
@@ -145,14 +148,14 @@
         self._clock = clock
         self._fingerprint = b""
         self._callbacks: list[Callable[[], None]] = []
-        self._keeper_by_id: dict[str, gevent.Greenlet] = {}
+        self._renewer_by_id: dict[str, gevent.Greenlet] = {}
         self._reader: gevent.Greenlet | None = None
         self._http = _platform_http.PlatformHttp(
             host=host, port=port, timeout=timeout, clock=clock
         )
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Have a callable called after each read that brought a change."""
+        """Add a callback that is called after each change of the list."""
         self._callbacks.append(callback)
 
     def start(self) -> None:
@@ -160,9 +163,9 @@
         self._reader = _tasks.spawn(self._read_forever, clock=self._clock)
 
     def stop(self) -> None:
-        """Stop reading and renewing; entries stay on the list."""
-        greenlets = list(self._keeper_by_id.values())
-        self._keeper_by_id.clear()
+        """Stop reading and renewing; own entries are not removed."""
+        greenlets = list(self._renewer_by_id.values())
+        self._renewer_by_id.clear()
         if self._reader is not None:
             greenlets.append(self._reader)
         gevent.killall(greenlets, block=True)
@@ -174,11 +177,11 @@
         Raises
         ------
         StoreUnavailable
-            If it can't be read; the last one stays.
+            If it can't be read; the last list read stays in use.
         """
-        data = self._requested("GET", LIST_PATH, b"")
-        # At the fleet's target size the list is a megabyte, and mostly
-        # the same one: hashing it costs far less than decoding it.
+        data = self._request("GET", LIST_PATH, b"")
+        # At the fleet's target size the list is over a megabyte and seldom
+        # changes. Hashing it costs far less than decoding it.
         fingerprint = xxhash.xxh3_128_digest(data)
         if fingerprint != self._fingerprint:
             self._replace(data)
@@ -186,28 +189,28 @@
         self.refreshed_at = self._clock.monotonic()
 
     def register(self, instance: Instance) -> None:
-        """Put an instance on the list and keep it there, in its own time."""
-        self._stop_keeper(instance.id)
-        keeper = gevent.spawn(self._keep, instance)
-        self._keeper_by_id[instance.id] = keeper
+        """Put an instance on the list and renew it in the background."""
+        self._stop_renewing(instance.id)
+        renewer = gevent.spawn(self._renew_forever, instance)
+        self._renewer_by_id[instance.id] = renewer
 
     def unregister(self, instance_id: str) -> None:
-        """Take an instance off the list, in one attempt.
+        """Remove an instance from the list, in a single attempt.
 
         Raises
         ------
         StoreUnavailable
-            If the platform did not confirm it.
+            If the platform did not confirm the removal.
         """
-        self._stop_keeper(instance_id)
-        self._requested("DELETE", _path_of(instance_id), b"")
+        self._stop_renewing(instance_id)
+        self._request("DELETE", _instance_path(instance_id), b"")
 
     def _replace(self, data: bytes) -> None:
         try:
             instances = decode(data)
         except msgspec.MsgspecError as error:
             raise _errors.StoreUnavailable(
-                f"the list of instances can't be read: {error}"
+                f"the instance list can't be decoded: {error}"
             ) from error
         if instances != self.instances_by_id:
             self.instances_by_id = instances
@@ -219,38 +222,40 @@
             try:
                 self.refresh()
             except _errors.StoreUnavailable as error:
-                _log.warning("list of instances not read: {}", error)
-            # Daemons that were started together would otherwise ask
-            # together for good.
+                _log.warning("instance list could not be read: {}", error)
+            # Without jitter, daemons that were started together would always
+            # read at the same time.
             jitter = random.uniform(1 - INTERVAL_JITTER, 1 + INTERVAL_JITTER)
             self._clock.sleep(self._interval() * jitter)
 
-    def _keep(self, instance: Instance) -> None:
+    def _renew_forever(self, instance: Instance) -> None:
         body = msgspec.json.encode(instance)
         while True:
-            pause = RENEWAL_SECONDS
+            delay = RENEWAL_SECONDS
             try:
-                self._requested("PUT", _path_of(instance.id), body)
+                self._request("PUT", _instance_path(instance.id), body)
             except _errors.StoreUnavailable as error:
-                _log.warning("{} not registered: {}", instance.id, error)
-                pause = RETRY_SECONDS
-            self._clock.sleep(pause)
-
-    def _stop_keeper(self, instance_id: str) -> None:
-        keeper = self._keeper_by_id.pop(instance_id, None)
-        if keeper is not None:
-            keeper.kill()
-
-    def _requested(self, method: str, path: str, body: bytes) -> bytes:
+                _log.warning(
+                    "registration of {} failed: {}", instance.id, error
+                )
+                delay = RETRY_SECONDS
+            self._clock.sleep(delay)
+
+    def _stop_renewing(self, instance_id: str) -> None:
+        renewer = self._renewer_by_id.pop(instance_id, None)
+        if renewer is not None:
+            renewer.kill()
+
+    def _request(self, method: str, path: str, body: bytes) -> bytes:
         try:
             answer = self._http.call(method, path, body=body)
         except _errors.StoreAmbiguous as error:
-            # All three methods are idempotent: doing it again settles it.
+            # All three methods are idempotent, so they can be repeated.
             raise _errors.StoreUnavailable(error.message) from error
         if not 200 <= answer.status < 300:
             raise _platform_http.unavailable(answer)
         return answer.body
 
 
-def _path_of(instance_id: str) -> str:
+def _instance_path(instance_id: str) -> str:
     return f"{LIST_PATH}/{parse.quote(instance_id, safe='')}"
--- a/src/topazlug/store/_object_client.py
+++ b/src/topazlug/store/_object_client.py
@@ -9,31 +9,31 @@
 from topazlug import _errors
 from topazlug.store import _platform_http
 
-_REFUSED = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+_REJECTED = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 _CONTENT_TYPE = "application/octet-stream"
 
 
 class ObjectStore(Protocol):
-    """What the program asks of the object store."""
+    """Operations of the object store."""
 
     def put(self, key: str, data: bytes) -> None:
-        """Keep `data` under `key`.
+        """Store `data` under `key`.
 
         Raises
         ------
         StoreUnavailable
-            Certainly not kept.
+            Nothing was stored.
         StoreAmbiguous
-            Perhaps kept.
+            The object may have been stored.
         """
 
     def get(self, key: str) -> bytes | None:
-        """Return what is kept under `key`, None for nothing.
+        """Return the object stored under `key`, or None.
 
         Raises
         ------
         StoreUnavailable
-            The object can't be read now.
+            The object could not be read.
         """
 
 
@@ -48,9 +48,9 @@
     port : int
         TCP port.
     timeout : float
-        Longest time in seconds that one exchange takes.
+        Maximum duration of one exchange, in seconds.
     clock : Clock
-        Tells how far away a ``Retry-After`` date is.
+        Source of wall time, for dates in ``Retry-After``.
     """
 
     def __init__(
@@ -61,11 +61,11 @@
         )
 
     def put(self, key: str, data: bytes) -> None:
-        """Keep `data` under `key`; see `ObjectStore.put`."""
+        """Store `data` under `key`; see `ObjectStore.put`."""
         answer = self._http.call(
             "PUT", _target(key), body=data, content_type=_CONTENT_TYPE
         )
-        if answer.status in _REFUSED:
+        if answer.status in _REJECTED:
             raise _platform_http.unavailable(answer)
         if answer.status not in (HTTPStatus.OK, HTTPStatus.NO_CONTENT):
             raise _errors.StoreAmbiguous(
@@ -73,7 +73,7 @@
             )
 
     def get(self, key: str) -> bytes | None:
-        """Return what is kept under `key`; see `ObjectStore.get`."""
+        """Return the object stored under `key`; see `ObjectStore.get`."""
         try:
             answer = self._http.call("GET", _target(key))
         except _errors.StoreAmbiguous as error:
--- a/src/topazlug/store/_platform_http.py
+++ b/src/topazlug/store/_platform_http.py
@@ -1,8 +1,8 @@
-"""One HTTP exchange with a service of the platform, never repeated.
+"""HTTP exchanges with the platform's services, without automatic retries.
 
-The library's own client sends a request again when a reused connection
-turns out closed. For a write that is a second execution, so this module
-takes the library's connection pool and parser and sends each request once.
+The client of geventhttpclient sends a request again if a reused connection
+turns out to be closed. A write could then be executed twice, so this module
+uses the library's connection pool and parser, and sends each request once.
 """
 
 import datetime
@@ -24,12 +24,12 @@
 DEFAULT_RETRY_AFTER = 1.0
 MAX_RETRY_AFTER = 300.0
 _BLOCK_BYTES = 64 * 1024
-# Two seconds of silence on the line mean that the platform is out of reach;
-# a new connection then finds the way back as soon as there is one.
+# After two seconds without acknowledgements the platform counts as
+# unreachable. A new connection works as soon as it is reachable again.
 _KEEPALIVE_SECONDS = 1
 _KEEPALIVE_PROBES = 1
-_UNACKNOWLEDGED_MILLISECONDS = 2000
-_HEAD = (
+_UNACKNOWLEDGED_TIMEOUT_MILLISECONDS = 2000
+_REQUEST_HEAD = (
     "{method} {target} HTTP/1.1\r\n"
     "Host: {host}:{port}\r\n"
     "Content-Type: {content_type}\r\n"
@@ -40,16 +40,16 @@
 
 @final
 class PlatformAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole answer of the platform.
+    """A complete answer of the platform.
 
     Attributes
     ----------
     status : int
         HTTP status code.
     retry_after : float or None
-        Seconds that the answer asks to wait, if it names any.
+        Value of ``Retry-After`` in seconds, if any.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     status: int
@@ -59,8 +59,8 @@
 
 @final
 class _Pool(connectionpool.ConnectionPool):
-    # A call may wait long for its answer by design. If the platform is cut
-    # off meanwhile, only unanswered probes show it.
+    # A call may wait long for its answer by design. Only keepalive probes
+    # detect that the platform has become unreachable meanwhile.
     def after_connect(self, sock: socket.socket) -> None:
         tcp = socket.IPPROTO_TCP
         sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
@@ -69,13 +69,13 @@
         sock.setsockopt(tcp, socket.TCP_KEEPINTVL, _KEEPALIVE_SECONDS)
         sock.setsockopt(tcp, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
         sock.setsockopt(
-            tcp, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MILLISECONDS
+            tcp, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_TIMEOUT_MILLISECONDS
         )
 
-    # The library asks select(), which refuses descriptors from 1024 on: a
-    # daemon with many callers would then open a connection for every call,
-    # seen as a growing count of sockets in TIME_WAIT. poll() has no such
-    # bound.
+    # The library's method uses select(), which fails for descriptors from
+    # 1024 on. A daemon with many callers would then open a connection for
+    # every call, which shows as a growing number of sockets in TIME_WAIT.
+    # poll() has no such limit.
     def _is_socket_alive(self, sock: socket.socket | None) -> bool:
         if sock is None or sock.fileno() < 0:
             return False
@@ -86,7 +86,7 @@
 
 @final
 class PlatformHttp:
-    """Bounded connections to one service of the platform.
+    """A bounded pool of connections to one service of the platform.
 
     Parameters
     ----------
@@ -95,10 +95,10 @@
     port : int
         TCP port.
     timeout : float
-        Longest time in seconds that one exchange takes, with the wait for
+        Maximum duration of one exchange in seconds, including the wait for
         a connection.
     clock : Clock
-        Tells how far away a ``Retry-After`` date is.
+        Source of wall time, for dates in ``Retry-After``.
     """
 
     def __init__(
@@ -127,27 +127,27 @@
         content_type: str = "application/json",
         timeout: float | None = None,
     ) -> PlatformAnswer:
-        """Send one request once and read its whole answer.
+        """Send a request once and read its complete answer.
 
         Parameters
         ----------
         method, target : str
-            As in the request line.
+            Method and target of the request line.
         body : bytes
-            Whole body.
+            Complete body.
         content_type : str
-            Its kind.
+            Content type of the body.
         timeout : float or None
-            Longest time in seconds instead of the usual one.
+            Maximum duration in seconds, if not the default.
 
         Raises
         ------
         StoreUnavailable
             No byte was sent.
         StoreAmbiguous
-            Bytes were sent and no whole answer came back.
+            Bytes were sent, and no complete answer was received.
         """
-        head = _HEAD.format(
+        head = _REQUEST_HEAD.format(
             method=method,
             target=target,
             host=self._host,
@@ -155,26 +155,26 @@
             content_type=content_type,
             length=len(body),
         )
-        allowed = self._timeout if timeout is None else timeout
-        with gevent.Timeout(allowed) as expiry:
-            sock = self._connect(expiry)
-            whole = False
+        seconds = self._timeout if timeout is None else timeout
+        with gevent.Timeout(seconds) as timer:
+            sock = self._connect(timer)
+            complete = False
             try:
-                sock.settimeout(allowed)
+                sock.settimeout(seconds)
                 sock.sendall(head.encode("ascii") + body)
                 parsed = _read_answer(sock, method)
-                whole = not parsed.should_close()
+                complete = not parsed.should_close()
             except gevent.Timeout as error:
-                if error is not expiry:
+                if error is not timer:
                     raise
                 raise self._ambiguous(method, "no answer in time") from error
             except (OSError, response.HTTPParseError) as error:
                 raise self._ambiguous(method, repr(error)) from error
             finally:
-                # A connection whose answer was not read whole would hand
-                # that answer to the next request.
-                self._put_back(sock, reusable=whole)
-        return self._answer_of(parsed)
+                # If the answer was not read completely, the next request
+                # on the connection would receive the rest of it.
+                self._release(sock, reusable=complete)
+        return self._build_answer(parsed)
 
     def close(self) -> None:
         """Close the idle connections; later calls fail."""
@@ -186,41 +186,41 @@
         except gevent.Timeout as error:
             if error is not timeout:
                 raise
-            raise self._unreached("no connection in time") from error
+            raise self._unreachable("no connection in time") from error
         except (OSError, RuntimeError) as error:
-            raise self._unreached(repr(error)) from error
+            raise self._unreachable(repr(error)) from error
 
-    def _put_back(self, sock: socket.socket, *, reusable: bool) -> None:
+    def _release(self, sock: socket.socket, *, reusable: bool) -> None:
         if reusable:
             self._pool.return_socket(sock)
         else:
             self._pool.release_socket(sock)
 
-    def _unreached(self, why: str) -> _errors.StoreUnavailable:
+    def _unreachable(self, why: str) -> _errors.StoreUnavailable:
         return _errors.StoreUnavailable(
-            f"platform at {self._host}:{self._port} not reached: {why}",
+            f"platform at {self._host}:{self._port} is unreachable: {why}",
             retry_after=DEFAULT_RETRY_AFTER,
         )
 
     def _ambiguous(self, method: str, why: str) -> _errors.StoreAmbiguous:
         return _errors.StoreAmbiguous(
-            f"{method} to {self._host}:{self._port} got no whole answer: {why}"
+            f"{method} to {self._host}:{self._port}: no complete answer: {why}"
         )
 
-    def _answer_of(self, parsed: response.HTTPResponse) -> PlatformAnswer:
-        named = parsed.get("retry-after")
-        wait = None
-        if isinstance(named, str):
-            wait = _seconds_of(named, now=self._clock.now())
+    def _build_answer(self, parsed: response.HTTPResponse) -> PlatformAnswer:
+        value = parsed.get("retry-after")
+        retry_after = None
+        if isinstance(value, str):
+            retry_after = _parse_retry_after(value, now=self._clock.now())
         return PlatformAnswer(
             status=parsed.status_code,
-            retry_after=wait,
+            retry_after=retry_after,
             body=bytes(parsed._body_buffer),
         )
 
 
 def unavailable(answer: PlatformAnswer) -> _errors.StoreUnavailable:
-    """Give the error for a request that the platform refused whole."""
+    """Return the error for a request that the platform rejected."""
     return _errors.StoreUnavailable(
         f"platform answered {answer.status}; try again later",
         retry_after=answer.retry_after or DEFAULT_RETRY_AFTER,
@@ -235,17 +235,19 @@
         size += len(block)
         parsed.feed(block)
         if not block and not parsed.message_complete:
-            raise response.HTTPConnectionClosed("closed inside the answer")
+            raise response.HTTPConnectionClosed(
+                "connection closed before the end of the answer"
+            )
         if size > MAX_ANSWER_BYTES:
-            raise response.HTTPParseError("answer passes MAX_ANSWER_BYTES")
+            raise response.HTTPParseError("answer exceeds MAX_ANSWER_BYTES")
     return parsed
 
 
-def _seconds_of(named: str, *, now: datetime.datetime) -> float | None:
-    if named.isascii() and named.isdigit():
-        return min(float(named), MAX_RETRY_AFTER)
+def _parse_retry_after(value: str, *, now: datetime.datetime) -> float | None:
+    if value.isascii() and value.isdigit():
+        return min(float(value), MAX_RETRY_AFTER)
     try:
-        at = utils.parsedate_to_datetime(named)
+        at = utils.parsedate_to_datetime(value)
     except ValueError:
         return None
     if at.tzinfo is None:
--- a/src/topazlug/store/_table_client.py
+++ b/src/topazlug/store/_table_client.py
@@ -19,21 +19,21 @@
 ABSENT: Final = 0
 DEFAULT_LIMIT = 500
 _T = TypeVar("_T")
-_REFUSED = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+_REJECTED = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 @final
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """A row as it stands; `version` 0 with `value` None is an absent one.
+    """Current state of a row; absent if `version` is 0 and `value` None.
 
     Attributes
     ----------
     table, key : str
-        Where the row is.
+        Table and key of the row.
     version : int
-        Grows by one with each write, from 1.
+        Starts at 1 and increases by one with each write.
     value : dict or None
-        The JSON object kept.
+        The stored JSON object.
     """
 
     table: str
@@ -44,7 +44,7 @@
 
 @final
 class Condition(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks that a row be at `version`; `ABSENT` asks that there be none."""
+    """Requires that a row has `version`; `ABSENT` if it must not exist."""
 
     table: str
     key: str
@@ -62,7 +62,7 @@
 
 @final
 class Delete(msgspec.Struct, frozen=True, kw_only=True):
-    """Takes a row away."""
+    """Deletes a row."""
 
     table: str
     key: str
@@ -70,7 +70,7 @@
 
 @final
 class Page(msgspec.Struct, frozen=True, kw_only=True):
-    """Some rows in key order; `more` tells whether others follow."""
+    """Some rows in key order; `more` is true if others follow."""
 
     rows: list[Row]
     more: bool
@@ -78,12 +78,12 @@
 
 @final
 class TransactionConflict(_errors.TopazlugError):
-    """A condition did not hold, so nothing was written.
+    """A condition was not met, so nothing was written.
 
     Parameters
     ----------
     failed : list of Row
-        The rows whose conditions failed, as they stand.
+        Current state of the rows whose conditions failed.
     """
 
     code = _errors.Code.STORE_CONFLICT
@@ -96,15 +96,15 @@
 
 
 class TableStore(Protocol):
-    """What the program asks of the table service."""
+    """Operations of the table service."""
 
     def read(self, table: str, key: str) -> Row | None:
-        """Return a row, None when absent.
+        """Return a row, or None if it does not exist.
 
         Raises
         ------
         StoreUnavailable
-            The row can't be read now.
+            The row could not be read.
         """
 
     def scan(
@@ -115,12 +115,12 @@
         after: str = "",
         limit: int = DEFAULT_LIMIT,
     ) -> Page:
-        """Return rows in key order, from the first key past `after`.
+        """Return rows in key order, from the first key after `after`.
 
         Raises
         ------
         StoreUnavailable
-            The rows can't be read now.
+            The rows could not be read.
         """
 
     def transact(
@@ -130,16 +130,18 @@
         puts: Sequence[Put],
         deletes: Sequence[Delete] = (),
     ) -> dict[str, int]:
-        """Write all or nothing; return the new versions by ``table/key``.
+        """Write atomically; return the new versions by ``table/key``.
 
         Raises
         ------
         TransactionConflict
-            A condition failed: no effect.
+            A condition failed, so nothing was written.
         StoreUnavailable
-            Not reached or refused: certainly no effect.
+            The service was unreachable or rejected the request, so nothing
+            was written.
         StoreAmbiguous
-            The answer was lost: it may have taken effect, or may still.
+            The answer was lost: the write may have taken effect or may
+            still do so.
         """
 
 
@@ -157,14 +159,14 @@
 
 
 @final
-class _Refused(msgspec.Struct, frozen=True, kw_only=True):
+class _Rejected(msgspec.Struct, frozen=True, kw_only=True):
     committed: Literal[False]
     failed: list[Row]
 
 
 @final
 class TableClient:
-    """Table service over HTTP; each request goes out once at most.
+    """Table service over HTTP; each request is sent at most once.
 
     Parameters
     ----------
@@ -173,9 +175,9 @@
     port : int
         TCP port.
     timeout : float
-        Longest time in seconds that one exchange takes.
+        Maximum duration of one exchange, in seconds.
     clock : Clock
-        Tells how far away a ``Retry-After`` date is.
+        Source of wall time, for dates in ``Retry-After``.
     """
 
     def __init__(
@@ -187,10 +189,10 @@
 
     def read(self, table: str, key: str) -> Row | None:
         """Return a row; see `TableStore.read`."""
-        answer = self._read(f"/table/rows/{_quoted(table)}/{_quoted(key)}")
+        answer = self._get(f"/table/rows/{_quote(table)}/{_quote(key)}")
         if answer.status == HTTPStatus.NOT_FOUND:
             return None
-        return _read_value(answer, Row)
+        return _decode_read(answer, Row)
 
     def scan(
         self,
@@ -201,10 +203,10 @@
         limit: int = DEFAULT_LIMIT,
     ) -> Page:
         """Return rows in key order; see `TableStore.scan`."""
-        asked = {"prefix": prefix, "after": after, "limit": str(limit)}
-        query = parse.urlencode(asked, quote_via=parse.quote, safe="")
-        answer = self._read(f"/table/rows/{_quoted(table)}?{query}")
-        return _read_value(answer, Page)
+        parameters = {"prefix": prefix, "after": after, "limit": str(limit)}
+        query = parse.urlencode(parameters, quote_via=parse.quote, safe="")
+        answer = self._get(f"/table/rows/{_quote(table)}?{query}")
+        return _decode_read(answer, Page)
 
     def transact(
         self,
@@ -213,16 +215,18 @@
         puts: Sequence[Put],
         deletes: Sequence[Delete] = (),
     ) -> dict[str, int]:
-        """Write all or nothing; see `TableStore.transact`."""
-        asked = _Transaction(conditions=conditions, puts=puts, deletes=deletes)
-        body = msgspec.json.encode(asked)
+        """Write atomically; see `TableStore.transact`."""
+        transaction = _Transaction(
+            conditions=conditions, puts=puts, deletes=deletes
+        )
+        body = msgspec.json.encode(transaction)
         answer = self._http.call("POST", "/table/transact", body=body)
-        if answer.status in _REFUSED:
+        if answer.status in _REJECTED:
             raise _platform_http.unavailable(answer)
         if answer.status == HTTPStatus.CONFLICT:
-            raise TransactionConflict(_written_value(answer, _Refused).failed)
+            raise TransactionConflict(_decode_write(answer, _Rejected).failed)
         if answer.status == HTTPStatus.OK:
-            return _written_value(answer, _Committed).versions
+            return _decode_write(answer, _Committed).versions
         raise _errors.StoreAmbiguous(
             f"table service answered {answer.status} to a transaction"
         )
@@ -231,41 +235,42 @@
         """Close the idle connections; later calls fail."""
         self._http.close()
 
-    def _read(self, target: str) -> _platform_http.PlatformAnswer:
+    def _get(self, target: str) -> _platform_http.PlatformAnswer:
         try:
             return self._http.call("GET", target)
         except _errors.StoreAmbiguous as error:
-            raise _unreadable(error.message) from error
+            raise _read_failure(error.message) from error
 
 
-def _quoted(name: str) -> str:
+def _quote(name: str) -> str:
     return parse.quote(name, safe="")
 
 
-def _unreadable(why: str) -> _errors.StoreUnavailable:
+def _read_failure(why: str) -> _errors.StoreUnavailable:
     return _errors.StoreUnavailable(
         why, retry_after=_platform_http.DEFAULT_RETRY_AFTER
     )
 
 
-def _read_value(answer: _platform_http.PlatformAnswer, kind: type[_T]) -> _T:
+def _decode_read(answer: _platform_http.PlatformAnswer, kind: type[_T]) -> _T:
     if answer.status != HTTPStatus.OK:
         raise _platform_http.unavailable(answer)
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as error:
-        raise _unreadable(f"table service sent no rows: {error}") from error
+        raise _read_failure(
+            f"invalid answer of the table service: {error}"
+        ) from error
 
 
-# Whatever stands between may answer 200 or 409 with a page of its own.
-# Taken for the store's word it would be a write that never was, seen as a
-# request that ran twice or never; as ambiguous it is read back.
-def _written_value(
-    answer: _platform_http.PlatformAnswer, kind: type[_T]
-) -> _T:
+# An intermediary may answer 200 or 409 with a page of its own. If that were
+# taken for the service's answer, a write that never happened would be assumed,
+# and a request would run twice or never. Callers read an ambiguous write back.
+def _decode_write(answer: _platform_http.PlatformAnswer, kind: type[_T]) -> _T:
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as error:
         raise _errors.StoreAmbiguous(
-            f"table service sent {answer.status} with no result: {error}"
+            f"table service answered {answer.status} without a valid result: "
+            f"{error}"
         ) from error
--- a/tests/topazlug/peers/test_peers.py
+++ b/tests/topazlug/peers/test_peers.py
@@ -113,7 +113,7 @@
         """Guards against a call that receives another call's answer.
 
         A call times out, another is made, and then both answers arrive.
-        Cause: answers matched by their place in the stream.
+        Fails if answers are matched to calls by their order.
         """
         kept = []
         answering.handle(
--- a/tests/topazlug/store/test_instances.py
+++ b/tests/topazlug/store/test_instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances."""
+"""Client of the platform's instance list."""
 
 import json
 
@@ -24,7 +24,7 @@
 
 
 class FakePlatform:
-    """Serves a list, and takes entries."""
+    """Serves a list and records the requests."""
 
     def __init__(self):
         self.body = json.dumps({"instances": [ENTRY]}).encode()
@@ -49,20 +49,20 @@
 
 
 @pytest.fixture
-def listed(platform):
-    listed = _instances.InstanceList(
+def instance_list(platform):
+    instance_list = _instances.InstanceList(
         host="127.0.0.1",
         port=platform.server.server_port,
         timeout=5.0,
         interval=lambda: 0.01,
         clock=peer_fixtures.ManualClock(),
     )
-    yield listed
-    listed.stop()
+    yield instance_list
+    instance_list.stop()
 
 
 class TestDecode:
-    """A list is read as far as it can be."""
+    """A list is decoded as far as possible."""
 
     def test_entry(self):
         (found,) = _instances.decode(
@@ -71,22 +71,24 @@
         assert found.kind is _instances.InstanceKind.ENGINE
         assert (found.id, found.incarnation, found.slots) == ("e1", 3, 8)
 
-    def test_entry_of_a_kind_to_come_is_left_out(self):
+    def test_entry_of_unknown_kind_is_skipped(self):
         other = {**ENTRY, "id": "n", "kind": "novelty"}
         data = json.dumps({"instances": [other, ENTRY]}).encode()
         assert list(_instances.decode(data)) == ["e1"]
 
 
 class TestReading:
-    """The last whole list stays in force."""
+    """The last complete list stays in use."""
 
-    def test_change_is_told_once(self, listed):
-        told = []
-        listed.on_change(lambda: told.append(set(listed.instances_by_id)))
-        listed.refresh()
-        listed.refresh()
-        assert told == [{"e1"}]
-        assert listed.refreshed_at is not None
+    def test_callbacks_run_once_per_change(self, instance_list):
+        notified = []
+        instance_list.on_change(
+            lambda: notified.append(set(instance_list.instances_by_id))
+        )
+        instance_list.refresh()
+        instance_list.refresh()
+        assert notified == [{"e1"}]
+        assert instance_list.refreshed_at is not None
 
     @pytest.mark.parametrize(
         ("status", "body"),
@@ -96,26 +98,28 @@
             ("200 OK", b"[]"),
         ],
     )
-    def test_failed_read_keeps_the_last(self, platform, listed, status, body):
-        listed.refresh()
+    def test_failed_read_keeps_the_last(
+        self, platform, instance_list, status, body
+    ):
+        instance_list.refresh()
         platform.status, platform.body = status, body
         with pytest.raises(_errors.StoreUnavailable):
-            listed.refresh()
-        assert set(listed.instances_by_id) == {"e1"}
+            instance_list.refresh()
+        assert set(instance_list.instances_by_id) == {"e1"}
 
-    def test_reads_on_through_an_outage(self, platform, listed):
+    def test_reading_continues_after_an_outage(self, platform, instance_list):
         platform.status = "503 Outage"
-        listed.start()
+        instance_list.start()
         peer_fixtures.wait_until(lambda: len(platform.calls) > 2)
         platform.status = "200 OK"
-        peer_fixtures.wait_until(lambda: "e1" in listed.instances_by_id)
+        peer_fixtures.wait_until(lambda: "e1" in instance_list.instances_by_id)
 
 
 class TestRegistering:
-    """Our own entry gets on the list, and off it."""
+    """Own entries are put on the list and removed from it."""
 
     @pytest.fixture
-    def mine(self):
+    def own_instance(self):
         return _instances.Instance(
             id="d/1",
             kind=_instances.InstanceKind.DAEMON,
@@ -125,12 +129,12 @@
             zone="wien-a",
         )
 
-    def test_register_goes_on_until_it_holds(
-        self, platform, listed, mine, monkeypatch
+    def test_register_retries_until_it_succeeds(
+        self, platform, instance_list, own_instance, monkeypatch
     ):
         monkeypatch.setattr(_instances, "RETRY_SECONDS", 0.01)
         platform.status = "503 Outage"
-        listed.register(mine)
+        instance_list.register(own_instance)
         peer_fixtures.wait_until(lambda: len(platform.calls) > 1)
         platform.status = "204 No Content"
         sent = len(platform.calls)
@@ -139,6 +143,6 @@
         assert (method, path) == ("PUT", "/instances/d/1")
         assert json.loads(body)["port"] == 7
 
-    def test_unregister(self, platform, listed, mine):
-        listed.unregister("d/1")
+    def test_unregister(self, platform, instance_list, own_instance):
+        instance_list.unregister("d/1")
         assert platform.calls == [("DELETE", "/instances/d/1", b"")]
--- a/tests/topazlug/store/test_table_client.py
+++ b/tests/topazlug/store/test_table_client.py
@@ -39,7 +39,7 @@
     )
 
 
-class Script:
+class ScriptedServer:
     """A server that answers each connection with fixed bytes."""
 
     def __init__(self, answer):
@@ -64,11 +64,11 @@
 
 
 @pytest.fixture
-def script():
+def start_server():
     made = []
 
     def make(answer):
-        made.append(Script(answer))
+        made.append(ScriptedServer(answer))
         return made[-1]
 
     yield make
@@ -76,7 +76,7 @@
         one.stop()
 
 
-def whole(status, body, extra=""):
+def http_answer(status, body, extra=""):
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
     return head.encode() + body
 
@@ -103,7 +103,7 @@
         client.transact(conditions=[], puts=[put])
         assert client.read("t", "a/b c?&é").key == "a/b c?&é"
 
-    def test_scan_goes_on_after_a_key(self, client):
+    def test_scan_continues_after_a_key(self, client):
         for key in ("a1", "a2", "b1"):
             put = _table_client.Put(table="t", key=key, value={})
             client.transact(conditions=[], puts=[put])
@@ -121,7 +121,7 @@
 
 
 class TestNoEffect:
-    """Failures that certainly left nothing behind."""
+    """Failures after which nothing was written."""
 
     def test_refused_connection(self):
         with socket.socket() as free:
@@ -136,19 +136,20 @@
         ("named", "seconds"),
         [("7", 7.0), ("soon", 1.0), ("Thu, 01 Jan 1970 00:00:00 GMT", 1.0)],
     )
-    def test_refusal(self, script, status, named, seconds):
-        answer = whole(status, b"{}", f"Retry-After: {named}\r\n")
-        client = make_client(script(answer).server.server_port)
+    def test_refusal(self, start_server, status, named, seconds):
+        answer = http_answer(status, b"{}", f"Retry-After: {named}\r\n")
+        client = make_client(start_server(answer).server.server_port)
         with pytest.raises(_errors.StoreUnavailable) as caught:
             client.transact(conditions=[], puts=[PUT])
         assert caught.value.retry_after == seconds
 
 
 class TestAmbiguous:
-    """Failures after which a write may have had its effect.
+    """Failures after which a write may have taken effect.
 
-    Taken for failures, a request would be called not-run and its claim
-    would stand; taken for commits, two would hold one claim.
+    If they were taken for failed writes, a request would be reported as not
+    run while its claim stands. If they were taken for commits, two requests
+    would hold one claim.
     """
 
     @pytest.mark.parametrize(
@@ -158,34 +159,36 @@
             b"garbage\r\n\r\n",
             b"HTTP/1.1 200 OK\r\nContent-Le",
             b'HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{"com',
-            whole(200, b"<html>"),
-            whole(200, b'{"committed": false, "versions": {}}'),
-            whole(409, b"{}"),
-            whole(409, b'{"committed": true, "failed": []}'),
-            whole(500, b"{}"),
-            whole(502, b"{}"),
-            whole(400, b"{}"),
+            http_answer(200, b"<html>"),
+            http_answer(200, b'{"committed": false, "versions": {}}'),
+            http_answer(409, b"{}"),
+            http_answer(409, b'{"committed": true, "failed": []}'),
+            http_answer(500, b"{}"),
+            http_answer(502, b"{}"),
+            http_answer(400, b"{}"),
         ],
     )
-    def test_answer(self, script, answer):
-        server = script(answer)
+    def test_answer(self, start_server, answer):
+        server = start_server(answer)
         client = make_client(server.server.server_port)
         with pytest.raises(_errors.StoreAmbiguous):
             client.transact(conditions=[], puts=[PUT])
         assert server.requests == 1
 
-    def test_no_answer_in_time(self, script):
-        server = script(None)
+    def test_no_answer_in_time(self, start_server):
+        server = start_server(None)
         client = make_client(server.server.server_port, timeout=0.05)
         with pytest.raises(_errors.StoreAmbiguous):
             client.transact(conditions=[], puts=[PUT])
 
-    def test_reused_connection_is_not_sent_on_again(self, platform, client):
-        """An edit is written twice.
+    def test_request_is_not_repeated_on_a_reused_connection(
+        self, platform, client
+    ):
+        """Guards against an edit that is written twice.
 
-        The answer is lost on a connection that served before. A library
-        that takes this for an idle connection closed by the server sends
-        the request again.
+        The answer is lost on a reused connection. A library that takes this
+        for an idle connection closed by the server would send the request
+        again.
         """
         client.read("t", "k")
         platform.faults.lose_answers = 1
@@ -193,8 +196,8 @@
             client.transact(conditions=[], puts=[PUT])
         assert platform.counters.transact_calls == 1
 
-    def test_late_answer_is_not_the_next_ones(self, platform):
-        """A read gets the row of the read before it, which gave up."""
+    def test_late_answer_is_discarded(self, platform):
+        """Guards against a read that gets the row of one that timed out."""
         platform.faults.delay = 0.2
         client = make_client(platform.port, timeout=0.05)
         with pytest.raises(_errors.StoreUnavailable):
@@ -206,9 +209,9 @@
 
 class TestReads:
     @pytest.mark.parametrize(
-        "answer", [b"", whole(200, b"<html>"), whole(500, b"")]
+        "answer", [b"", http_answer(200, b"<html>"), http_answer(500, b"")]
     )
-    def test_failure_is_unavailable(self, script, answer):
-        client = make_client(script(answer).server.server_port)
+    def test_failure_is_unavailable(self, start_server, answer):
+        client = make_client(start_server(answer).server.server_port)
         with pytest.raises(_errors.StoreUnavailable):
             client.read("t", "k")
