--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -231,7 +231,7 @@
             for number in range(places):
                 key = _slot_key.SlotKey(
                     _ids.DaemonId(f"daemon-{number:04}"),
-                    _ids.AskNumber(10**6 + number),
+                    _ids.AdmissionRequestId(10**6 + number),
                 )
                 held = _ledger.LedgerEntry(
                     weight=1, team=_ids.TeamName(f"t-{number}"), batch=False
--- a/src/topazlug/_daemon.py
+++ b/src/topazlug/_daemon.py
@@ -8,7 +8,7 @@
 from gevent import pywsgi
 
 from topazlug import _clock
-from topazlug import _fleet_parts
+from topazlug import _fleet_assembly
 from topazlug import _ids
 from topazlug import _logs
 from topazlug import _tasks
@@ -37,10 +37,10 @@
 from topazlug.telemetry import _metrics
 
 _log = _logs.logger("daemon")
-_QUIET_SECONDS = 1.0
+_IDLE_SECONDS = 1.0
 _POLL_SECONDS = 0.05
-_ADMINISTRATION_CONNECTIONS = 64
-_LEAVE_SECONDS = 0.3
+_MAX_ADMINISTRATION_CONNECTIONS = 64
+_LEAVE_GRACE_SECONDS = 0.3
 
 
 @final
@@ -68,15 +68,17 @@
             _ids.DaemonId(settings.daemon.id),
             settings.daemon.zone,
         )
-        self.fleet = _fleet_parts.FleetParts(settings=settings, clock=clock)
+        self.fleet = _fleet_assembly.FleetAssembly(
+            settings=settings, clock=clock
+        )
         self.routing = _routing_assembly.RoutingAssembly(
             settings=settings, fleet=self.fleet, clock=clock
         )
-        self._build_guard()
+        self._build_crash_guard()
         self._build_callers()
         self._build_administration()
 
-    def _build_guard(self) -> None:
+    def _build_crash_guard(self) -> None:
         self.guard = _crash_guard.CrashGuard(
             daemon=self.fleet.daemon_id,
             runs=self.routing.connections.runs,
@@ -90,13 +92,13 @@
             daemons=self.fleet.membership.usable,
             on_records=self.guard.add_peer_records,
         )
-        self._notes = _record_sync.RecordSync(
+        self._crash_record_sync = _record_sync.RecordSync(
             store=self.fleet.new_store(),
             distributor=distributor,
             on_records=self.guard.set_shared_records,
             clock=self.clock,
         )
-        self.guard.publisher = self._notes
+        self.guard.publisher = self._crash_record_sync
 
     def _build_callers(self) -> None:
         settings = self.settings
@@ -192,17 +194,17 @@
             self.administration_app,
             log=None,
             error_log=None,
-            spawn=_ADMINISTRATION_CONNECTIONS,
+            spawn=_MAX_ADMINISTRATION_CONNECTIONS,
         )
 
     def start(self) -> None:
         """Start everything; callers are taken at once."""
         self.routing.connect()
-        self._watch_metrics()
+        self._register_metrics()
         self.fleet.start()
         for task in self.routing.tasks():
             self._spawn(task)
-        for task in (self.guard.run, *self._notes.tasks()):
+        for task in (self.guard.run, *self._crash_record_sync.tasks()):
             self._spawn(task)
         self._spawn(self.claim_sweeper.run)
         self.administration.start()
@@ -228,7 +230,7 @@
             request_class = table.RequestClass.batch
         self.metrics.count_retry(request.team, request_class)
 
-    def _watch_metrics(self) -> None:
+    def _register_metrics(self) -> None:
         watch = self.metrics.watch
         owner = self.routing.owner
         watch(_metrics.Gauge.QUEUED, owner.waiting)
@@ -269,15 +271,15 @@
         self.stopping = True
         _log.info("stopping; {n} in progress", n=self.app.in_progress)
         self.callers.stopping = True
-        self._take_waiting_connections()
+        self._accept_pending_connections()
         self.callers.close()
         self.fleet.leave()
         self._wait_for_requests()
-        self.claims.wait_finalized(_LEAVE_SECONDS)
-        gevent.sleep(_LEAVE_SECONDS)
+        self.claims.wait_finalized(_LEAVE_GRACE_SECONDS)
+        gevent.sleep(_LEAVE_GRACE_SECONDS)
         self.halt()
 
-    def _take_waiting_connections(self) -> None:
+    def _accept_pending_connections(self) -> None:
         """Accept what has connected, before the listener closes.
 
         The kernel resets connections that wait in the listener's queue when
@@ -290,15 +292,15 @@
 
     def _wait_for_requests(self) -> None:
         """Wait until nothing runs and nothing new came for a moment."""
-        end = self.clock.monotonic() + self.settings.limits.stop_grace
-        quiet_since: float | None = None
-        while self.clock.monotonic() < end:
+        deadline = self.clock.monotonic() + self.settings.limits.stop_grace
+        idle_since: float | None = None
+        while self.clock.monotonic() < deadline:
             now = self.clock.monotonic()
             if self.app.in_progress:
-                quiet_since = None
-            elif quiet_since is None:
-                quiet_since = now
-            elif now - quiet_since >= _QUIET_SECONDS:
+                idle_since = None
+            elif idle_since is None:
+                idle_since = now
+            elif now - idle_since >= _IDLE_SECONDS:
                 return
             gevent.sleep(_POLL_SECONDS)
 
--- a/src/topazlug/_errors.py
+++ b/src/topazlug/_errors.py
@@ -90,7 +90,7 @@
 
     Attributes
     ----------
-    refused_for : float
+    rejected_for : float
         Seconds for which a repeat is sure to be refused as well.
     """
 
@@ -104,7 +104,7 @@
         super().__init__(message)
         self.outcome = outcome
         self.retry_after = retry_after
-        self.refused_for = 0.0
+        self.rejected_for = 0.0
 
 
 @final
--- a/src/topazlug/_fleet_parts.py
+++ b/src/topazlug/_fleet_assembly.py
@@ -22,7 +22,7 @@
 
 
 @final
-class FleetParts:
+class FleetAssembly:
     """Clients of the platform, streams to peers, members and the table.
 
     Parameters
@@ -138,14 +138,14 @@
         usable = self.membership.usable()
         listed = self.instances.instances_by_id
         members = self.membership.members_by_id
-        silent = [
+        unreachable = [
             daemon
             for daemon, member in members.items()
             if member.state is messages.FactState.dead
             and daemon in listed
             and listed[daemon].incarnation <= member.incarnation
         ]
-        return len(usable) / max(1, len(usable) + len(silent))
+        return len(usable) / max(1, len(usable) + len(unreachable))
 
     def start(self) -> None:
         """Register, and follow the list, the members and the table."""
--- a/src/topazlug/_logs.py
+++ b/src/topazlug/_logs.py
@@ -173,14 +173,14 @@
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Write one record."""
-        weight = _log_output.Weight.COMMON
+        priority = _log_output.LinePriority.COMMON
         if record.level >= logbook.WARNING:
-            weight = _log_output.Weight.IMPORTANT
-        self._output.write(self.format(record), weight)
+            priority = _log_output.LinePriority.IMPORTANT
+        self._output.write(self.format(record), priority)
 
 
 @final
-class _Redirect(compat.RedirectLoggingHandler):
+class _StandardLoggingRedirect(compat.RedirectLoggingHandler):
     """Takes in what libraries log, without the internals of the record."""
 
     def find_extra(self, old_record: logging.LogRecord) -> dict[str, Any]:
@@ -192,9 +192,9 @@
     root.handlers = [
         handler
         for handler in root.handlers
-        if not isinstance(handler, _Redirect)
+        if not isinstance(handler, _StandardLoggingRedirect)
     ]
-    root.addHandler(_Redirect())
+    root.addHandler(_StandardLoggingRedirect())
     root.setLevel(logging.WARNING)
 
 
@@ -211,33 +211,33 @@
         fields.update(record.extra)
         fields.update(record.kwargs)
         # Before the message is built from them, as it may quote a field.
-        record.kwargs = _presentable(record.kwargs)
+        record.kwargs = _sanitize_fields(record.kwargs)
         line: dict[str, Any] = {
             "time": _rfc3339(record.time),
             "level": record.level_name.lower(),
             "logger": record.channel,
             "daemon": self._daemon_id,
-            "message": _message_of(record),
+            "message": _format_message(record),
         }
-        for name, value in _presentable(fields).items():
+        for name, value in _sanitize_fields(fields).items():
             if value != WITHHELD:
                 line.setdefault(name, value)
         if record.exc_info:
-            line["exception"] = _clean(
+            line["exception"] = _redact_and_truncate(
                 record.formatted_exception or "", MAX_MESSAGE_CHARACTERS
             )
         rendered: str = self._render(line)
         return rendered
 
 
-def _message_of(record: logbook.LogRecord) -> str:
+def _format_message(record: logbook.LogRecord) -> str:
     try:
         message = record.message
     except Exception as error:
         # A message whose braces don't fit its fields must not take down the
         # request that logs it; the raw template still says where it was.
         message = f"{record.msg} [not formatted: {type(error).__name__}]"
-    return _clean(str(message), MAX_MESSAGE_CHARACTERS)
+    return _redact_and_truncate(str(message), MAX_MESSAGE_CHARACTERS)
 
 
 def _rfc3339(when: datetime.datetime) -> str:
@@ -246,14 +246,14 @@
     return when.isoformat(timespec="milliseconds").replace("+00:00", "Z")
 
 
-def _clean(text: str, longest: int) -> str:
+def _redact_and_truncate(text: str, max_characters: int) -> str:
     text = _BEARER.sub(f"Bearer {WITHHELD}", text)
-    return text if len(text) <= longest else text[:longest] + "…"
+    return text if len(text) <= max_characters else text[:max_characters] + "…"
 
 
-def _presentable(fields: dict[str, Any]) -> dict[str, Any]:
+def _sanitize_fields(fields: dict[str, Any]) -> dict[str, Any]:
     return {
-        name: WITHHELD if _is_withheld(name) else _plain(value)
+        name: WITHHELD if _is_withheld(name) else _sanitize_value(value)
         for name, value in fields.items()
     }
 
@@ -262,22 +262,22 @@
     return str(name).lower().replace("-", "_") in WITHHELD_FIELDS
 
 
-def _plain(value: Any) -> Any:
+def _sanitize_value(value: Any) -> Any:
     """Give what a line may show of a value."""
     if isinstance(value, enum.Enum):
-        return _plain(value.value)
+        return _sanitize_value(value.value)
     if value is None or isinstance(value, (bool, int, float)):
         return value
     if isinstance(value, (str, BaseException)):
-        return _clean(str(value), MAX_FIELD_CHARACTERS)
+        return _redact_and_truncate(str(value), MAX_FIELD_CHARACTERS)
     if isinstance(value, datetime.datetime):
         return _rfc3339(value)
     if isinstance(value, datetime.timedelta):
         return value.total_seconds()
     if isinstance(value, dict):
-        return {str(k): v for k, v in _presentable(value).items()}
+        return {str(k): v for k, v in _sanitize_fields(value).items()}
     if isinstance(value, (list, tuple, set, frozenset)):
-        return [_plain(inner) for inner in value]
+        return [_sanitize_value(inner) for inner in value]
     # The text form of an unknown object may hold a prompt or a key.
     return f"<{type(value).__name__}>"
 
@@ -287,13 +287,13 @@
 
 
 def _render_text(line: dict[str, Any]) -> str:
-    head = ("time", "level", "logger", "message")
-    shown = [str(line[name]) for name in head[:-1]]
+    leading_fields = ("time", "level", "logger", "message")
+    parts = [str(line[name]) for name in leading_fields[:-1]]
     # A line break that came from a caller would pass for a record.
-    shown.append(line["message"].replace("\r", "\\r").replace("\n", "\\n"))
-    shown += [
+    parts.append(line["message"].replace("\r", "\\r").replace("\n", "\\n"))
+    parts += [
         f"{name}={json.dumps(value, ensure_ascii=False)}"
         for name, value in line.items()
-        if name not in head
+        if name not in leading_fields
     ]
-    return " ".join(shown)
+    return " ".join(parts)
--- a/src/topazlug/_settings.py
+++ b/src/topazlug/_settings.py
@@ -53,16 +53,16 @@
         If the file can't be read, is no YAML, or breaks the schema.
     """
     document = _read(path)
-    refusal = _Refusal(path=path, document=document)
+    error_builder = _ErrorBuilder(path=path, document=document)
     tree = document.tree
-    _refuse_odd_values(tree, (), refusal)
+    _check_raw_values(tree, (), error_builder)
     try:
         loaded = msgspec.convert(tree, settings.DaemonSettings, strict=True)
     except msgspec.ValidationError as error:
-        raise _explain(str(error), refusal) from None
-    _check_values(loaded, (), refusal)
-    _check_deadlines(loaded, refusal)
-    _check_otlp_endpoint(loaded, refusal)
+        raise _conversion_error(str(error), error_builder) from None
+    _check_values(loaded, (), error_builder)
+    _check_deadlines(loaded, error_builder)
+    _check_otlp_endpoint(loaded, error_builder)
     return loaded
 
 
@@ -73,7 +73,7 @@
 
 
 @final
-class _Refusal(msgspec.Struct, kw_only=True, frozen=True):
+class _ErrorBuilder(msgspec.Struct, kw_only=True, frozen=True):
     """Makes the errors of one file."""
 
     path: pathlib.Path
@@ -82,14 +82,14 @@
     def error(
         self, key: tuple[str, ...], *, expected: str, remedy: str
     ) -> _errors.SettingsInvalid:
-        found = self._shown(key)
+        found = self._format_value(key)
         return _invalid(
             self.path,
             f"{'.'.join(key) or 'the file'}: found {found}, "
             f"expected {expected}; {remedy}",
         )
 
-    def _shown(self, key: tuple[str, ...]) -> str:
+    def _format_value(self, key: tuple[str, ...]) -> str:
         value = _value_at(self.document.tree, key)
         # A refusal ends up in logs and tickets: a secret that is too short
         # or of the wrong type must not be printed with it.
@@ -110,8 +110,8 @@
         return shown
 
 
-def _invalid(path: pathlib.Path, what: str) -> _errors.SettingsInvalid:
-    return _errors.SettingsInvalid(f"{path}: {what}")
+def _invalid(path: pathlib.Path, problem: str) -> _errors.SettingsInvalid:
+    return _errors.SettingsInvalid(f"{path}: {problem}")
 
 
 @final
@@ -173,7 +173,7 @@
         loader = _Loader(text)
         tree = loader.get_single_data()
     except yaml.MarkedYAMLError as error:
-        raise _invalid(path, _explain_yaml(error)) from error
+        raise _invalid(path, _format_yaml_error(error)) from error
     except (yaml.YAMLError, ValueError, RecursionError) as error:
         raise _invalid(path, f"not YAML: {error}") from error
     return _Document(
@@ -182,7 +182,7 @@
     )
 
 
-def _explain_yaml(error: yaml.MarkedYAMLError) -> str:
+def _format_yaml_error(error: yaml.MarkedYAMLError) -> str:
     mark = error.problem_mark or error.context_mark
     problem = error.problem or error.context
     if mark is None:
@@ -190,48 +190,52 @@
     return f"line {mark.line + 1}, column {mark.column + 1}: {problem}"
 
 
-def _explain(text: str, refusal: _Refusal) -> _errors.SettingsInvalid:
+def _conversion_error(
+    text: str, error_builder: _ErrorBuilder
+) -> _errors.SettingsInvalid:
     """Turn a failure of the typed conversion into words of the file."""
     match = _FAILURE.match(text)
     if match is None:
-        return _invalid(refusal.path, text)
-    what = match["what"].replace("`", "")
+        return _invalid(error_builder.path, text)
+    problem = match["what"].replace("`", "")
     key = tuple(part for part in (match["path"] or "").split(".") if part)
-    unknown = _UNKNOWN.match(what)
+    unknown = _UNKNOWN.match(problem)
     if unknown is not None:
-        return _unknown_key(unknown["key"], key, refusal)
-    missing = _MISSING.match(what)
+        return _unknown_key(unknown["key"], key, error_builder)
+    missing = _MISSING.match(problem)
     if missing is not None:
-        return refusal.error(
+        return error_builder.error(
             (*key, missing["key"]),
             expected="a value, as the key is required",
             remedy=f"add it, {REFERENCE}",
         )
-    expected = _EXPECTED.match(what)
-    return refusal.error(
+    expected = _EXPECTED.match(problem)
+    return error_builder.error(
         key,
-        expected=(expected["expected"] if expected else _choices(what, key)),
+        expected=(
+            expected["expected"] if expected else _format_choices(problem, key)
+        ),
         remedy=f"correct it, {REFERENCE}",
     )
 
 
-def _choices(what: str, key: tuple[str, ...]) -> str:
+def _format_choices(problem: str, key: tuple[str, ...]) -> str:
     kind = _type_at(key)
     if isinstance(kind, enum.EnumMeta):
         names = [str(kind[name].value) for name in kind.__members__]
         return "one of " + ", ".join(names)
-    return what
+    return problem
 
 
 def _unknown_key(
-    name: str, section: tuple[str, ...], refusal: _Refusal
+    name: str, section: tuple[str, ...], error_builder: _ErrorBuilder
 ) -> _errors.SettingsInvalid:
     known = _known_keys(section)
     nearest = difflib.get_close_matches(name, known, n=1, cutoff=0.5)
     remedy = f"known here are {', '.join(known)}"
     if nearest:
         remedy = f"did you mean {nearest[0]!r}? {remedy}"
-    return refusal.error(
+    return error_builder.error(
         (*section, name), expected="no such key", remedy=remedy
     )
 
@@ -245,11 +249,11 @@
     kind: Any = settings.DaemonSettings
     for part in key:
         fields = {f.name: f.type for f in msgspec.structs.fields(kind)}
-        kind = _bare(fields[part])
+        kind = _without_none(fields[part])
     return kind
 
 
-def _bare(kind: Any) -> Any:
+def _without_none(kind: Any) -> Any:
     """Take ``| None`` off a type."""
     choices = [
         choice
@@ -267,37 +271,37 @@
     return tree
 
 
-def _refuse_odd_values(
-    value: Any, key: tuple[str, ...], refusal: _Refusal
+def _check_raw_values(
+    value: Any, key: tuple[str, ...], error_builder: _ErrorBuilder
 ) -> None:
     # ".inf" and ".nan" are numbers to YAML, and a bound compared with nan
     # never holds: a daemon would start with a timeout that never ends.
     if isinstance(value, float) and not math.isfinite(value):
-        raise refusal.error(
+        raise error_builder.error(
             key, expected="a finite number", remedy="write a plain number"
         )
     if isinstance(value, dict):
         for name, inner in value.items():
             if not isinstance(name, str):
-                raise refusal.error(
+                raise error_builder.error(
                     key,
                     expected=f"keys that are words, not {name!r}",
                     remedy=f"correct the key, {REFERENCE}",
                 )
-            _refuse_odd_values(inner, (*key, name), refusal)
+            _check_raw_values(inner, (*key, name), error_builder)
 
 
 def _check_values(
-    section: msgspec.Struct, key: tuple[str, ...], refusal: _Refusal
+    section: msgspec.Struct, key: tuple[str, ...], error_builder: _ErrorBuilder
 ) -> None:
     if isinstance(section, settings.AddressSettings):
-        _check_host(section, (*key, "host"), refusal)
+        _check_host(section, (*key, "host"), error_builder)
     if isinstance(section, settings.TlsSettings):
-        _check_files(section, key, refusal)
+        _check_files(section, key, error_builder)
     for field in msgspec.structs.fields(section):
         value = getattr(section, field.name)
         if isinstance(value, msgspec.Struct):
-            _check_values(value, (*key, field.name), refusal)
+            _check_values(value, (*key, field.name), error_builder)
 
 
 def _is_ip_number(text: str) -> bool:
@@ -311,10 +315,10 @@
 def _check_host(
     section: settings.AddressSettings,
     key: tuple[str, ...],
-    refusal: _Refusal,
+    error_builder: _ErrorBuilder,
 ) -> None:
     if not _is_ip_number(section.host):
-        raise refusal.error(
+        raise error_builder.error(
             key,
             expected="an IP number such as 10.0.0.7 or fd00::7",
             remedy="write the number: daemons look up no names, as a name "
@@ -325,12 +329,12 @@
 def _check_files(
     section: settings.TlsSettings,
     key: tuple[str, ...],
-    refusal: _Refusal,
+    error_builder: _ErrorBuilder,
 ) -> None:
     for field in msgspec.structs.fields(section):
         path = pathlib.Path(getattr(section, field.name))
         if not (path.is_file() and os.access(path, os.R_OK)):
-            raise refusal.error(
+            raise error_builder.error(
                 (*key, field.name),
                 expected="the path of a PEM file that can be read",
                 remedy="put the file there or correct the path",
@@ -338,11 +342,11 @@
 
 
 def _check_deadlines(
-    loaded: settings.DaemonSettings, refusal: _Refusal
+    loaded: settings.DaemonSettings, error_builder: _ErrorBuilder
 ) -> None:
     limits = loaded.limits
     if limits.default_deadline > limits.max_deadline:
-        raise refusal.error(
+        raise error_builder.error(
             ("limits", "default_deadline"),
             expected=f"at most limits.max_deadline, {limits.max_deadline}",
             remedy="lower the one or raise the other",
@@ -350,18 +354,20 @@
 
 
 def _check_otlp_endpoint(
-    loaded: settings.DaemonSettings, refusal: _Refusal
+    loaded: settings.DaemonSettings, error_builder: _ErrorBuilder
 ) -> None:
     endpoint = loaded.metrics.otlp_endpoint
     if not endpoint:
         return
     try:
         url = parse.urlsplit(endpoint)
-        good = url.scheme in OTLP_SCHEMES and _is_ip_number(url.hostname or "")
+        valid = url.scheme in OTLP_SCHEMES and _is_ip_number(
+            url.hostname or ""
+        )
     except ValueError:
-        good = False
-    if not good:
-        raise refusal.error(
+        valid = False
+    if not valid:
+        raise error_builder.error(
             ("metrics", "otlp_endpoint"),
             expected="a URL such as http://10.0.0.9:4318/v1/metrics, with an "
             "IP number",
--- a/src/topazlug/_tasks.py
+++ b/src/topazlug/_tasks.py
@@ -31,10 +31,10 @@
     gevent.Greenlet
         To be killed when the daemon stops.
     """
-    return gevent.spawn(_keep_running, task, clock)
+    return gevent.spawn(_run_forever, task, clock)
 
 
-def _keep_running(task: Callable[[], None], clock: _clock.Clock) -> None:
+def _run_forever(task: Callable[[], None], clock: _clock.Clock) -> None:
     while True:
         try:
             task()
--- a/src/topazlug/calls/_attempts.py
+++ b/src/topazlug/calls/_attempts.py
@@ -180,8 +180,8 @@
     ) -> _errors.TargetRefused:
         """Delay the caller's retry until a target of the group is usable."""
         wait = self._targets.seconds_until_usable(placement.target.group)
-        error.refused_for = wait or 0.0
-        error.retry_after = max(error.retry_after or 0.0, error.refused_for)
+        error.rejected_for = wait or 0.0
+        error.retry_after = max(error.retry_after or 0.0, error.rejected_for)
         return error
 
     def _allows_retry(
--- a/src/topazlug/capacity/_slot_key.py
+++ b/src/topazlug/capacity/_slot_key.py
@@ -9,4 +9,4 @@
     """The daemon that holds a slot, and the number it gave that slot."""
 
     daemon: _ids.DaemonId
-    ask: _ids.AskNumber
+    ask: _ids.AdmissionRequestId
--- a/src/topazlug/forwarding/_app.py
+++ b/src/topazlug/forwarding/_app.py
@@ -199,7 +199,7 @@
                 left = call.deadline - self._clock.monotonic()
                 longest = max(0.0, _owner_client.MAX_RETURN_FRACTION * left)
                 error.retry_after = max(
-                    min(error.retry_after, longest), error.refused_for
+                    min(error.retry_after, longest), error.rejected_for
                 )
             raise
         _log.info(
--- a/src/topazlug/placement/_view_admission.py
+++ b/src/topazlug/placement/_view_admission.py
@@ -84,7 +84,7 @@
         self._views.of_incarnation(target).in_flight += 1
         return _placement.Placement(
             target=target,
-            ask=_ids.AskNumber(next(self._numbers)),
+            ask=_ids.AdmissionRequestId(next(self._numbers)),
             owner=None,
             request=request,
             home=home,
--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -359,7 +359,7 @@
         self,
         request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
-        ask: _ids.AskNumber,
+        ask: _ids.AdmissionRequestId,
         owner: _ids.DaemonId | None,
         *,
         home: bool,
--- a/src/topazlug/routing/_admission_control.py
+++ b/src/topazlug/routing/_admission_control.py
@@ -162,7 +162,7 @@
         ledger: _ledger.ReplicaLedger,
         reply: _owner_replies.Reply,
     ) -> None:
-        key = _slot_key.SlotKey(sender, _ids.AskNumber(ask.ask))
+        key = _slot_key.SlotKey(sender, _ids.AdmissionRequestId(ask.ask))
         entry = _ledger.LedgerEntry(
             weight=ask.weight,
             team=_ids.TeamName(ask.team),
--- a/src/topazlug/routing/_held_placements.py
+++ b/src/topazlug/routing/_held_placements.py
@@ -80,8 +80,10 @@
         self._links = links
         self._clock = clock
         self._unconfirmed_until: dict[_ids.DaemonId, float] = {}
-        self.placement_by_ask: dict[_ids.AskNumber, _placement.Placement] = {}
-        self.pending_by_ask: dict[_ids.AskNumber, _ids.DaemonId] = {}
+        self.placement_by_ask: dict[
+            _ids.AdmissionRequestId, _placement.Placement
+        ] = {}
+        self.pending_by_ask: dict[_ids.AdmissionRequestId, _ids.DaemonId] = {}
 
     def load_by_replica(self) -> dict[_ids.ReplicaId, int]:
         """Return the load units held on each replica."""
@@ -98,7 +100,9 @@
         if placement.owner is not None:
             self.send_release(placement.owner, placement.ask)
 
-    def send_release(self, owner: _ids.DaemonId, ask: _ids.AskNumber) -> None:
+    def send_release(
+        self, owner: _ids.DaemonId, ask: _ids.AdmissionRequestId
+    ) -> None:
         """Tell an owner that an admitted or queued request has ended."""
         if owner == self._daemon:
             self._owner.release(self._daemon, [ask])
--- a/src/topazlug/routing/_ledger.py
+++ b/src/topazlug/routing/_ledger.py
@@ -378,8 +378,8 @@
     def reconcile(
         self,
         daemon: _ids.DaemonId,
-        held_by_ask: dict[_ids.AskNumber, messages.HeldPlace],
-        pending: set[_ids.AskNumber],
+        held_by_ask: dict[_ids.AdmissionRequestId, messages.HeldPlace],
+        pending: set[_ids.AdmissionRequestId],
         *,
         now: float,
     ) -> None:
--- a/src/topazlug/routing/_no_usable_replica.py
+++ b/src/topazlug/routing/_no_usable_replica.py
@@ -38,5 +38,5 @@
         f"all replicas of {request.group} are in backoff",
         retry_after=wait,
     )
-    error.refused_for = wait
+    error.rejected_for = wait
     return error
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -225,7 +225,7 @@
         """Release placements and queued requests of an entry daemon."""
         now = self._clock.monotonic()
         for ask in asks:
-            key = _slot_key.SlotKey(sender, _ids.AskNumber(ask))
+            key = _slot_key.SlotKey(sender, _ids.AdmissionRequestId(ask))
             ledger = self._find_ledger(key)
             if ledger is None:
                 continue
@@ -249,14 +249,14 @@
         """
         now = self._clock.monotonic()
         self._last_received_at[sender] = now
-        pending = {_ids.AskNumber(ask) for ask in renew.pending}
+        pending = {_ids.AdmissionRequestId(ask) for ask in renew.pending}
         held: dict[
-            _ids.ReplicaId, dict[_ids.AskNumber, messages.HeldPlace]
+            _ids.ReplicaId, dict[_ids.AdmissionRequestId, messages.HeldPlace]
         ] = {}
         for placement in renew.held:
             replica = _ids.ReplicaId(placement.replica)
             by_ask = held.setdefault(replica, {})
-            by_ask[_ids.AskNumber(placement.ask)] = placement
+            by_ask[_ids.AdmissionRequestId(placement.ask)] = placement
         for replica in held:
             if self._ownership.owner_of(replica) == self._daemon:
                 self._get_or_open_ledger(replica)
--- a/src/topazlug/routing/_owner_client.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -33,7 +33,7 @@
 class OwnerReply(NamedTuple):
     """An owner's reply to one admission request."""
 
-    ask: _ids.AskNumber
+    ask: _ids.AdmissionRequestId
     owner: _ids.DaemonId
     reply: messages.AdmitReply
 
@@ -95,9 +95,9 @@
         )
         self.unanswered_count = 0
 
-    def new_number(self) -> _ids.AskNumber:
+    def new_number(self) -> _ids.AdmissionRequestId:
         """Return the number for a new admission request."""
-        return _ids.AskNumber(next(self._numbers))
+        return _ids.AdmissionRequestId(next(self._numbers))
 
     def ask(
         self,
@@ -204,7 +204,7 @@
     def _skip_owner(
         self,
         owner: _ids.DaemonId,
-        ask: _ids.AskNumber,
+        ask: _ids.AdmissionRequestId,
         *,
         since: float,
         waited: bool,
--- a/src/topazlug/routing/_placement.py
+++ b/src/topazlug/routing/_placement.py
@@ -72,7 +72,7 @@
     ----------
     target : Target
         Replica to send the request to.
-    ask : AskNumber
+    ask : AdmissionRequestId
         Number of the admission request, under which the owner counts it.
     owner : DaemonId or None
         Daemon that counts it; None if it was placed without an owner.
@@ -90,7 +90,7 @@
         self,
         *,
         target: _targets.Target,
-        ask: _ids.AskNumber,
+        ask: _ids.AdmissionRequestId,
         owner: _ids.DaemonId | None,
         request: PlacementRequest,
         home: bool,
--- a/src/topazlug/routing/_policies.py
+++ b/src/topazlug/routing/_policies.py
@@ -185,7 +185,7 @@
         )
         return _placement.Placement(
             target=self._dependencies.targets.target_by_replica[replica],
-            ask=_ids.AskNumber(next(self._numbers)),
+            ask=_ids.AdmissionRequestId(next(self._numbers)),
             owner=None,
             request=request,
             home=False,
--- a/src/topazlug/routing/_routing_assembly.py
+++ b/src/topazlug/routing/_routing_assembly.py
@@ -7,7 +7,7 @@
 from typing import final
 
 from topazlug import _clock
-from topazlug import _fleet_parts
+from topazlug import _fleet_assembly
 from topazlug import _ids
 from topazlug import _logs
 from topazlug._generated import messages
@@ -46,7 +46,7 @@
     ----------
     settings : DaemonSettings
         Validated settings.
-    fleet : FleetParts
+    fleet : FleetAssembly
         Platform, membership and connections to peers.
     clock : Clock
         Source of time.
@@ -56,7 +56,7 @@
         self,
         *,
         settings: _settings_types.DaemonSettings,
-        fleet: _fleet_parts.FleetParts,
+        fleet: _fleet_assembly.FleetAssembly,
         clock: _clock.Clock,
     ) -> None:
         self._settings = settings
--- a/tests/topazlug/test_log_output.py
+++ b/tests/topazlug/test_log_output.py
@@ -10,8 +10,8 @@
 from tests.topazlug import routing_fixtures
 from topazlug import _log_output
 
-IMPORTANT = _log_output.Weight.IMPORTANT
-COMMON = _log_output.Weight.COMMON
+IMPORTANT = _log_output.LinePriority.IMPORTANT
+COMMON = _log_output.LinePriority.COMMON
 
 
 @pytest.fixture
@@ -28,25 +28,25 @@
 
 class TestBoundedOutput:
     def test_lines_arrive_in_order(self, pipe):
-        made = output(pipe[1], claim_fakes.FakeClock())
+        bounded_output = output(pipe[1], claim_fakes.FakeClock())
         for number in range(5):
-            made.write(f"line {number}", COMMON)
+            bounded_output.write(f"line {number}", COMMON)
         assert os.read(pipe[0], 1000) == b"".join(
             b"line %d\n" % number for number in range(5)
         )
 
-    def test_reader_that_stopped_blocks_nobody(self, pipe):
+    def test_output_does_not_block_when_nobody_reads(self, pipe):
         """Symptom: all requests hang when the collector of logs is stuck.
 
         Sequence: nobody reads the pipe, it fills. Cause: the next line is
         written with a blocking call.
         """
         clock = claim_fakes.FakeClock()
-        made = output(pipe[1], clock)
+        bounded_output = output(pipe[1], clock)
         for _ in range(3000):
             clock.advance(0.01)
-            made.write("x" * 999, COMMON)
-        assert made.dropped > 1000
+            bounded_output.write("x" * 999, COMMON)
+        assert bounded_output.dropped > 1000
         received = bytearray()
 
         def read():
@@ -57,22 +57,22 @@
         gevent.spawn(read).get(timeout=10)
         assert received.count(b"\n") >= 990
 
-    def test_failures_go_before_what_went_well(self, pipe):
-        made = output(pipe[1], claim_fakes.FakeClock())
+    def test_important_lines_are_kept_over_common_ones(self, pipe):
+        bounded_output = output(pipe[1], claim_fakes.FakeClock())
         for _ in range(2000):
-            made.write("well", COMMON)
-        before = made.dropped
+            bounded_output.write("well", COMMON)
+        before = bounded_output.dropped
         assert before
-        made.write("failed", IMPORTANT)
-        assert made.dropped == before
+        bounded_output.write("failed", IMPORTANT)
+        assert bounded_output.dropped == before
 
-    def test_dropped_lines_are_told(self, pipe):
+    def test_dropped_lines_are_reported(self, pipe):
         clock = claim_fakes.FakeClock()
-        made = output(pipe[1], clock)
+        bounded_output = output(pipe[1], clock)
         for _ in range(2000):
-            made.write("well", COMMON)
+            bounded_output.write("well", COMMON)
         clock.advance(2.0)
-        made.write("after", COMMON)
-        routing_fixtures.wait_until(lambda: made._writer is None)
-        told = os.read(pipe[0], 1_000_000).decode().splitlines()[-2]
-        assert f'"dropped": {made.dropped}' in told
+        bounded_output.write("after", COMMON)
+        routing_fixtures.wait_until(lambda: bounded_output._writer is None)
+        report = os.read(pipe[0], 1_000_000).decode().splitlines()[-2]
+        assert f'"dropped": {bounded_output.dropped}' in report
--- a/tests/topazlug/test_logs.py
+++ b/tests/topazlug/test_logs.py
@@ -34,8 +34,8 @@
     return read
 
 
-class TestLines:
-    def test_hold_time_level_logger_message_and_fields(self, lines):
+class TestLogLines:
+    def test_line_has_time_level_logger_message_and_fields(self, lines):
         log.info("peer {peer} left", peer="d2")
         (line,) = lines()
         when = datetime.datetime.fromisoformat(line.pop("time"))
@@ -48,22 +48,22 @@
             "peer": "d2",
         }
 
-    def test_hold_the_exception(self, lines):
+    def test_line_has_the_exception(self, lines):
         try:
             raise ValueError("odd")
         except ValueError:
             log.exception("failed")
         assert "ValueError: odd" in lines()[0]["exception"]
 
-    def test_come_from_libraries_too(self, lines):
+    def test_library_records_are_logged(self, lines):
         logging.getLogger("library").warning("slow %s", "disk")
         assert lines()[0]["message"] == "slow disk"
 
-    def test_are_left_out_below_the_level(self, lines):
+    def test_records_below_the_level_are_omitted(self, lines):
         log.debug("detail")
         assert lines() == []
 
-    def test_survive_a_message_that_does_not_fit_its_fields(self, lines):
+    def test_message_without_its_fields_is_logged_unformatted(self, lines):
         log.info("{missing}", other=1)
         assert "{missing}" in lines()[0]["message"]
 
@@ -72,17 +72,17 @@
         [settings.LogSettings(format=settings.LogFormat.text)],
         indirect=True,
     )
-    def test_of_text_are_one_each(self, handler, stream):
+    def test_text_format_escapes_line_breaks(self, handler, stream):
         log.info("first\nsecond", chat="a\nb")
         (line,) = stream.getvalue().splitlines()
         assert r'first\nsecond daemon="d1" chat="a\nb"' in line
 
 
-class TestWithheld:
+class TestRedaction:
     @pytest.mark.parametrize(
         "name", ["prompt", "messages", "api_key", "Authorization", "token"]
     )
-    def test_fields_never_reach_a_line(self, handler, stream, name):
+    def test_sensitive_fields_are_redacted(self, handler, stream, name):
         log.info("got {" + name + "}", **{name: "hush"})
         log.info("nested", request={"list": [{name: "hush"}]})
         log.info("extra", extra={name: "hush"})
@@ -91,17 +91,17 @@
         assert len(stream.getvalue().splitlines()) == 4
         assert "hush" not in stream.getvalue()
 
-    def test_bearer_tokens_never_reach_a_line(self, handler, stream):
+    def test_bearer_tokens_are_redacted(self, handler, stream):
         log.info("head was Authorization: Bearer hush", why="bearer hush")
         assert "hush" not in stream.getvalue()
 
-    def test_objects_are_shown_by_type(self, lines):
+    def test_objects_are_logged_by_type(self, lines):
         log.info("object", held=settings.PeerSettings(secret="hush" * 4))
         assert lines()[0]["held"] == "<PeerSettings>"
 
 
 class TestRequestFields:
-    def test_nest(self, lines):
+    def test_blocks_nest(self, lines):
         with _logs.request_fields(request_id="r1", team="acme"):
             with _logs.request_fields(replica="e1"):
                 log.info("inner")
@@ -112,7 +112,7 @@
         assert outer["team"] == "acme" and "replica" not in outer
         assert "request_id" not in none
 
-    def test_stay_in_their_greenlet(self, lines):
+    def test_fields_are_local_to_a_greenlet(self, lines):
         """Lines that name another caller's request.
 
         Symptom: a search by request id shows another team's lines.
@@ -130,7 +130,7 @@
         assert len(lines()) == 6
         assert all(line["request_id"] == line["mine"] for line in lines())
 
-    def test_can_be_handed_to_another_greenlet(self, lines):
+    def test_fields_can_be_passed_to_another_greenlet(self, lines):
         def work(fields):
             with _logs.request_fields(**fields):
                 log.info("helper")
@@ -139,7 +139,7 @@
             gevent.spawn(work, _logs.current_fields()).join()
         assert lines()[0]["request_id"] == "r1"
 
-    def test_survive_a_generator_closed_elsewhere(self, lines):
+    def test_generator_closed_in_another_greenlet(self, lines):
         """A greenlet that loses its fields to another's garbage.
 
         Symptom: lines without a request id. Sequence: a response generator
--- a/tests/topazlug/test_settings.py
+++ b/tests/topazlug/test_settings.py
@@ -28,7 +28,7 @@
     return tmp_path / "d1.yaml"
 
 
-def refusal_of(path: pathlib.Path, text: str) -> str:
+def load_error(path: pathlib.Path, text: str) -> str:
     path.write_text(text)
     with pytest.raises(_errors.SettingsInvalid) as caught:
         _settings.load(path)
@@ -36,18 +36,18 @@
 
 
 class TestLoad:
-    def test_gives_what_is_written_and_the_defaults(self, path):
+    def test_returns_file_values_and_defaults(self, path):
         path.write_text(GOOD)
         loaded = _settings.load(path)
         assert loaded.routing.bound == 1.25
         assert loaded.routing.policy is settings.RoutingPolicy.owners
 
-    def test_takes_a_string_from_the_environment(self, path):
+    def test_reads_a_string_from_the_environment(self, path):
         path.write_text(GOOD)
         assert _settings.load(path).peers.secret == SECRET
 
 
-class TestRefusal:
+class TestInvalidSettings:
     @pytest.mark.parametrize(
         "old, new, parts",
         [
@@ -81,39 +81,41 @@
             ),
         ],
     )
-    def test_names_file_key_found_and_expected(self, path, old, new, parts):
+    def test_error_names_file_key_value_and_expectation(
+        self, path, old, new, parts
+    ):
         assert old in GOOD
-        message = refusal_of(path, GOOD.replace(old, new, 1))
+        message = load_error(path, GOOD.replace(old, new, 1))
         for part in [str(path), *parts]:
             assert part in message
 
-    def test_of_a_host_name_says_why(self, path):
+    def test_host_name_is_rejected_with_the_reason(self, path):
         """A daemon that can't start while the name service is down.
 
         Symptom: daemons don't reach the table after a restart. Sequence: the
         settings name a host; the name service lags; the look-up hangs.
         Cause: a name where the platform promises only IP numbers.
         """
-        message = refusal_of(path, GOOD.replace("127.0.0.1", "tables.local"))
+        message = load_error(path, GOOD.replace("127.0.0.1", "tables.local"))
         assert "'tables.local'" in message
         assert "look up no names" in message
 
     @pytest.mark.parametrize("secret", ["hunter2", "[hunter2]"])
-    def test_never_shows_a_secret(self, path, secret):
-        message = refusal_of(path, GOOD.replace("!env FLEET_SECRET", secret))
+    def test_secrets_are_not_shown(self, path, secret):
+        message = load_error(path, GOOD.replace("!env FLEET_SECRET", secret))
         assert "peers.secret" in message
         assert "hunter2" not in message
 
-    def test_never_shows_a_value_from_the_environment(self, path):
-        message = refusal_of(path, GOOD.replace("1.25", "!env FLEET_SECRET"))
+    def test_values_from_the_environment_are_not_shown(self, path):
+        message = load_error(path, GOOD.replace("1.25", "!env FLEET_SECRET"))
         assert SECRET not in message
 
     @pytest.mark.parametrize("content", [b"", b"\xff\xfe", b"- 1", b"\0"])
-    def test_of_what_is_no_settings_file(self, path, content):
+    def test_file_without_settings(self, path, content):
         path.write_bytes(content)
         with pytest.raises(_errors.SettingsInvalid):
             _settings.load(path)
 
-    def test_of_a_missing_file(self, path):
+    def test_missing_file(self, path):
         with pytest.raises(_errors.SettingsInvalid, match="No such file"):
             _settings.load(path)
--- a/tests/topazlug/test_tasks.py
+++ b/tests/topazlug/test_tasks.py
@@ -9,7 +9,7 @@
 
 class TestSpawn:
     @pytest.mark.parametrize("fails", [True, False])
-    def test_ended_task_runs_again(self, fails):
+    def test_task_that_ends_is_restarted(self, fails):
         """Symptom: a daemon's counts grow wrong, and no log says why.
 
         Sequence: one renewal meets an error nobody expected. Cause: the
