--- a/src/topazlug/__init__.py
+++ b/src/topazlug/__init__.py
@@ -1,7 +1,7 @@
-"""A router fleet for very many returning chats.
+"""A fleet of routers for very many returning chats.
 
-The package ships two programs: ``topazlugd``, the daemon, and ``topazlug``,
-the operators' command line. All other modules are private.
+The package provides two programs: ``topazlugd``, the daemon, and
+``topazlug``, the operators' command line. All modules are private.
 """
 
 __version__ = "0.1.0"
--- a/src/topazlug/_clock.py
+++ b/src/topazlug/_clock.py
@@ -1,4 +1,4 @@
-"""The clock as an interface, so that tests decide what time it is."""
+"""The clock as an interface, so that tests can control time."""
 
 import datetime
 import time
@@ -9,13 +9,13 @@
 
 
 class Clock(Protocol):
-    """What the program asks of time."""
+    """Source of time."""
 
     def now(self) -> datetime.datetime:
-        """Give the wall time in UTC."""
+        """Return the wall time in UTC."""
 
     def monotonic(self) -> float:
-        """Give seconds that never run backwards, from any origin."""
+        """Return seconds since any origin; they never decrease."""
 
     def sleep(self, seconds: float) -> None:
         """Let other greenlets run for this many seconds."""
@@ -23,14 +23,14 @@
 
 @final
 class SystemClock:
-    """The machine's own clock."""
+    """The system clock."""
 
     def now(self) -> datetime.datetime:
-        """Give the wall time in UTC."""
+        """Return the wall time in UTC."""
         return datetime.datetime.now(datetime.timezone.utc)
 
     def monotonic(self) -> float:
-        """Give seconds since the machine's boot."""
+        """Return seconds since the machine's boot."""
         return time.monotonic()
 
     def sleep(self, seconds: float) -> None:
--- a/src/topazlug/_daemon.py
+++ b/src/topazlug/_daemon.py
@@ -1,4 +1,4 @@
-"""One daemon: its parts, put together, started and stopped."""
+"""Assembles the objects of one daemon, and starts and stops them."""
 
 from collections.abc import Callable
 from typing import final
@@ -45,14 +45,14 @@
 
 @final
 class Daemon:
-    """One instance of the fleet.
+    """One daemon of the fleet.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Checked settings.
+        Validated settings.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -112,8 +112,8 @@
             clock=self.clock,
             count_retry=self._count_retry,
         )
-        # Claims have connections of their own: a burst of them must not
-        # keep the table's own reads waiting, nor the other way round.
+        # Claims have connections of their own, so that a burst of claims
+        # doesn't delay reads of the table, nor the other way round.
         claim_store = self.fleet.new_store()
         self.claim_sweeper = _claim_sweep.ClaimSweeper(
             store=claim_store,
@@ -198,7 +198,7 @@
         )
 
     def start(self) -> None:
-        """Start everything; callers are taken at once."""
+        """Start all tasks and servers; callers are accepted at once."""
         self.routing.connect()
         self._register_metrics()
         self.fleet.start()
@@ -219,7 +219,7 @@
         self._greenlets.append(_tasks.spawn(function, clock=self.clock))
 
     def is_ready(self) -> bool:
-        """Say whether the balancer may send callers here."""
+        """Return whether the load balancer may send callers here."""
         if self.stopping or self.fleet.configuration.current is None:
             return False
         return self.fleet.instances.refreshed_at is not None
@@ -259,17 +259,18 @@
         watch(_metrics.Total.PAUSES, lambda: self.fleet.membership.pause_count)
 
     def stop(self) -> None:
-        """Stop as planned: cut off nothing that is in progress.
+        """Stop gracefully: requests in progress are completed.
 
-        First this daemon says that it is not ready and takes no new
-        connections; a request on a connection that is already open is still
-        served, and its answer closes the connection. Peers take over what
-        it owns. When all requests have ended it goes.
+        The daemon first reports that it is not ready and accepts no new
+        connections. A request on an open connection is still served, and the
+        connection is closed after its answer. Peers take over the replicas
+        that this daemon owns. When all requests have ended, or after the
+        ``stop_grace`` setting, the daemon stops.
         """
         if self.stopping:
             return
         self.stopping = True
-        _log.info("stopping; {n} in progress", n=self.app.in_progress)
+        _log.info("stopping; {n} requests in progress", n=self.app.in_progress)
         self.callers.stopping = True
         self._accept_pending_connections()
         self.callers.close()
@@ -280,18 +281,18 @@
         self.halt()
 
     def _accept_pending_connections(self) -> None:
-        """Accept what has connected, before the listener closes.
+        """Accept pending connections before the listener is closed.
 
-        The kernel resets connections that wait in the listener's queue when
-        it closes. Callers have sent their requests on them, and would see
-        them break without any answer.
+        When the listener closes, the kernel resets the connections in its
+        queue. Callers may have sent requests on them, and would get no
+        answer.
         """
         self.callers.stop_accepting()
         while accepted := self.callers.do_read():
             self.callers.do_handle(*accepted)
 
     def _wait_for_requests(self) -> None:
-        """Wait until nothing runs and nothing new came for a moment."""
+        """Wait until no request has been in progress for a moment."""
         deadline = self.clock.monotonic() + self.settings.limits.stop_grace
         idle_since: float | None = None
         while self.clock.monotonic() < deadline:
@@ -305,7 +306,7 @@
             gevent.sleep(_POLL_SECONDS)
 
     def halt(self) -> None:
-        """End all greenlets and connections at once."""
+        """Stop all greenlets and close all connections at once."""
         self.callers.stop(timeout=0)
         self.administration.stop(timeout=0)
         gevent.killall(self._greenlets, block=False)
--- a/src/topazlug/_daemon_command.py
+++ b/src/topazlug/_daemon_command.py
@@ -3,8 +3,8 @@
 import gevent
 from gevent import monkey
 
-# The brief forbids io_uring, and gevent's event loop would use it where an
-# environment variable says so.
+# io_uring must not be used, and gevent's event loop would use it if an
+# environment variable requests it.
 gevent.config.loop = "libev-cext"
 gevent.config.libev_backend = "epoll"
 monkey.patch_all()
--- a/src/topazlug/_errors.py
+++ b/src/topazlug/_errors.py
@@ -1,7 +1,7 @@
-"""Every failure that crosses a module's edge, each with a stable code.
+"""Exceptions that modules raise to each other, each with a stable code.
 
-The codes are part of the callers' and operators' interface: once shipped, a
-code keeps its meaning.
+The codes are part of the interface for callers and operators. The meaning of
+a released code must not change.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class Outcome(enum.Enum):
-    """What is known about whether a request ran at a target."""
+    """Whether a request ran at a target, as far as known."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
@@ -18,7 +18,7 @@
 
 
 class Code(enum.Enum):
-    """Stable codes of errors."""
+    """Stable error codes."""
 
     BAD_KEY = "invalid_api_key"
     BAD_TOKEN = "invalid_operator_token"
@@ -60,12 +60,12 @@
 
 
 class TopazlugError(Exception):
-    """Root of all failures of this program.
+    """Base class of all exceptions of this program.
 
     Parameters
     ----------
     message : str
-        What happened, with the offending value, and what helps.
+        What happened, with the offending value, and the remedy.
     """
 
     code = Code.INTERNAL
@@ -77,21 +77,21 @@
 
 
 class RequestError(TopazlugError):
-    """A caller's request that gets no answer from a target.
+    """A caller's request got no answer from a target.
 
     Parameters
     ----------
     message : str
-        What happened, for the caller to read.
+        What happened, as shown to the caller.
     outcome : Outcome
         Whether the request may have run.
     retry_after : float or None
-        Seconds after which a repeat makes sense.
+        Seconds after which a retry may succeed.
 
     Attributes
     ----------
     rejected_for : float
-        Seconds for which a repeat is sure to be refused as well.
+        Seconds for which a retry would certainly be rejected too.
     """
 
     def __init__(
@@ -109,7 +109,7 @@
 
 @final
 class BadKey(RequestError):
-    """No team holds the API key."""
+    """The API key belongs to no team."""
 
     code = Code.BAD_KEY
     status = HTTPStatus.UNAUTHORIZED
@@ -125,7 +125,7 @@
 
 @final
 class BadBody(RequestError):
-    """The body is not what the interface asks for."""
+    """The body does not conform to the interface."""
 
     code = Code.BAD_BODY
     status = HTTPStatus.BAD_REQUEST
@@ -133,7 +133,7 @@
 
 @final
 class BodyTooLarge(RequestError):
-    """The body passes the bound on its size."""
+    """The body exceeds the size limit."""
 
     code = Code.BODY_TOO_LARGE
     status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
@@ -149,7 +149,7 @@
 
 @final
 class BadHeader(RequestError):
-    """A header's value is not understood."""
+    """A header has an invalid value."""
 
     code = Code.BAD_HEADER
     status = HTTPStatus.BAD_REQUEST
@@ -165,7 +165,7 @@
 
 @final
 class UnknownService(RequestError):
-    """No such plain service."""
+    """No plain service has this name."""
 
     code = Code.UNKNOWN_SERVICE
     status = HTTPStatus.NOT_FOUND
@@ -181,7 +181,7 @@
 
 @final
 class BadMethod(RequestError):
-    """The path knows no such method."""
+    """The path does not support the method."""
 
     code = Code.BAD_METHOD
     status = HTTPStatus.METHOD_NOT_ALLOWED
@@ -189,7 +189,7 @@
 
 @final
 class KeyRequired(RequestError):
-    """The service's row demands an Idempotency-Key."""
+    """The service's row requires an Idempotency-Key."""
 
     code = Code.KEY_REQUIRED
     status = HTTPStatus.BAD_REQUEST
@@ -197,7 +197,7 @@
 
 @final
 class KeyReused(RequestError):
-    """The Idempotency-Key came before with another request."""
+    """The Idempotency-Key was used before for another request."""
 
     code = Code.KEY_REUSED
     status = HTTPStatus.UNPROCESSABLE_ENTITY
@@ -205,7 +205,7 @@
 
 @final
 class KeyInUse(RequestError):
-    """The claimed request has no answer kept: in progress, or unknown."""
+    """The claimed request is in progress, or its outcome is unknown."""
 
     code = Code.KEY_IN_USE
     status = HTTPStatus.CONFLICT
@@ -213,7 +213,7 @@
 
 @final
 class Overloaded(RequestError):
-    """No place is free and none will be before the deadline."""
+    """No slot is free, or will be free before the deadline."""
 
     code = Code.OVERLOADED
     status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -221,7 +221,7 @@
 
 @final
 class RequestBlocked(RequestError):
-    """Replicas crash when they run the request, so none gets it."""
+    """The request is blocked, as replicas that ran it crashed."""
 
     code = Code.REQUEST_BLOCKED
     status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -229,7 +229,7 @@
 
 @final
 class NotBlocked(TopazlugError):
-    """The request that is to be released is not blocked."""
+    """The request to release is not blocked."""
 
     code = Code.NOT_BLOCKED
     status = HTTPStatus.NOT_FOUND
@@ -237,7 +237,7 @@
 
 @final
 class TeamCeiling(RequestError):
-    """The team uses all that its row allows."""
+    """The team has reached the limits of its row."""
 
     code = Code.TEAM_CEILING
     status = HTTPStatus.TOO_MANY_REQUESTS
@@ -253,7 +253,7 @@
 
 @final
 class TargetRefused(RequestError):
-    """The target said that it did not run the request."""
+    """The target reported that it did not run the request."""
 
     code = Code.TARGET_REFUSED
     status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -269,7 +269,7 @@
 
 @final
 class TargetTruncated(RequestError):
-    """The target's answer ended before it was whole."""
+    """The target's answer ended before it was complete."""
 
     code = Code.TARGET_TRUNCATED
     status = HTTPStatus.BAD_GATEWAY
@@ -277,7 +277,7 @@
 
 @final
 class TargetSilent(RequestError):
-    """The target said nothing for too long."""
+    """The target sent nothing for too long."""
 
     code = Code.TARGET_SILENT
     status = HTTPStatus.GATEWAY_TIMEOUT
@@ -285,7 +285,7 @@
 
 @final
 class DeadlineExceeded(RequestError):
-    """The request's own deadline passed."""
+    """The request's deadline passed."""
 
     code = Code.DEADLINE
     status = HTTPStatus.GATEWAY_TIMEOUT
@@ -301,7 +301,7 @@
 
 @final
 class StoreUnavailable(RequestError):
-    """The platform's service did not answer, or said that it can't."""
+    """The platform's service did not answer, or rejected the request."""
 
     code = Code.STORE_UNAVAILABLE
     status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -309,7 +309,7 @@
 
 @final
 class StoreAmbiguous(TopazlugError):
-    """The answer to a write was lost: it may or may not have taken effect."""
+    """The answer to a write was lost, so it may have taken effect."""
 
     code = Code.STORE_UNAVAILABLE
     status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -317,35 +317,35 @@
 
 @final
 class SettingsInvalid(TopazlugError):
-    """A settings file that can't be used."""
+    """The settings file is invalid."""
 
     code = Code.SETTINGS_INVALID
 
 
 @final
 class PeerUnreachable(TopazlugError):
-    """No answer from a peer."""
+    """The peer is unreachable or did not answer."""
 
     code = Code.PEER_UNREACHABLE
 
 
 @final
 class PeerRefused(TopazlugError):
-    """A peer did not prove who it is."""
+    """The peer failed to authenticate itself."""
 
     code = Code.PEER_REFUSED
 
 
 @final
 class PeerMessageInvalid(TopazlugError):
-    """A frame that is no message of ours."""
+    """A frame is not a valid message, or is too large."""
 
     code = Code.PEER_MESSAGE_INVALID
 
 
 @final
 class AnswerNotKept(RequestError):
-    """The claimed request ran, and its answer can't be given again."""
+    """The claimed request ran, but its answer is not available."""
 
     code = Code.ANSWER_NOT_KEPT
     status = HTTPStatus.CONFLICT
@@ -353,6 +353,6 @@
 
 @final
 class ClaimEnded(TopazlugError):
-    """A claim was used after its release, finish or abandonment."""
+    """A claim was used after it had been released or had ended."""
 
     code = Code.CLAIM_ENDED
--- a/src/topazlug/_fleet_assembly.py
+++ b/src/topazlug/_fleet_assembly.py
@@ -1,4 +1,4 @@
-"""A daemon's view of the platform and of its peers, put together."""
+"""Assembles a daemon's connections to the platform and to its peers."""
 
 import random
 from typing import final
@@ -23,14 +23,14 @@
 
 @final
 class FleetAssembly:
-    """Clients of the platform, streams to peers, members and the table.
+    """Clients of the platform, links to peers, membership and the table.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Checked settings.
+        Validated settings.
     clock : Clock
-        Time.
+        Source of time.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         )
 
     def new_store(self) -> _table_client.TableClient:
-        """Make a client of the table service with its own connections."""
+        """Return a new client of the table service with own connections."""
         platform = self._settings.platform
         return _table_client.TableClient(
             host=platform.tables.host,
@@ -130,10 +130,11 @@
         )
 
     def reachable_fraction(self) -> float:
-        """Give which part of the fleet is on this side of a cut.
+        """Return the fraction of the fleet that this daemon can reach.
 
-        A daemon that is silent but still on the platform's list may run on
-        the other side; one that failed for good leaves the list.
+        An unreachable daemon that is still on the platform's list may be
+        running on the other side of a network partition. One that failed
+        permanently disappears from the list.
         """
         usable = self.membership.usable()
         listed = self.instances.instances_by_id
@@ -148,22 +149,24 @@
         return len(usable) / max(1, len(usable) + len(unreachable))
 
     def start(self) -> None:
-        """Register, and follow the list, the members and the table."""
+        """Register, and start to follow the list, members and the table."""
         self.instances.register(self._own_instance())
         self.instances.start()
         self.membership.start()
         self.follower.start()
 
     def leave(self) -> None:
-        """Tell peers and the platform that this daemon goes."""
+        """Announce to peers and the platform that this daemon is leaving."""
         self.membership.announce_leaving()
         try:
             self.instances.unregister(self.daemon_id)
         except _errors.TopazlugError as error:
-            _log.warning("still on the list: {why}", why=error.message)
+            _log.warning(
+                "not removed from the instance list: {why}", why=error.message
+            )
 
     def stop(self) -> None:
-        """End all connections and greenlets."""
+        """Stop all greenlets and close all connections."""
         self.follower.stop()
         self.membership.stop()
         self.instances.stop()
--- a/src/topazlug/_ids.py
+++ b/src/topazlug/_ids.py
@@ -1,4 +1,4 @@
-"""Types of the names that the program passes around."""
+"""Types of identifiers."""
 
 from typing import NewType
 
--- a/src/topazlug/_lazy_module.py
+++ b/src/topazlug/_lazy_module.py
@@ -1,8 +1,8 @@
 """Modules that are imported when they are first used.
 
-A daemon that starts after a loss of power keeps callers waiting until it
-listens. What only a scrape of its metrics needs is left for then: 0.10 of
-0.39 s of processor time until it listens.
+After a power failure, callers wait until the daemon listens. Importing the
+modules that only a scrape of its metrics needs would take 0.10 s of the 0.39 s
+of processor time until then, so they are imported at the first scrape.
 """
 
 import importlib
@@ -12,7 +12,7 @@
 
 @final
 class LazyModule:
-    """Stands for a module until one of its names is asked for."""
+    """Imports a module when one of its attributes is first used."""
 
     def __init__(self, name: str) -> None:
         self._name = name
--- a/src/topazlug/_log_output.py
+++ b/src/topazlug/_log_output.py
@@ -1,8 +1,7 @@
-"""Where log lines go: bounded in rate and memory, and never waited for.
+"""Non-blocking output of log lines, bounded in rate and memory.
 
-A reader of standard output that stops, as a full pipe or a stuck collector,
-would otherwise block the whole daemon at its next line, and with it all
-requests.
+If the reader of the output stops reading, such as a collector that hangs, a
+blocking write of the next line would block the daemon and all its requests.
 """
 
 import collections
@@ -17,12 +16,12 @@
 
 from topazlug import _clock
 
-# Lines and bytes a second that one daemon may write. A busy day of 12
-# requests a second writes about 40 lines and 16 KB.
+# Maximum rates of one daemon. At 12 requests per second, as on a busy day, it
+# writes about 40 lines and 16 KB per second.
 _LINES_PER_SECOND = 400.0
 _BYTES_PER_SECOND = 200_000.0
-# Lines of failures and warnings may use what is saved up over so long;
-# others stop when half of it is gone.
+# The burst is the output allowed in this time. Important lines may use all of
+# it, common lines only half.
 _BURST_SECONDS = 2.0
 _COMMON_FRACTION = 0.5
 _MAX_PENDING_BYTES = 1_000_000
@@ -30,14 +29,14 @@
 
 
 class LinePriority(enum.Enum):
-    """How much a line matters when not all can be written."""
+    """Priority of a line when not all lines can be written."""
 
     COMMON = "common"
     IMPORTANT = "important"
 
 
 class _TokenBucket:
-    """A rate with a burst."""
+    """Limits a rate, with a burst; important lines may use all of it."""
 
     def __init__(self, rate: float, clock: _clock.Clock) -> None:
         self._rate = rate
@@ -66,19 +65,19 @@
 
 @final
 class BoundedOutput:
-    """A file descriptor that takes lines without ever blocking.
+    """Writes lines to a file descriptor without blocking.
 
     Parameters
     ----------
     descriptor : int
-        Where lines go; it is switched to non-blocking mode.
+        Destination of the lines; it is switched to non-blocking mode.
     clock : Clock
-        Time.
+        Source of monotonic time.
 
     Attributes
     ----------
     dropped : int
-        Lines that were left out so far.
+        Number of lines dropped so far.
     """
 
     def __init__(self, *, descriptor: int, clock: _clock.Clock) -> None:
@@ -95,7 +94,7 @@
         _gevent_os.make_nonblocking(descriptor)
 
     def write(self, line: str, priority: LinePriority) -> None:
-        """Take one line, or count it as dropped."""
+        """Write one line, or drop and count it."""
         data = line.encode("utf-8", "replace") + b"\n"
         if not self._admits(data, priority):
             self.dropped += 1
@@ -117,7 +116,7 @@
         return True
 
     def _report_drops(self) -> None:
-        """Say once a second at most how many lines are missing."""
+        """Log the number of dropped lines, at most once per second."""
         if self.dropped == self._reported_drops:
             return
         now = self._clock.monotonic()
@@ -139,7 +138,7 @@
             self._writer = gevent.spawn(self._write_when_ready)
 
     def _try_write(self) -> bool:
-        """Write what goes out at once; tell whether that was all."""
+        """Write without blocking; return whether nothing is pending."""
         while self._pending:
             data = self._pending[0]
             try:
@@ -147,7 +146,7 @@
             except OSError as error:
                 if error.errno in (errno.EAGAIN, errno.EINTR):
                     return False
-                # Nobody reads any more: lines have nowhere to go.
+                # The reader has closed its end, so no line can be written.
                 self.dropped += len(self._pending)
                 self._pending.clear()
                 self._pending_bytes = 0
--- a/src/topazlug/_logs.py
+++ b/src/topazlug/_logs.py
@@ -1,8 +1,8 @@
 """Structured logs on standard error, one line per record.
 
-Fields are given by name, as in ``log.info("peer left", peer=name)``, and
-appear both in the line's fields and in the message where it says ``{peer}``.
-Fields of the request in progress are attached to every line of its greenlet.
+Fields are passed by name, as in ``log.info("{peer} left", peer=name)``. They
+appear in the line's fields and replace placeholders in the message. Fields of
+the request in progress are attached to every line of its greenlet.
 """
 
 import contextvars
@@ -26,8 +26,8 @@
 MAX_FIELD_CHARACTERS = 1000
 MAX_MESSAGE_CHARACTERS = 4000
 WITHHELD = "[withheld]"
-# What callers say and what lets somebody in. A field so named is dropped
-# whatever it holds: logs are copied to places with other readers.
+# Names of fields that hold content of callers or credentials. They are
+# omitted whatever their value, as others can read copies of the logs.
 WITHHELD_FIELDS = frozenset(
     {
         "answer",
@@ -61,7 +61,7 @@
 
 
 def logger(name: str) -> logbook.Logger:
-    """Give the logger of a module.
+    """Return the logger of a module.
 
     Parameters
     ----------
@@ -71,7 +71,7 @@
     Returns
     -------
     logbook.Logger
-        The same one for the same name.
+        Always the same logger for the same name.
     """
     found = _LOGGERS_BY_NAME.get(name)
     if found is None:
@@ -85,14 +85,14 @@
 class request_fields:
     """Attach fields to each line logged inside the ``with`` block.
 
-    A greenlet started inside it has none of them; where it works for the
-    same request, open a block there with ``**current_fields()``.
+    A greenlet started inside the block doesn't inherit them. If it works for
+    the same request, open a block in it with ``**current_fields()``.
 
     Parameters
     ----------
     **fields
-        Such as ``request_id``, ``team``, ``chat``, ``replica``. Blocks nest;
-        an inner value goes before an outer one.
+        Such as ``request_id``, ``team``, ``chat``, ``replica``. Blocks nest,
+        and inner values override outer ones.
     """
 
     __slots__ = ("_fields", "_token")
@@ -108,14 +108,14 @@
         try:
             _FIELDS.reset(self._token)
         except ValueError:
-            # A response generator that nobody exhausted is closed by the
-            # garbage collector in any greenlet. Its own context is gone;
-            # the other greenlet's fields must stay as they are.
+            # The garbage collector may close an unfinished response
+            # generator in any greenlet. The generator's own context is gone
+            # then, and the fields of the current greenlet must not change.
             pass
 
 
 def current_fields() -> dict[str, Any]:
-    """Give the fields attached in this greenlet, to hand to another."""
+    """Return this greenlet's fields, to attach them in another."""
     return dict(_FIELDS.get())
 
 
@@ -131,22 +131,23 @@
     Parameters
     ----------
     log_settings : settings.LogSettings
-        Format and least level.
+        Format and minimum level.
     daemon_id : DaemonId
-        Named on each line.
+        Shown on each line.
     stream : TextIO or None
-        Where lines go instead of standard error.
+        Destination of the lines in place of standard error.
     output : BoundedOutput or None
-        Where they go instead of a stream; warnings go before other lines.
+        Destination in place of a stream. It prefers warnings and errors if
+        it can't write all lines.
 
     Returns
     -------
     logbook.Handler
-        The handler in force; ``pop_application`` takes it out again.
+        The active handler; ``pop_application`` removes it.
     """
     level = logbook.lookup_level(log_settings.level.value.upper())
-    # The loggers' own level, not the handler's: a logger below it returns
-    # before a record is made.
+    # With the level set on the loggers, not only on the handler, no record is
+    # created for a line below it.
     _GROUP.level = level
     handler: logbook.Handler = (
         logbook.StreamHandler(stream or sys.stderr, level=level)
@@ -163,7 +164,7 @@
 
 @final
 class _OutputHandler(logbook.Handler):  # type: ignore[misc]
-    """Hands rendered lines to a bounded output."""
+    """Writes formatted lines to a bounded output."""
 
     def __init__(
         self, output: _log_output.BoundedOutput, *, level: int
@@ -181,7 +182,7 @@
 
 @final
 class _StandardLoggingRedirect(compat.RedirectLoggingHandler):
-    """Takes in what libraries log, without the internals of the record."""
+    """Handles records of libraries, without the record's internals."""
 
     def find_extra(self, old_record: logging.LogRecord) -> dict[str, Any]:
         return {}
@@ -210,7 +211,7 @@
         fields = dict(_FIELDS.get())
         fields.update(record.extra)
         fields.update(record.kwargs)
-        # Before the message is built from them, as it may quote a field.
+        # The message is built from these fields, so they are redacted first.
         record.kwargs = _sanitize_fields(record.kwargs)
         line: dict[str, Any] = {
             "time": _rfc3339(record.time),
@@ -234,8 +235,8 @@
     try:
         message = record.message
     except Exception as error:
-        # A message whose braces don't fit its fields must not take down the
-        # request that logs it; the raw template still says where it was.
+        # A message whose placeholders don't match its fields must not fail
+        # the request that logs it. The template still shows its origin.
         message = f"{record.msg} [not formatted: {type(error).__name__}]"
     return _redact_and_truncate(str(message), MAX_MESSAGE_CHARACTERS)
 
@@ -263,7 +264,7 @@
 
 
 def _sanitize_value(value: Any) -> Any:
-    """Give what a line may show of a value."""
+    """Return what a line may show of a value."""
     if isinstance(value, enum.Enum):
         return _sanitize_value(value.value)
     if value is None or isinstance(value, (bool, int, float)):
@@ -278,7 +279,7 @@
         return {str(k): v for k, v in _sanitize_fields(value).items()}
     if isinstance(value, (list, tuple, set, frozenset)):
         return [_sanitize_value(inner) for inner in value]
-    # The text form of an unknown object may hold a prompt or a key.
+    # The string form of an unknown object may contain a prompt or a key.
     return f"<{type(value).__name__}>"
 
 
@@ -289,7 +290,7 @@
 def _render_text(line: dict[str, Any]) -> str:
     leading_fields = ("time", "level", "logger", "message")
     parts = [str(line[name]) for name in leading_fields[:-1]]
-    # A line break that came from a caller would pass for a record.
+    # An unescaped line break from a caller could forge a record.
     parts.append(line["message"].replace("\r", "\\r").replace("\n", "\\n"))
     parts += [
         f"{name}={json.dumps(value, ensure_ascii=False)}"
--- a/src/topazlug/_settings.py
+++ b/src/topazlug/_settings.py
@@ -1,7 +1,7 @@
-"""Reads the settings file of the daemon and refuses what it can't use.
+"""Reads and validates the settings file of the daemon.
 
-Each refusal names the file, the key, what was found, what was expected and
-what helps, so that an operator can mend the file without the sources.
+Each error names the file, the key, the value found, what was expected and the
+remedy, so that an operator can correct the file without reading the code.
 """
 
 import difflib
@@ -34,23 +34,23 @@
 
 
 def load(path: pathlib.Path) -> settings.DaemonSettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Parameters
     ----------
     path : pathlib.Path
-        A file in YAML. A string may be written as ``!env NAME``; it is then
-        taken from the environment.
+        A YAML file. A string written as ``!env NAME`` is taken from the
+        environment variable of that name.
 
     Returns
     -------
     settings.DaemonSettings
-        The settings, with the defaults filled in.
+        The settings, with defaults for missing keys.
 
     Raises
     ------
-    _errors.SettingsInvalid
-        If the file can't be read, is no YAML, or breaks the schema.
+    SettingsInvalid
+        If the file can't be read, is not YAML, or violates the schema.
     """
     document = _read(path)
     error_builder = _ErrorBuilder(path=path, document=document)
@@ -74,7 +74,7 @@
 
 @final
 class _ErrorBuilder(msgspec.Struct, kw_only=True, frozen=True):
-    """Makes the errors of one file."""
+    """Builds errors about one settings file."""
 
     path: pathlib.Path
     document: _Document
@@ -91,8 +91,8 @@
 
     def _format_value(self, key: tuple[str, ...]) -> str:
         value = _value_at(self.document.tree, key)
-        # A refusal ends up in logs and tickets: a secret that is too short
-        # or of the wrong type must not be printed with it.
+        # Errors end up in logs and tickets, so an invalid secret must not be
+        # shown in them.
         hidden = bool(key) and key[-1] in HIDDEN_KEYS
         if isinstance(value, str):
             hidden |= value in self.document.values_from_environment
@@ -116,7 +116,7 @@
 
 @final
 class _Loader(yaml.SafeLoader):
-    """YAML's safe types, ``!env``, and no key twice in a mapping."""
+    """Safe YAML loader that supports ``!env`` and rejects duplicate keys."""
 
     def __init__(self, stream: str) -> None:
         super().__init__(stream)
@@ -142,13 +142,13 @@
     def construct_mapping(
         self, node: yaml.MappingNode, deep: bool = False
     ) -> dict[Any, Any]:
-        # YAML's loader lets the later of two equal keys win: an operator
-        # who pastes a section twice would run with half of each, unseen.
+        # By default the last of several equal keys takes effect. A section
+        # that was pasted twice would silently lose some of its values.
         seen = set()
         for key_node, _ in node.value:
             if key_node.value in seen:
                 raise yaml.constructor.ConstructorError(
-                    problem=f"key {key_node.value!r} stands twice; keep one",
+                    problem=f"key {key_node.value!r} is given twice; keep one",
                     problem_mark=key_node.start_mark,
                 )
             seen.add(key_node.value)
@@ -163,7 +163,9 @@
         text = path.read_text(encoding="utf-8")
     except OSError as error:
         raise _invalid(
-            path, f"can't be read: {error.strerror}; check path and rights"
+            path,
+            f"can't be read: {error.strerror}; check the path "
+            "and its permissions",
         ) from error
     except UnicodeDecodeError as error:
         raise _invalid(
@@ -193,7 +195,7 @@
 def _conversion_error(
     text: str, error_builder: _ErrorBuilder
 ) -> _errors.SettingsInvalid:
-    """Turn a failure of the typed conversion into words of the file."""
+    """Return the settings error for an error of the typed conversion."""
     match = _FAILURE.match(text)
     if match is None:
         return _invalid(error_builder.path, text)
@@ -254,7 +256,7 @@
 
 
 def _without_none(kind: Any) -> Any:
-    """Take ``| None`` off a type."""
+    """Return a type without its ``| None``."""
     choices = [
         choice
         for choice in getattr(kind, "__args__", ())
@@ -274,8 +276,8 @@
 def _check_raw_values(
     value: Any, key: tuple[str, ...], error_builder: _ErrorBuilder
 ) -> None:
-    # ".inf" and ".nan" are numbers to YAML, and a bound compared with nan
-    # never holds: a daemon would start with a timeout that never ends.
+    # YAML accepts ".inf" and ".nan" as numbers. Every comparison with nan is
+    # false, so a daemon could start with a timeout that never expires.
     if isinstance(value, float) and not math.isfinite(value):
         raise error_builder.error(
             key, expected="a finite number", remedy="write a plain number"
@@ -321,8 +323,8 @@
         raise error_builder.error(
             key,
             expected="an IP number such as 10.0.0.7 or fd00::7",
-            remedy="write the number: daemons look up no names, as a name "
-            "service that is down or lags would take them with it",
+            remedy="write the number: daemons do not resolve names, as they "
+            "would then fail together with the name service",
         )
 
 
@@ -337,7 +339,7 @@
             raise error_builder.error(
                 (*key, field.name),
                 expected="the path of a PEM file that can be read",
-                remedy="put the file there or correct the path",
+                remedy="provide the file or correct the path",
             )
 
 
@@ -349,7 +351,7 @@
         raise error_builder.error(
             ("limits", "default_deadline"),
             expected=f"at most limits.max_deadline, {limits.max_deadline}",
-            remedy="lower the one or raise the other",
+            remedy="lower the default or raise limits.max_deadline",
         )
 
 
@@ -371,5 +373,5 @@
             ("metrics", "otlp_endpoint"),
             expected="a URL such as http://10.0.0.9:4318/v1/metrics, with an "
             "IP number",
-            remedy="write it so, or leave the key out",
+            remedy="correct it, or omit the key",
         )
--- a/src/topazlug/_tasks.py
+++ b/src/topazlug/_tasks.py
@@ -1,4 +1,4 @@
-"""Greenlets that run for as long as the daemon does."""
+"""Tasks that run as long as the daemon does."""
 
 from collections.abc import Callable
 
@@ -12,24 +12,25 @@
 
 
 def spawn(task: Callable[[], None], *, clock: _clock.Clock) -> gevent.Greenlet:
-    """Start a task that must not end, and start it again if it does.
+    """Start a task, and restart it whenever it ends.
 
-    An exception that nobody expected ends a greenlet, and the daemon goes on
-    without it: renewals, heartbeats or reads of the table just stop. Peers
-    notice wrong counts or old revisions minutes later, far from the cause.
-    Here it is logged with its trace, and the task goes on after a second.
+    An unexpected exception would otherwise end the task's greenlet while the
+    daemon goes on without its renewals, heartbeats or reads of the table.
+    Wrong counts or old revisions would show at peers minutes later, far from
+    the cause. The exception is logged with its traceback, and the task is
+    restarted after a second.
 
     Parameters
     ----------
     task : callable
-        Runs until it is killed.
+        The task, which should not return.
     clock : Clock
-        Waits between two starts.
+        Used to wait before a restart.
 
     Returns
     -------
     gevent.Greenlet
-        To be killed when the daemon stops.
+        The greenlet, which the caller kills when the daemon stops.
     """
     return gevent.spawn(_run_forever, task, clock)
 
@@ -39,5 +40,5 @@
         try:
             task()
         except Exception:
-            _log.exception("a task failed and is started again: {}", task)
+            _log.exception("task failed and will be restarted: {}", task)
         clock.sleep(RESTART_SECONDS)
