--- a/src/topazlug/callers/_callers.py
+++ b/src/topazlug/callers/_callers.py
@@ -176,7 +176,9 @@
             caller.name, request_class, error.code, error.outcome
         )
         if error.outcome is _errors.Outcome.NOT_RUN:
-            self._metrics.count_refusal(caller.name, request_class, error.code)
+            self._metrics.count_rejection(
+                caller.name, request_class, error.code
+            )
 
 
 def _want_method(request: _caller_request.CallerRequest, method: str) -> None:
--- a/src/topazlug/calls/_call_runner.py
+++ b/src/topazlug/calls/_call_runner.py
@@ -138,7 +138,7 @@
         """
         seconds = self._assembly.clock.monotonic() - request.started
         request_class = request_class_of(caller)
-        self._assembly.metrics.observe_total(
+        self._assembly.metrics.observe_request_duration(
             caller.name, request_class, seconds
         )
         self._assembly.metrics.count_request(
--- a/src/topazlug/calls/_chat_calls.py
+++ b/src/topazlug/calls/_chat_calls.py
@@ -316,7 +316,9 @@
         prompt = _parse_count(answer.header("X-Prompt-Tokens"))
         if call.returning and prompt is not None:
             hit = bool(cached)
-            self._assembly.metrics.count_reuse(hit, cached or 0, prompt)
+            self._assembly.metrics.count_returning_chat(
+                hit, cached or 0, prompt
+            )
 
     def _record_end(
         self, call: _Call, placement: _placement.Placement, status: int
--- a/src/topazlug/forwarding/_measures.py
+++ b/src/topazlug/forwarding/_measures.py
@@ -61,7 +61,7 @@
         self._metrics.count_request(
             call.team_name, _CLASS, code, _errors.Outcome.RAN
         )
-        self._metrics.observe_total(
+        self._metrics.observe_request_duration(
             call.team_name, _CLASS, self._clock.monotonic() - call.started
         )
 
@@ -82,4 +82,4 @@
             outcome = error.outcome
         self._metrics.count_request(team, _CLASS, error.code, outcome)
         if outcome is _errors.Outcome.NOT_RUN:
-            self._metrics.count_refusal(team, _CLASS, error.code)
+            self._metrics.count_rejection(team, _CLASS, error.code)
--- a/src/topazlug/telemetry/_batches.py
+++ b/src/topazlug/telemetry/_batches.py
@@ -43,8 +43,8 @@
         """Give parts of one OpenTelemetry metric."""
 
 
-def of(items: Collection[_Item]) -> Iterator[Sequence[_Item]]:
+def split(items: Collection[_Item]) -> Iterator[Sequence[_Item]]:
     """Split a collection; what joins it meanwhile is left out."""
-    whole = list(items)
-    for start in range(0, len(whole), BATCH_SERIES):
-        yield whole[start : start + BATCH_SERIES]
+    snapshot = list(items)
+    for start in range(0, len(snapshot), BATCH_SERIES):
+        yield snapshot[start : start + BATCH_SERIES]
--- a/src/topazlug/telemetry/_counters.py
+++ b/src/topazlug/telemetry/_counters.py
@@ -42,12 +42,12 @@
 
     def add(self, values: tuple[str, ...], count: int = 1) -> None:
         """Raise the count of these label values."""
-        known = self._counts_by_values.get(values, 0)
-        self._counts_by_values[values] = known + count
+        current = self._counts_by_values.get(values, 0)
+        self._counts_by_values[values] = current + count
 
     def families(self) -> Iterator[core.Metric]:
         """Give the counts as parts of one Prometheus family."""
-        for batch in _batches.of(self._counts_by_values):
+        for batch in _batches.split(self._counts_by_values):
             family = core.CounterMetricFamily(
                 name=self._name.replace(".", "_"),
                 documentation=self._description,
@@ -59,7 +59,7 @@
 
     def metrics(self) -> Iterator[export.Metric]:
         """Give the counts as parts of one OpenTelemetry metric."""
-        for batch in _batches.of(self._counts_by_values):
+        for batch in _batches.split(self._counts_by_values):
             points = [self._point(values) for values in batch]
             yield export.Metric(
                 name=self._name,
--- a/src/topazlug/telemetry/_exposition.py
+++ b/src/topazlug/telemetry/_exposition.py
@@ -22,7 +22,7 @@
 
 
 @final
-class _OneFamily:
+class _SingleFamilyCollector:
     def __init__(self, family: core.Metric) -> None:
         self._family = family
 
@@ -30,7 +30,7 @@
         return [self._family]
 
 
-def text_of(families: Iterable[core.Metric]) -> bytes:
+def render_text(families: Iterable[core.Metric]) -> bytes:
     """Write families, letting other greenlets run in between.
 
     Parameters
@@ -46,15 +46,17 @@
     parts = []
     last_name = ""
     for family in families:
-        text = prometheus_client.generate_latest(_OneFamily(family))
+        text = prometheus_client.generate_latest(
+            _SingleFamilyCollector(family)
+        )
         if family.name == last_name:
-            text = _without_head(text)
+            text = _strip_header(text)
         last_name = family.name
         parts.append(text)
         gevent.sleep(_batches.PAUSE_SECONDS)
     return b"".join(parts)
 
 
-def _without_head(text: bytes) -> bytes:
+def _strip_header(text: bytes) -> bytes:
     lines = text.splitlines(keepends=True)
     return b"".join(line for line in lines if not line.startswith(COMMENT))
--- a/src/topazlug/telemetry/_histograms.py
+++ b/src/topazlug/telemetry/_histograms.py
@@ -29,11 +29,11 @@
 
 OTHER_TEAM = "other"
 
-_Label = tuple[str, table.RequestClass]
+_SeriesKey = tuple[str, table.RequestClass]
 
 
 @final
-class TeamNames:
+class TeamLabels:
     """Which teams have series of their own.
 
     Parameters
@@ -46,15 +46,15 @@
 
     def __init__(self, *, cap: int) -> None:
         self._cap = cap
-        self._own: set[str] = set()
+        self._labelled: set[str] = set()
 
-    def shown(self, team: str) -> str:
+    def team_label(self, team: str) -> str:
         """Give the label of a team: its name, or ``other``."""
-        if team in self._own:
+        if team in self._labelled:
             return team
-        if len(self._own) >= self._cap:
+        if len(self._labelled) >= self._cap:
             return OTHER_TEAM
-        self._own.add(team)
+        self._labelled.add(team)
         return team
 
 
@@ -80,7 +80,7 @@
     bounds : sequence of float
         Upper ends of the buckets in seconds, growing; one bucket more takes
         what is longer.
-    teams : TeamNames
+    teams : TeamLabels
         Which teams have series of their own.
     """
 
@@ -90,14 +90,14 @@
         name: str,
         description: str,
         bounds: Sequence[float],
-        teams: TeamNames,
+        teams: TeamLabels,
     ) -> None:
         self._name = name
         self._description = description
         self._bounds = tuple(bounds)
         self._teams = teams
         self._started = time.time_ns()
-        self._series_by_label: dict[_Label, _Series] = {}
+        self._series_by_key: dict[_SeriesKey, _Series] = {}
 
     def observe(
         self,
@@ -106,9 +106,9 @@
         seconds: float,
     ) -> None:
         """Count one duration."""
-        series = self._series_by_label.get((team, request_class))
+        series = self._series_by_key.get((team, request_class))
         if series is None:
-            series = self._series(team, request_class)
+            series = self._get_or_add_series(team, request_class)
         series.counts[bisect.bisect_left(self._bounds, seconds)] += 1
         series.total += seconds
         if seconds > series.largest:
@@ -116,14 +116,14 @@
         if seconds < series.smallest:
             series.smallest = seconds
 
-    def _series(
+    def _get_or_add_series(
         self, team: _ids.TeamName, request_class: table.RequestClass
     ) -> _Series:
-        label = (self._teams.shown(team), request_class)
-        series = self._series_by_label.get(label)
+        key = (self._teams.team_label(team), request_class)
+        series = self._series_by_key.get(key)
         if series is None:
             series = _Series(len(self._bounds) + 1)
-            self._series_by_label[label] = series
+            self._series_by_key[key] = series
         return series
 
     def families(self) -> Iterator[core.HistogramMetricFamily]:
@@ -134,18 +134,20 @@
         prometheus_client.core.HistogramMetricFamily
             A few series each, read when the part is asked for.
         """
-        for batch in _batches.of(self._series_by_label):
+        for batch in _batches.split(self._series_by_key):
             yield self._family(batch)
 
-    def _family(self, labels: Sequence[_Label]) -> core.HistogramMetricFamily:
+    def _family(
+        self, keys: Sequence[_SeriesKey]
+    ) -> core.HistogramMetricFamily:
         family = core.HistogramMetricFamily(
             name=self._name.replace(".", "_") + "_seconds",
             documentation=self._description,
             labels=("team", "class"),
         )
         names = [str(bound) for bound in self._bounds] + ["+Inf"]
-        for team, request_class in labels:
-            series = self._series_by_label[team, request_class]
+        for team, request_class in keys:
+            series = self._series_by_key[team, request_class]
             family.add_metric(
                 labels=(team, request_class.value),
                 buckets=list(zip(names, itertools.accumulate(series.counts))),
@@ -155,8 +157,8 @@
 
     def metrics(self) -> Iterator[export.Metric]:
         """Give the counts as parts of one OpenTelemetry metric."""
-        for batch in _batches.of(self._series_by_label):
-            points = [self._point(label) for label in batch]
+        for batch in _batches.split(self._series_by_key):
+            points = [self._point(key) for key in batch]
             yield export.Metric(
                 name=self._name,
                 description=self._description,
@@ -169,9 +171,9 @@
                 ),
             )
 
-    def _point(self, label: _Label) -> export.HistogramDataPoint:
-        team, request_class = label
-        series = self._series_by_label[label]
+    def _point(self, key: _SeriesKey) -> export.HistogramDataPoint:
+        team, request_class = key
+        series = self._series_by_key[key]
         return export.HistogramDataPoint(
             attributes={"team": team, "class": request_class.value},
             start_time_unix_nano=self._started,
--- a/src/topazlug/telemetry/_metrics.py
+++ b/src/topazlug/telemetry/_metrics.py
@@ -120,14 +120,14 @@
     Total.PAUSES: "Jumps of the clock: the daemon was frozen and thawed.",
 }
 
-Read = Callable[[], float]
-ReadByGroup = Callable[[], Mapping[_ids.GroupName, float]]
+ReadValue = Callable[[], float]
+ReadValuesByGroup = Callable[[], Mapping[_ids.GroupName, float]]
 
 
-class _Watched(NamedTuple):
+class _ObservedMetric(NamedTuple):
     """A number that a callback gives at each collection."""
 
-    what: Gauge | Total
+    metric: Gauge | Total
     callback: Any
 
 
@@ -159,7 +159,7 @@
         daemon_id: _ids.DaemonId,
         zone: str,
     ) -> None:
-        self._teams = _histograms.TeamNames(cap=metrics_settings.team_cap)
+        self._teams = _histograms.TeamLabels(cap=metrics_settings.team_cap)
         self._first_token = self._histogram(
             "first_token.duration",
             "Time from a request's arrival to its answer's first token.",
@@ -169,11 +169,11 @@
             "Time between two tokens of an answer.",
             bounds=TOKEN_BUCKETS,
         )
-        self._total = self._histogram(
+        self._request_duration = self._histogram(
             "request.duration",
             "Time from a request's arrival to the end of its answer.",
         )
-        self._queueing = self._histogram(
+        self._queueing_duration = self._histogram(
             "queueing.duration",
             "Time that a request waited for a place.",
         )
@@ -187,12 +187,12 @@
             "Attempts after the first.",
             labels=("team", "class"),
         )
-        self._refusals = _counter(
+        self._rejections = _counter(
             "refusals",
             "Requests turned away before anything was sent.",
             labels=("team", "class", "code"),
         )
-        self._returns = _counter(
+        self._returning_chats = _counter(
             "returning_chats",
             "Returning chats by whether their context was found.",
             labels=("result",),
@@ -205,31 +205,31 @@
         self._instruments: tuple[_batches.Instrument, ...] = (
             self._requests,
             self._retries,
-            self._refusals,
-            self._returns,
+            self._rejections,
+            self._returning_chats,
             self._prompt_tokens,
             self._first_token,
             self._between_tokens,
-            self._total,
-            self._queueing,
+            self._request_duration,
+            self._queueing_duration,
         )
         self._settings = metrics_settings
         self._daemon_id = daemon_id
         self._zone = zone
-        self._watched: list[_Watched] = []
+        self._observed_metrics: list[_ObservedMetric] = []
         self._sdk: _Sdk | None = None
         if metrics_settings.otlp_endpoint:
-            self._built()
+            self._get_sdk()
 
-    def _built(self) -> _Sdk:
+    def _get_sdk(self) -> _Sdk:
         """Give the SDK's part, made when it is first needed."""
         if self._sdk is None:
-            self._sdk = self._build()
-            for watched in self._watched:
-                self._create(self._sdk, watched)
+            self._sdk = self._create_sdk()
+            for observed in self._observed_metrics:
+                self._create_instrument(self._sdk, observed)
         return self._sdk
 
-    def _build(self) -> _Sdk:
+    def _create_sdk(self) -> _Sdk:
         registry = prometheus_client.CollectorRegistry()
         provider = sdk.MeterProvider(
             self._readers(registry),
@@ -262,14 +262,14 @@
         """Count the time between two tokens."""
         self._between_tokens.observe(team, request_class, seconds)
 
-    def observe_total(
+    def observe_request_duration(
         self,
         team: _ids.TeamName,
         request_class: table.RequestClass,
         seconds: float,
     ) -> None:
         """Count the time of a whole request."""
-        self._total.observe(team, request_class, seconds)
+        self._request_duration.observe(team, request_class, seconds)
 
     def observe_queueing(
         self,
@@ -278,7 +278,7 @@
         seconds: float,
     ) -> None:
         """Count the time that a request waited for a place."""
-        self._queueing.observe(team, request_class, seconds)
+        self._queueing_duration.observe(team, request_class, seconds)
 
     def count_request(
         self,
@@ -289,7 +289,7 @@
     ) -> None:
         """Count an answered request; without a code it went well."""
         labels = (
-            self._teams.shown(team),
+            self._teams.team_label(team),
             request_class.value,
             OK if code is None else code.value,
             outcome.value,
@@ -300,20 +300,20 @@
         self, team: _ids.TeamName, request_class: table.RequestClass
     ) -> None:
         """Count an attempt after the first."""
-        shown = self._teams.shown(team)
-        self._retries.add((shown, request_class.value))
+        team_label = self._teams.team_label(team)
+        self._retries.add((team_label, request_class.value))
 
-    def count_refusal(
+    def count_rejection(
         self,
         team: _ids.TeamName,
         request_class: table.RequestClass,
         code: _errors.Code,
     ) -> None:
         """Count a request turned away before anything was sent."""
-        shown = self._teams.shown(team)
-        self._refusals.add((shown, request_class.value, code.value))
+        team_label = self._teams.team_label(team)
+        self._rejections.add((team_label, request_class.value, code.value))
 
-    def count_reuse(
+    def count_returning_chat(
         self, hit: bool, tokens_cached: int, tokens_prompt: int
     ) -> None:
         """Count a returning chat and the tokens of its prompt.
@@ -327,40 +327,42 @@
         tokens_prompt : int
             All tokens of the prompt.
         """
-        self._returns.add(("hit" if hit else "miss",))
+        self._returning_chats.add(("hit" if hit else "miss",))
         self._prompt_tokens.add(("cached",), tokens_cached)
         computed = max(0, tokens_prompt - tokens_cached)
         self._prompt_tokens.add(("computed",), computed)
 
-    def watch(self, what: Gauge | Total, read: Read) -> None:
+    def watch(self, metric: Gauge | Total, read: ReadValue) -> None:
         """Read a number by a callback at each collection.
 
         Parameters
         ----------
-        what : Gauge or Total
+        metric : Gauge or Total
             The metric; each is watched once.
         read : callable
             Gives the number; it must neither block nor raise.
         """
-        self._observe(what, lambda _: [api.Observation(read())])
+        self._add_observed_metric(metric, lambda _: [api.Observation(read())])
 
-    def watch_by_group(self, what: Gauge, read: ReadByGroup) -> None:
+    def watch_by_group(self, metric: Gauge, read: ReadValuesByGroup) -> None:
         """Read a number for each pool or service by a callback."""
 
         def observations(_: api.CallbackOptions) -> Iterable[api.Observation]:
             for group, number in read().items():
                 yield api.Observation(number, {"group": group})
 
-        self._observe(what, observations)
+        self._add_observed_metric(metric, observations)
 
     def exposition(self) -> bytes:
         """Give all series in the Prometheus text format.
 
         Other greenlets run while it is written.
         """
-        watched = list(self._built().registry.collect())
-        kept = (item.families() for item in self._instruments)
-        return _exposition.text_of(itertools.chain(watched, *kept))
+        observed = list(self._get_sdk().registry.collect())
+        own_families = (item.families() for item in self._instruments)
+        return _exposition.render_text(
+            itertools.chain(observed, *own_families)
+        )
 
     def stop(self) -> None:
         """Push once more, within a short bound, and end the push thread."""
@@ -383,22 +385,26 @@
             teams=self._teams,
         )
 
-    def _observe(self, what: Gauge | Total, callback: Any) -> None:
-        watched = _Watched(what, callback)
-        self._watched.append(watched)
+    def _add_observed_metric(
+        self, metric: Gauge | Total, callback: Any
+    ) -> None:
+        observed = _ObservedMetric(metric, callback)
+        self._observed_metrics.append(observed)
         if self._sdk is not None:
-            self._create(self._sdk, watched)
+            self._create_instrument(self._sdk, observed)
 
-    def _create(self, built: _Sdk, watched: _Watched) -> None:
-        what = watched.what
-        create: Any = built.meter.create_observable_gauge
-        if isinstance(what, Total):
-            create = built.meter.create_observable_counter
+    def _create_instrument(
+        self, built_sdk: _Sdk, observed: _ObservedMetric
+    ) -> None:
+        metric = observed.metric
+        create: Any = built_sdk.meter.create_observable_gauge
+        if isinstance(metric, Total):
+            create = built_sdk.meter.create_observable_counter
         create(
-            what.value,
-            callbacks=[watched.callback],
-            unit=_UNITS.get(what, ""),
-            description=_DESCRIPTIONS[what],
+            metric.value,
+            callbacks=[observed.callback],
+            unit=_UNITS.get(metric, ""),
+            description=_DESCRIPTIONS[metric],
         )
 
     def _readers(
@@ -411,7 +417,7 @@
             )
         ]
         if metrics_settings.otlp_endpoint:
-            pusher = _push.reader(
+            pusher = _push.create_reader(
                 endpoint=metrics_settings.otlp_endpoint,
                 interval=metrics_settings.otlp_interval,
                 instruments=self._instruments,
--- a/src/topazlug/telemetry/_push.py
+++ b/src/topazlug/telemetry/_push.py
@@ -15,7 +15,7 @@
 SCOPE = instrumentation.InstrumentationScope("topazlug")
 
 
-def reader(
+def create_reader(
     *,
     endpoint: str,
     interval: float,
@@ -45,13 +45,13 @@
         endpoint=endpoint, timeout=TIMEOUT_SECONDS
     )
     return sdk_export.PeriodicExportingMetricReader(
-        PartExporter(inner, instruments=instruments),
+        BatchingExporter(inner, instruments=instruments),
         export_interval_millis=interval * 1000,
     )
 
 
 @final
-class PartExporter(sdk_export.MetricExporter):
+class BatchingExporter(sdk_export.MetricExporter):
     """Sends what the SDK collected, then the other instruments in parts.
 
     Parameters
@@ -106,7 +106,9 @@
                 scope = sdk_export.ScopeMetrics(
                     scope=SCOPE, metrics=[metric], schema_url=""
                 )
-                whole = sdk_export.ResourceMetrics(
+                resource_metrics = sdk_export.ResourceMetrics(
                     resource=resource, scope_metrics=[scope], schema_url=""
                 )
-                yield sdk_export.MetricsData(resource_metrics=[whole])
+                yield sdk_export.MetricsData(
+                    resource_metrics=[resource_metrics]
+                )
--- a/tests/topazlug/telemetry/test_metrics.py
+++ b/tests/topazlug/telemetry/test_metrics.py
@@ -30,7 +30,7 @@
     return None
 
 
-def teams_shown(metrics, name):
+def team_labels(metrics, name):
     text = metrics.exposition().decode()
     return {
         sample.labels["team"]
@@ -53,11 +53,13 @@
         [
             ("observe_first_token", "first_token"),
             ("observe_between_tokens", "between_tokens"),
-            ("observe_total", "request"),
+            ("observe_request_duration", "request"),
             ("observe_queueing", "queueing"),
         ],
     )
-    def test_count_by_team_and_class(self, metrics, observe, name):
+    def test_durations_are_counted_by_team_and_class(
+        self, metrics, observe, name
+    ):
         for seconds in (0.1, 0.15, 100.0):
             getattr(metrics, observe)(ACME, INTERACTIVE, seconds)
         series = f"topazlug_{name}_duration_seconds"
@@ -67,25 +69,27 @@
         assert value(metrics, f"{series}_count", **labels) == 3
         assert value(metrics, f"{series}_sum", **labels) == 100.25
 
-    def test_put_teams_beyond_the_cap_under_other(self):
+    def test_teams_beyond_the_cap_are_counted_as_other(self):
         metrics = make(team_cap=2)
         for team in ("a", "b", "c", "d", "a"):
-            metrics.observe_total(_ids.TeamName(team), INTERACTIVE, 0.1)
+            metrics.observe_request_duration(
+                _ids.TeamName(team), INTERACTIVE, 0.1
+            )
         name = "topazlug_request_duration_seconds_count"
-        assert teams_shown(metrics, name) == {"a", "b", "other"}
+        assert team_labels(metrics, name) == {"a", "b", "other"}
         labels = {"team": "other", "class": "interactive"}
         assert value(metrics, name, **labels) == 2
 
-    def test_of_many_teams_have_one_head(self, metrics):
+    def test_histogram_of_many_teams_has_one_header(self, metrics):
         for number in range(50):
             team = _ids.TeamName(f"t{number}")
-            metrics.observe_total(team, INTERACTIVE, 0.1)
-        head = b"# TYPE topazlug_request_duration_seconds histogram"
-        assert metrics.exposition().count(head) == 1
+            metrics.observe_request_duration(team, INTERACTIVE, 0.1)
+        header = b"# TYPE topazlug_request_duration_seconds histogram"
+        assert metrics.exposition().count(header) == 1
 
 
 class TestCounters:
-    def test_count_requests_by_code_and_outcome(self, metrics):
+    def test_requests_are_counted_by_code_and_outcome(self, metrics):
         metrics.count_request(ACME, INTERACTIVE, None, _errors.Outcome.RAN)
         metrics.count_request(
             ACME,
@@ -96,21 +100,21 @@
         labels = {"team": "acme", "class": "interactive"}
         name = "topazlug_requests_total"
         assert value(metrics, name, code="ok", outcome="ran", **labels) == 1
-        refused = {"code": "overloaded", "outcome": "not-run"}
-        assert value(metrics, name, **refused, **labels) == 1
+        rejected = {"code": "overloaded", "outcome": "not-run"}
+        assert value(metrics, name, **rejected, **labels) == 1
 
-    def test_count_retries_and_refusals(self, metrics):
+    def test_retries_and_rejections_are_counted(self, metrics):
         metrics.count_retry(ACME, INTERACTIVE)
         code = _errors.Code.TEAM_CEILING
-        metrics.count_refusal(ACME, INTERACTIVE, code)
+        metrics.count_rejection(ACME, INTERACTIVE, code)
         labels = {"team": "acme", "class": "interactive"}
         assert value(metrics, "topazlug_retries_total", **labels) == 1
         labels["code"] = code.value
         assert value(metrics, "topazlug_refusals_total", **labels) == 1
 
-    def test_count_reuse(self, metrics):
-        metrics.count_reuse(True, 80, 100)
-        metrics.count_reuse(False, 0, 50)
+    def test_returning_chats_are_counted(self, metrics):
+        metrics.count_returning_chat(True, 80, 100)
+        metrics.count_returning_chat(False, 0, 50)
         name = "topazlug_returning_chats_total"
         assert value(metrics, name, result="hit") == 1
         assert value(metrics, name, result="miss") == 1
@@ -119,7 +123,7 @@
         assert value(metrics, name, source="computed") == 70
 
 
-class TestWatched:
+class TestObservedMetrics:
     def test_numbers_are_read_at_each_scrape(self, metrics):
         numbers = iter([1, 2])
         metrics.watch(_metrics.Gauge.MEMBERS, lambda: next(numbers))
@@ -135,72 +139,72 @@
         metrics.watch_by_group(_metrics.Gauge.SKEW, lambda: skew)
         assert value(metrics, "topazlug_pool_skew", group="small") == 1.25
 
-    def test_a_failing_callback_spares_the_others(self, metrics):
+    def test_failing_callback_does_not_affect_others(self, metrics):
         metrics.watch(_metrics.Gauge.MEMBERS, lambda: 1 / 0)
         metrics.watch(_metrics.Gauge.REVISION, lambda: 4)
         assert value(metrics, "topazlug_configuration_revision") == 4
 
 
 class TestExposition:
-    def test_lets_other_greenlets_run(self, metrics):
+    def test_other_greenlets_run_during_exposition(self, metrics):
         """Streams that stand still at each scrape.
 
         Symptom: a gap between tokens every few seconds, on all streams.
         Sequence: a scrape asks for thousands of series while tokens come in.
         Cause: their text is written at one go.
         """
-        turns = []
+        runs = []
 
         def relay():
             while True:
-                turns.append(1)
+                runs.append(1)
                 gevent.sleep(0)
 
         for number in range(100):
             team = _ids.TeamName(f"t{number}")
-            metrics.observe_total(team, INTERACTIVE, 0.1)
+            metrics.observe_request_duration(team, INTERACTIVE, 0.1)
         greenlet = gevent.spawn(relay)
         metrics.exposition()
         greenlet.kill()
-        assert len(turns) >= 10
+        assert len(runs) >= 10
 
 
 class TestPush:
     def test_sends_histograms_and_counters(self):
         bodies = []
-        whole = event.Event()
+        complete = event.Event()
 
-        def take(environ, start_response):
+        def receive(environ, start_response):
             bodies.append(environ["wsgi.input"].read())
             sent = b"".join(bodies)
             if b"between_tokens" in sent and b"topazlug.requests" in sent:
-                whole.set()
+                complete.set()
             start_response("200 OK", [])
             return [b""]
 
-        server = pywsgi.WSGIServer(("127.0.0.1", 0), take, log=None)
+        server = pywsgi.WSGIServer(("127.0.0.1", 0), receive, log=None)
         server.start()
         endpoint = f"http://127.0.0.1:{server.server_port}/v1/metrics"
         metrics = make(otlp_endpoint=endpoint, otlp_interval=0.05)
         metrics.observe_between_tokens(ACME, INTERACTIVE, 0.03)
         metrics.count_request(ACME, INTERACTIVE, None, _errors.Outcome.RAN)
         try:
-            assert whole.wait(timeout=WAIT_SECONDS)
+            assert complete.wait(timeout=WAIT_SECONDS)
         finally:
             metrics.stop()
             server.stop()
 
-    def test_to_a_silent_endpoint_does_not_hold_up_the_scrape(self):
+    def test_unresponsive_endpoint_does_not_block_scrapes(self):
         """A daemon that stops answering when its collector hangs.
 
         Symptom: scrapes and requests stall while the push waits. Sequence:
         the collector takes the connection and never answers. Cause: a push
         that blocks the thread of all greenlets, or holds a lock meanwhile.
         """
-        asked = event.Event()
+        request_received = event.Event()
 
         def hang(environ, start_response):
-            asked.set()
+            request_received.set()
             gevent.sleep(WAIT_SECONDS * 10)
 
         server = pywsgi.WSGIServer(("127.0.0.1", 0), hang, log=None)
@@ -208,7 +212,7 @@
         endpoint = f"http://127.0.0.1:{server.server_port}/v1/metrics"
         metrics = make(otlp_endpoint=endpoint, otlp_interval=0.05)
         try:
-            assert asked.wait(timeout=WAIT_SECONDS)
+            assert request_received.wait(timeout=WAIT_SECONDS)
             with gevent.Timeout(WAIT_SECONDS):
                 assert value(metrics, "topazlug_up") == 1
         finally:
