--- a/src/topazlug/telemetry/__init__.py
+++ b/src/topazlug/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics: counted, shown and pushed."""
+"""Recording, exposition and push of metrics."""
--- a/src/topazlug/telemetry/_batches.py
+++ b/src/topazlug/telemetry/_batches.py
@@ -1,9 +1,9 @@
-"""Splits what is handed out at once, so that no collection blocks for long.
+"""Splits the series of a metric, so that no collection blocks for long.
 
-At the cap of teams a collection covers thousands of series. Handed over at
-one go they hold up every stream of the daemon, which callers see as a gap
-between tokens at each scrape or push. Parts of a few series take a few
-milliseconds, and other greenlets run between them.
+With the maximum number of teams a collection covers thousands of series.
+Processing them in one step would block all streams of the daemon, and callers
+would see a gap between tokens at each scrape or push. A batch of a few series
+takes a few milliseconds, and other greenlets run between batches.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 
 
 BATCH_SERIES = 10
-# Not 0: a pause of 0 lets only those greenlets run that are ready already,
-# and leaves what has arrived on sockets meanwhile unread.
+# A pause of 0 would run only greenlets that are ready, without polling the
+# sockets for data that has arrived meanwhile.
 PAUSE_SECONDS = 0.001
 
 _Item = TypeVar("_Item")
 
 
 class Instrument(Protocol):
-    """What keeps its own series."""
+    """A metric that stores its own series."""
 
     def families(self) -> Iterator[core.Metric]:
-        """Give parts of one Prometheus family."""
+        """Yield the series in batches, as parts of one Prometheus family."""
 
     def metrics(self) -> Iterator[export.Metric]:
-        """Give parts of one OpenTelemetry metric."""
+        """Yield the series in batches, as parts of one OpenTelemetry metric."""
 
 
 def split(items: Collection[_Item]) -> Iterator[Sequence[_Item]]:
-    """Split a collection; what joins it meanwhile is left out."""
+    """Split a collection into batches, without items added meanwhile."""
     snapshot = list(items)
     for start in range(0, len(snapshot), BATCH_SERIES):
         yield snapshot[start : start + BATCH_SERIES]
--- a/src/topazlug/telemetry/_counters.py
+++ b/src/topazlug/telemetry/_counters.py
@@ -1,4 +1,4 @@
-"""Counts by labels that cost little to raise."""
+"""Counters by labels that are cheap to increment."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 @final
 class Counter:
-    """A count by labels; it only grows.
+    """A counter by labels.
 
     Parameters
     ----------
     name, description : str
-        As in OpenTelemetry.
+        Name and description of the metric, as in OpenTelemetry.
     labels : sequence of str
         Names of the labels.
     """
@@ -41,12 +41,12 @@
         self._counts_by_values: dict[tuple[str, ...], int] = {}
 
     def add(self, values: tuple[str, ...], count: int = 1) -> None:
-        """Raise the count of these label values."""
+        """Increase the count of these label values."""
         current = self._counts_by_values.get(values, 0)
         self._counts_by_values[values] = current + count
 
     def families(self) -> Iterator[core.Metric]:
-        """Give the counts as parts of one Prometheus family."""
+        """Yield the counts as parts of one Prometheus family."""
         for batch in _batches.split(self._counts_by_values):
             family = core.CounterMetricFamily(
                 name=self._name.replace(".", "_"),
@@ -58,7 +58,7 @@
             yield family
 
     def metrics(self) -> Iterator[export.Metric]:
-        """Give the counts as parts of one OpenTelemetry metric."""
+        """Yield the counts as parts of one OpenTelemetry metric."""
         for batch in _batches.split(self._counts_by_values):
             points = [self._point(values) for values in batch]
             yield export.Metric(
--- a/src/topazlug/telemetry/_exposition.py
+++ b/src/topazlug/telemetry/_exposition.py
@@ -1,4 +1,4 @@
-"""The Prometheus text of many series, written a part at a time."""
+"""Renders many series in the Prometheus text format, in batches."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 
 
 def render_text(families: Iterable[core.Metric]) -> bytes:
-    """Write families, letting other greenlets run in between.
+    """Render families, and let other greenlets run in between.
 
     Parameters
     ----------
     families : iterable of prometheus_client.core.Metric
-        Neighbours of one name are parts of one family.
+        Consecutive ones with the same name are parts of one family.
 
     Returns
     -------
     bytes
-        The text, with one head for each family.
+        The text, with one header for each family.
     """
     parts = []
     last_name = ""
--- a/src/topazlug/telemetry/_histograms.py
+++ b/src/topazlug/telemetry/_histograms.py
@@ -1,7 +1,7 @@
-"""Histograms by team and class that cost little to observe.
+"""Histograms by team and request class that are cheap to update.
 
-They are counted in lists of integers and turned into OpenTelemetry's data
-points, or into Prometheus' families, only when a reader collects.
+Counts are stored in lists of integers, and converted to OpenTelemetry data
+points or Prometheus families only when a reader collects them.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 
 @final
 class TeamLabels:
-    """Which teams have series of their own.
+    """Assigns label values to teams, up to a maximum number of teams.
 
     Parameters
     ----------
     cap : int
-        How many do. Teams come first, first served: were a name to lose its
-        series again, its counts would fall, and a scraper takes a falling
-        count for a restart.
+        Number of teams with series of their own: the first ones seen keep
+        them for good. If a team lost its series, its counts would decrease,
+        and a scraper takes a decreasing count for a restart.
     """
 
     def __init__(self, *, cap: int) -> None:
@@ -49,7 +49,7 @@
         self._labelled: set[str] = set()
 
     def team_label(self, team: str) -> str:
-        """Give the label of a team: its name, or ``other``."""
+        """Return the label value of a team: its name, or ``other``."""
         if team in self._labelled:
             return team
         if len(self._labelled) >= self._cap:
@@ -71,17 +71,17 @@
 
 @final
 class Histogram:
-    """One histogram of durations, by team and class.
+    """A histogram of durations by team and request class.
 
     Parameters
     ----------
     name, description : str
-        As in OpenTelemetry.
+        Name and description of the metric, as in OpenTelemetry.
     bounds : sequence of float
-        Upper ends of the buckets in seconds, growing; one bucket more takes
-        what is longer.
+        Upper bounds of the buckets in seconds, ascending. One more bucket
+        counts longer durations.
     teams : TeamLabels
-        Which teams have series of their own.
+        Label values of the teams.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         request_class: table.RequestClass,
         seconds: float,
     ) -> None:
-        """Count one duration."""
+        """Record one duration."""
         series = self._series_by_key.get((team, request_class))
         if series is None:
             series = self._get_or_add_series(team, request_class)
@@ -127,12 +127,12 @@
         return series
 
     def families(self) -> Iterator[core.HistogramMetricFamily]:
-        """Give the counts as parts of one Prometheus family.
+        """Yield the counts as parts of one Prometheus family.
 
         Yields
         ------
         prometheus_client.core.HistogramMetricFamily
-            A few series each, read when the part is asked for.
+            One batch of series, read when the batch is requested.
         """
         for batch in _batches.split(self._series_by_key):
             yield self._family(batch)
@@ -156,7 +156,7 @@
         return family
 
     def metrics(self) -> Iterator[export.Metric]:
-        """Give the counts as parts of one OpenTelemetry metric."""
+        """Yield the counts as parts of one OpenTelemetry metric."""
         for batch in _batches.split(self._series_by_key):
             points = [self._point(key) for key in batch]
             yield export.Metric(
--- a/src/topazlug/telemetry/_metrics.py
+++ b/src/topazlug/telemetry/_metrics.py
@@ -1,8 +1,8 @@
 """Metrics of one daemon, scraped and optionally pushed.
 
-Counts and histograms are kept in plain numbers and handed to OpenTelemetry
-when a reader collects. The SDK's own ``record`` costs many times what a
-token may, and a daemon observes one gap for each token that it relays.
+Counts and histograms are stored as plain numbers and passed to OpenTelemetry
+when a reader collects them. A daemon records an interval for each token that
+it relays, and the SDK's own ``record`` is many times too slow for that.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     prometheus_client = _lazy_module.LazyModule("prometheus_client")
     _push = _lazy_module.LazyModule("topazlug.telemetry._push")
 
-# Of the Prometheus text format, as prometheus_client writes it.
+# Content type of the Prometheus text format that prometheus_client writes.
 CONTENT_TYPE = "text/plain; version=1.0.0; charset=utf-8"
 OK = "ok"
 NO_TEAM = _ids.TeamName("none")
@@ -62,7 +62,7 @@
 
 
 class Gauge(enum.Enum):
-    """What is read by a callback, and rises and falls."""
+    """Gauges that are read by a callback."""
 
     IN_FLIGHT = "topazlug.requests.in_flight"
     CONNECTIONS = "topazlug.callers.connections"
@@ -83,7 +83,7 @@
 
 
 class Total(enum.Enum):
-    """What is read by a callback, and only grows."""
+    """Counters that are read by a callback."""
 
     CONTROL_SENT = "topazlug.control.sent"
     CONTROL_RECEIVED = "topazlug.control.received"
@@ -125,14 +125,14 @@
 
 
 class _ObservedMetric(NamedTuple):
-    """A number that a callback gives at each collection."""
+    """A metric whose values a callback returns at each collection."""
 
     metric: Gauge | Total
     callback: Any
 
 
 class _Sdk(NamedTuple):
-    """What OpenTelemetry and Prometheus need."""
+    """Objects of OpenTelemetry and Prometheus."""
 
     registry: prometheus_client.CollectorRegistry
     provider: sdk.MeterProvider
@@ -141,14 +141,14 @@
 
 @final
 class Metrics:
-    """All that one daemon measures.
+    """The metrics of one daemon.
 
     Parameters
     ----------
     metrics_settings : settings.MetricsSettings
-        Cap on teams; where to push, if anywhere.
+        Maximum number of teams with series; endpoint for pushes, if any.
     daemon_id : DaemonId
-        Whose metrics they are.
+        The daemon.
     zone : str
         Its availability zone.
     """
@@ -222,7 +222,7 @@
             self._get_sdk()
 
     def _get_sdk(self) -> _Sdk:
-        """Give the SDK's part, made when it is first needed."""
+        """Return the SDK's objects, created on first use."""
         if self._sdk is None:
             self._sdk = self._create_sdk()
             for observed in self._observed_metrics:
@@ -238,7 +238,7 @@
             shutdown_on_exit=False,
         )
         meter = provider.get_meter(_push.SCOPE.name)
-        # The SDK gives nothing to readers while it has no number at all.
+        # The SDK passes nothing to readers while it has no values.
         meter.create_observable_gauge(
             "topazlug.up", callbacks=[lambda _: [api.Observation(1)]]
         )
@@ -250,7 +250,7 @@
         request_class: table.RequestClass,
         seconds: float,
     ) -> None:
-        """Count the time to the first token."""
+        """Record the time to the first token."""
         self._first_token.observe(team, request_class, seconds)
 
     def observe_between_tokens(
@@ -259,7 +259,7 @@
         request_class: table.RequestClass,
         seconds: float,
     ) -> None:
-        """Count the time between two tokens."""
+        """Record the time between two tokens."""
         self._between_tokens.observe(team, request_class, seconds)
 
     def observe_request_duration(
@@ -268,7 +268,7 @@
         request_class: table.RequestClass,
         seconds: float,
     ) -> None:
-        """Count the time of a whole request."""
+        """Record the total time of a request."""
         self._request_duration.observe(team, request_class, seconds)
 
     def observe_queueing(
@@ -277,7 +277,7 @@
         request_class: table.RequestClass,
         seconds: float,
     ) -> None:
-        """Count the time that a request waited for a place."""
+        """Record the time that a request waited for a slot."""
         self._queueing_duration.observe(team, request_class, seconds)
 
     def count_request(
@@ -287,7 +287,7 @@
         code: _errors.Code | None,
         outcome: _errors.Outcome,
     ) -> None:
-        """Count an answered request; without a code it went well."""
+        """Count an answered request; the code is None if it succeeded."""
         labels = (
             self._teams.team_label(team),
             request_class.value,
@@ -309,7 +309,7 @@
         request_class: table.RequestClass,
         code: _errors.Code,
     ) -> None:
-        """Count a request turned away before anything was sent."""
+        """Count a request rejected before anything was sent to a target."""
         team_label = self._teams.team_label(team)
         self._rejections.add((team_label, request_class.value, code.value))
 
@@ -321,11 +321,11 @@
         Parameters
         ----------
         hit : bool
-            Whether the replica still held earlier context of the chat.
+            Whether the replica still had earlier context of the chat.
         tokens_cached : int
-            Tokens of the prompt that it held.
+            Tokens of the prompt that were cached.
         tokens_prompt : int
-            All tokens of the prompt.
+            Total tokens of the prompt.
         """
         self._returning_chats.add(("hit" if hit else "miss",))
         self._prompt_tokens.add(("cached",), tokens_cached)
@@ -333,19 +333,19 @@
         self._prompt_tokens.add(("computed",), computed)
 
     def watch(self, metric: Gauge | Total, read: ReadValue) -> None:
-        """Read a number by a callback at each collection.
+        """Register a callback that returns a value at each collection.
 
         Parameters
         ----------
         metric : Gauge or Total
-            The metric; each is watched once.
+            The metric; each may be registered only once.
         read : callable
-            Gives the number; it must neither block nor raise.
+            Returns the value; it must neither block nor raise.
         """
         self._add_observed_metric(metric, lambda _: [api.Observation(read())])
 
     def watch_by_group(self, metric: Gauge, read: ReadValuesByGroup) -> None:
-        """Read a number for each pool or service by a callback."""
+        """Register a callback that returns values by pool or service."""
 
         def observations(_: api.CallbackOptions) -> Iterable[api.Observation]:
             for group, number in read().items():
@@ -354,9 +354,9 @@
         self._add_observed_metric(metric, observations)
 
     def exposition(self) -> bytes:
-        """Give all series in the Prometheus text format.
+        """Return all series in the Prometheus text format.
 
-        Other greenlets run while it is written.
+        Other greenlets run while it is rendered.
         """
         observed = list(self._get_sdk().registry.collect())
         own_families = (item.families() for item in self._instruments)
@@ -365,7 +365,7 @@
         )
 
     def stop(self) -> None:
-        """Push once more, within a short bound, and end the push thread."""
+        """Push once more, with a short timeout, and end the push thread."""
         if self._sdk is not None:
             self._sdk.provider.shutdown(
                 timeout_millis=STOP_TIMEOUT_MILLISECONDS
--- a/src/topazlug/telemetry/_push.py
+++ b/src/topazlug/telemetry/_push.py
@@ -1,4 +1,4 @@
-"""Pushes metrics by OTLP, a part at a time."""
+"""Pushes metrics by OTLP in batches."""
 
 from collections.abc import Iterator
 from collections.abc import Sequence
@@ -21,24 +21,24 @@
     interval: float,
     instruments: Sequence[_batches.Instrument],
 ) -> sdk_export.MetricReader:
-    """Start to push.
+    """Start to push metrics at intervals.
 
     Parameters
     ----------
     endpoint : str
-        URL that takes OTLP over HTTP.
+        URL that accepts OTLP over HTTP.
     interval : float
         Seconds between pushes.
     instruments : sequence of Instrument
-        What is pushed besides the SDK's own instruments.
+        Instruments to push besides the SDK's own.
 
     Returns
     -------
     opentelemetry.sdk.metrics.export.MetricReader
-        For the meter provider; its shutdown ends the pushes.
+        The reader for the meter provider; its shutdown ends the pushes.
     """
-    # Imported only where it is used: with its encoder it takes 2 MB out of
-    # the 64 MB that a daemon may hold.
+    # Imported only if metrics are pushed: with its encoder the module takes
+    # 2 MB of the 64 MB that a daemon may use.
     from opentelemetry.exporter.otlp.proto.http import metric_exporter
 
     inner = metric_exporter.OTLPMetricExporter(
@@ -52,12 +52,12 @@
 
 @final
 class BatchingExporter(sdk_export.MetricExporter):
-    """Sends what the SDK collected, then the other instruments in parts.
+    """Sends the SDK's metrics, then the other instruments in batches.
 
     Parameters
     ----------
     inner : MetricExporter
-        Sends one part.
+        Sends one batch.
     instruments : sequence of Instrument
         The other instruments.
     """
@@ -78,25 +78,25 @@
         timeout_millis: float = 10_000,
         **kwargs: Any,
     ) -> sdk_export.MetricExportResult:
-        """Send all parts, up to the first that fails."""
-        for part in self._parts(metrics_data):
-            result = self._inner.export(part, timeout_millis=timeout_millis)
-            # Each part may wait for its own timeout: with the endpoint down
-            # a push of many parts would last for minutes.
+        """Send all batches until one fails."""
+        for batch in self._split(metrics_data):
+            result = self._inner.export(batch, timeout_millis=timeout_millis)
+            # Each batch may wait for its own timeout, so a push of many
+            # batches to an unresponsive endpoint would take minutes.
             if result is not sdk_export.MetricExportResult.SUCCESS:
                 return result
             gevent.sleep(_batches.PAUSE_SECONDS)
         return sdk_export.MetricExportResult.SUCCESS
 
     def force_flush(self, timeout_millis: float = 10_000) -> bool:
-        """Nothing is kept back."""
+        """Return True, as nothing is buffered."""
         return True
 
     def shutdown(self, timeout_millis: float = 30_000, **kwargs: Any) -> None:
-        """End the connection."""
+        """Close the connection."""
         self._inner.shutdown(timeout_millis=timeout_millis)
 
-    def _parts(
+    def _split(
         self, collected: sdk_export.MetricsData
     ) -> Iterator[sdk_export.MetricsData]:
         yield collected
--- a/tests/topazlug/telemetry/test_metrics.py
+++ b/tests/topazlug/telemetry/test_metrics.py
@@ -147,11 +147,11 @@
 
 class TestExposition:
     def test_other_greenlets_run_during_exposition(self, metrics):
-        """Streams that stand still at each scrape.
+        """Guards against streams that stall at each scrape.
 
-        Symptom: a gap between tokens every few seconds, on all streams.
-        Sequence: a scrape asks for thousands of series while tokens come in.
-        Cause: their text is written at one go.
+        A scrape requests thousands of series while tokens arrive. If they
+        were rendered in one step, all streams would show a gap between
+        tokens.
         """
         runs = []
 
@@ -195,11 +195,10 @@
             server.stop()
 
     def test_unresponsive_endpoint_does_not_block_scrapes(self):
-        """A daemon that stops answering when its collector hangs.
+        """Guards against scrapes and requests that stall during a push.
 
-        Symptom: scrapes and requests stall while the push waits. Sequence:
-        the collector takes the connection and never answers. Cause: a push
-        that blocks the thread of all greenlets, or holds a lock meanwhile.
+        The collector accepts the connection and never answers. The push must
+        not block the thread of all greenlets, nor hold a lock meanwhile.
         """
         request_received = event.Event()
 
