--- a/src/topazlug/_log_output.py
+++ b/src/topazlug/_log_output.py
@@ -1,6 +1,6 @@
 """Non-blocking output of log lines, bounded in rate and memory.
 
-If the reader of the output stops reading, such as a collector that hangs, a
+If the reader of the output, such as a log collector, stopped reading, a
 blocking write of the next line would block the daemon and all its requests.
 """
 
@@ -36,7 +36,7 @@
 
 
 class _TokenBucket:
-    """Limits a rate, with a burst; important lines may use all of it."""
+    """Token bucket; common lines may use only a part of the burst."""
 
     def __init__(self, rate: float, clock: _clock.Clock) -> None:
         self._rate = rate
--- a/src/topazlug/_settings.py
+++ b/src/topazlug/_settings.py
@@ -125,7 +125,7 @@
     def construct_env(self, node: yaml.Node) -> str:
         if not isinstance(node, yaml.ScalarNode):
             raise yaml.constructor.ConstructorError(
-                problem=f"{ENV_TAG} takes the name of one variable",
+                problem=f"{ENV_TAG} requires the name of one variable",
                 problem_mark=node.start_mark,
             )
         name = str(node.value)
@@ -234,11 +234,11 @@
 ) -> _errors.SettingsInvalid:
     known = _known_keys(section)
     nearest = difflib.get_close_matches(name, known, n=1, cutoff=0.5)
-    remedy = f"known here are {', '.join(known)}"
+    remedy = f"known keys are {', '.join(known)}"
     if nearest:
         remedy = f"did you mean {nearest[0]!r}? {remedy}"
     return error_builder.error(
-        (*section, name), expected="no such key", remedy=remedy
+        (*section, name), expected="a known key", remedy=remedy
     )
 
 
@@ -287,7 +287,7 @@
             if not isinstance(name, str):
                 raise error_builder.error(
                     key,
-                    expected=f"keys that are words, not {name!r}",
+                    expected=f"keys that are strings, not {name!r}",
                     remedy=f"correct the key, {REFERENCE}",
                 )
             _check_raw_values(inner, (*key, name), error_builder)
--- a/src/topazlug/peers/_peer_auth.py
+++ b/src/topazlug/peers/_peer_auth.py
@@ -12,8 +12,8 @@
 batch of frames carries a keyed BLAKE2b MAC over its number and bytes, so
 that an attacker on the path can't insert, change, repeat, drop or reorder
 batches undetected. **Without TLS** such an attacker can still read all
-messages and cut the connection, and one who learns the secret can read
-recorded connections, and read and forge future ones. Where that matters,
+messages and break the connection, and one who learns the secret can read and
+forge recorded connections as well as future ones. Where that matters,
 configure certificates for the daemons (`topazlug.peers._peer_tls`).
 """
 
@@ -52,7 +52,7 @@
 
 
 class Role(enum.Enum):
-    """The side of a connection."""
+    """Side of a connection; its value is part of the MACs."""
 
     DIALLING = "dialling"
     ACCEPTING = "accepting"
@@ -62,7 +62,7 @@
     """Socket operations that the handshake uses."""
 
     def recv(self, size: int, /) -> bytes:
-        """Read at most `size` bytes; return none at the end of the stream."""
+        """Read at most `size` bytes; empty at the end of the stream."""
 
     def sendall(self, data: bytes, /) -> None:
         """Write all of `data`."""
@@ -201,8 +201,9 @@
 
 
 def _new_unpacker(max_bytes: int) -> msgpack.Unpacker:
-    # By default an unpacker allocates a buffer of 1 MiB and fills all of it
-    # before it starts over, so that all of it becomes resident.
+    # By default an unpacker allocates a buffer of 1 MiB and uses all of it
+    # before it starts over at the beginning, so the whole buffer becomes
+    # resident.
     return msgpack.Unpacker(
         read_size=UNPACKER_READ_BYTES,
         max_buffer_size=max_bytes + BATCH_OVERHEAD_BYTES + READ_BYTES,
--- a/src/topazlug/peers/_peer_connections.py
+++ b/src/topazlug/peers/_peer_connections.py
@@ -35,7 +35,7 @@
         self._is_tls = isinstance(sock, ssl.SSLSocket)
 
     def recv(self, size: int, /) -> bytes:
-        """Read at most `size` bytes; return none at the end of the stream."""
+        """Read at most `size` bytes; empty at the end of the stream."""
         data: bytes = self._sock.recv(size)
         self._traffic.received += len(data)
         return data
--- a/src/topazlug/peers/_peer_link.py
+++ b/src/topazlug/peers/_peer_link.py
@@ -1,4 +1,6 @@
-"""One connection between two daemons; usable before its handshake ends.
+"""One connection between two daemons.
+
+Frames can be queued before the handshake is complete.
 
 Besides the kernel's buffers, an idle link holds only the memory of the
 greenlet that reads: no timer, no writer and no unpacker. The buffer of a read
@@ -194,7 +196,7 @@
             self._sock.close()
         for result in self._result_by_call.values():
             result.set_exception(
-                _errors.PeerUnreachable(f"link to {self.name} was cut")
+                _errors.PeerUnreachable(f"link to {self.name} was closed")
             )
         self._result_by_call.clear()
 
@@ -216,9 +218,9 @@
         gevent.get_hub().loop.run_callback(self._write_now)
 
     def _write_now(self) -> None:
-        # Runs in the hub after all greenlets that are ready to run, so that
-        # their frames go out in one batch. It must not block. Starting a
-        # greenlet for each write would take a third of the time of a call.
+        # Runs in the hub after all greenlets that have something to send at
+        # this moment, and must not block. Starting a greenlet for each write
+        # would take a third of the time of a call.
         unsent = b""
         try:
             while self._queue and not self.closed and not unsent:
--- a/src/topazlug/peers/_peers.py
+++ b/src/topazlug/peers/_peers.py
@@ -34,7 +34,7 @@
 IDLE_SECONDS = 60.0
 IDLE_MARGIN_SECONDS = 30.0
 REAPS_PER_IDLE_PERIOD = 4
-MAX_HANDSHAKES = 128
+MAX_PENDING_HANDSHAKES = 128
 BACKLOG = 1024
 
 _log = logbook.Logger("topazlug.peers")
@@ -104,7 +104,7 @@
         self._accepted: set[_peer_link.Link] = set()
         self._greenlets: set[gevent.Greenlet] = set()
         self._before_each_message: Callable[[], object] = _do_nothing
-        self._handshakes = 0
+        self._pending_handshakes = 0
         self._server: server.StreamServer | None = None
         self._stopped = False
         self._reaper = gevent.spawn(self._reap_forever)
@@ -171,8 +171,8 @@
         Raises
         ------
         PeerUnreachable
-            If the peer is unreachable. If none is raised, the message may
-            still be lost.
+            If the peer is unreachable. Without an exception, the message
+            may still be lost.
         """
         self._link_to(to).post(message, call=_peer_codec.ONE_WAY)
 
@@ -297,7 +297,7 @@
         # A client that opens connections and sends nothing holds a greenlet
         # for each until the handshake times out. Connections beyond this
         # number are closed at once, to bound memory.
-        if self._handshakes >= MAX_HANDSHAKES or self._stopped:
+        if self._pending_handshakes >= MAX_PENDING_HANDSHAKES or self._stopped:
             sock.close()
             return
         self._greenlets.add(gevent.getcurrent())
@@ -312,11 +312,11 @@
             sock.close()
 
     def _serve_connection(self, sock: socket.socket) -> None:
-        self._handshakes += 1
+        self._pending_handshakes += 1
         try:
             counted, session = self._connector.accept(sock)
         finally:
-            self._handshakes -= 1
+            self._pending_handshakes -= 1
         self._serve_link(counted, session)
 
     def _serve_link(
--- a/src/topazlug/telemetry/_batches.py
+++ b/src/topazlug/telemetry/_batches.py
@@ -37,10 +37,10 @@
     """A metric that stores its own series."""
 
     def families(self) -> Iterator[core.Metric]:
-        """Yield the series in batches, as parts of one Prometheus family."""
+        """Yield the series in batches, as parts of a Prometheus family."""
 
     def metrics(self) -> Iterator[export.Metric]:
-        """Yield the series in batches, as parts of one OpenTelemetry metric."""
+        """Yield the series in batches, as parts of an OpenTelemetry metric."""
 
 
 def split(items: Collection[_Item]) -> Iterator[Sequence[_Item]]:
--- a/src/topazlug/telemetry/_histograms.py
+++ b/src/topazlug/telemetry/_histograms.py
@@ -95,7 +95,7 @@
         self._name = name
         self._description = description
         self._bounds = tuple(bounds)
-        self._teams = teams
+        self._team_labels = teams
         self._started = time.time_ns()
         self._series_by_key: dict[_SeriesKey, _Series] = {}
 
@@ -119,7 +119,7 @@
     def _get_or_add_series(
         self, team: _ids.TeamName, request_class: table.RequestClass
     ) -> _Series:
-        key = (self._teams.team_label(team), request_class)
+        key = (self._team_labels.team_label(team), request_class)
         series = self._series_by_key.get(key)
         if series is None:
             series = _Series(len(self._bounds) + 1)
--- a/src/topazlug/telemetry/_metrics.py
+++ b/src/topazlug/telemetry/_metrics.py
@@ -120,8 +120,8 @@
     Total.PAUSES: "Jumps of the clock: the daemon was frozen and thawed.",
 }
 
-ReadValue = Callable[[], float]
-ReadValuesByGroup = Callable[[], Mapping[_ids.GroupName, float]]
+ValueCallback = Callable[[], float]
+GroupValuesCallback = Callable[[], Mapping[_ids.GroupName, float]]
 
 
 class _ObservedMetric(NamedTuple):
@@ -159,7 +159,9 @@
         daemon_id: _ids.DaemonId,
         zone: str,
     ) -> None:
-        self._teams = _histograms.TeamLabels(cap=metrics_settings.team_cap)
+        self._team_labels = _histograms.TeamLabels(
+            cap=metrics_settings.team_cap
+        )
         self._first_token = self._histogram(
             "first_token.duration",
             "Time from a request's arrival to its answer's first token.",
@@ -289,7 +291,7 @@
     ) -> None:
         """Count an answered request; the code is None if it succeeded."""
         labels = (
-            self._teams.team_label(team),
+            self._team_labels.team_label(team),
             request_class.value,
             OK if code is None else code.value,
             outcome.value,
@@ -300,7 +302,7 @@
         self, team: _ids.TeamName, request_class: table.RequestClass
     ) -> None:
         """Count an attempt after the first."""
-        team_label = self._teams.team_label(team)
+        team_label = self._team_labels.team_label(team)
         self._retries.add((team_label, request_class.value))
 
     def count_rejection(
@@ -310,7 +312,7 @@
         code: _errors.Code,
     ) -> None:
         """Count a request rejected before anything was sent to a target."""
-        team_label = self._teams.team_label(team)
+        team_label = self._team_labels.team_label(team)
         self._rejections.add((team_label, request_class.value, code.value))
 
     def count_returning_chat(
@@ -332,7 +334,7 @@
         computed = max(0, tokens_prompt - tokens_cached)
         self._prompt_tokens.add(("computed",), computed)
 
-    def watch(self, metric: Gauge | Total, read: ReadValue) -> None:
+    def watch(self, metric: Gauge | Total, read: ValueCallback) -> None:
         """Register a callback that returns a value at each collection.
 
         Parameters
@@ -344,7 +346,7 @@
         """
         self._add_observed_metric(metric, lambda _: [api.Observation(read())])
 
-    def watch_by_group(self, metric: Gauge, read: ReadValuesByGroup) -> None:
+    def watch_by_group(self, metric: Gauge, read: GroupValuesCallback) -> None:
         """Register a callback that returns values by pool or service."""
 
         def observations(_: api.CallbackOptions) -> Iterable[api.Observation]:
@@ -382,7 +384,7 @@
             name=f"topazlug.{name}",
             description=description,
             bounds=bounds,
-            teams=self._teams,
+            teams=self._team_labels,
         )
 
     def _add_observed_metric(
--- a/tests/topazlug/peers/test_peer_auth.py
+++ b/tests/topazlug/peers/test_peer_auth.py
@@ -16,7 +16,7 @@
 KEY = b"k" * 32
 
 
-def perform_one_side(
+def handshake_one_side(
     sock, role, *, name, secret=peer_fixtures.SECRET, expected=None
 ):
     """Perform one side of a handshake; close the socket on failure."""
@@ -37,12 +37,14 @@
 
 def accept_in_greenlet(sock, **values):
     return gevent.spawn(
-        perform_one_side, sock, _peer_auth.Role.ACCEPTING, name="b", **values
+        handshake_one_side, sock, _peer_auth.Role.ACCEPTING, name="b", **values
     )
 
 
 def dial(sock, **values):
-    return perform_one_side(sock, _peer_auth.Role.DIALLING, name="a", **values)
+    return handshake_one_side(
+        sock, _peer_auth.Role.DIALLING, name="a", **values
+    )
 
 
 class RecordingSocket:
--- a/tests/topazlug/peers/test_peers.py
+++ b/tests/topazlug/peers/test_peers.py
@@ -27,12 +27,12 @@
 
 
 @pytest.fixture
-def asking(pair):
+def dialler(pair):
     return pair.make("a")
 
 
 @pytest.fixture
-def answering(pair):
+def acceptor(pair):
     return pair.make("b")
 
 
@@ -78,139 +78,137 @@
 class TestCalls:
     """Each call receives its own answer."""
 
-    def test_answer(self, asking, answering):
-        answering.handle(messages.ConfigPull, answer_with_number)
-        assert asking.call("b", pull(5), timeout=CALL_TIMEOUT).lent == 5
+    def test_answer(self, dialler, acceptor):
+        acceptor.handle(messages.ConfigPull, answer_with_number)
+        assert dialler.call("b", pull(5), timeout=CALL_TIMEOUT).lent == 5
 
-    def test_handler_receives_the_sender(self, asking, answering):
+    def test_handler_receives_the_sender(self, dialler, acceptor):
         senders = []
-        answering.handle(
+        acceptor.handle(
             messages.ConfigPull,
             lambda peer, _message, reply: (
                 senders.append(peer),
                 reply(messages.Ack()),
             ),
         )
-        asking.call("b", pull(5), timeout=CALL_TIMEOUT)
+        dialler.call("b", pull(5), timeout=CALL_TIMEOUT)
         assert senders == ["a"]
 
-    def test_answers_out_of_order(self, asking, answering):
-        kept = []
-        answering.handle(
+    def test_answers_out_of_order(self, dialler, acceptor):
+        received = []
+        acceptor.handle(
             messages.ConfigPull,
-            lambda _peer, message, reply: kept.append((message, reply)),
+            lambda _peer, message, reply: received.append((message, reply)),
         )
         calls = [
-            gevent.spawn(asking.call, "b", pull(n), timeout=CALL_TIMEOUT)
+            gevent.spawn(dialler.call, "b", pull(n), timeout=CALL_TIMEOUT)
             for n in range(3)
         ]
-        peer_fixtures.wait_until(lambda: len(kept) == 3)
-        for message, reply in reversed(kept):
+        peer_fixtures.wait_until(lambda: len(received) == 3)
+        for message, reply in reversed(received):
             answer_with_number("a", message, reply)
         assert [call.get().lent for call in calls] == [0, 1, 2]
 
-    def test_late_answer_is_discarded(self, asking, answering):
+    def test_late_answer_is_discarded(self, dialler, acceptor):
         """Guards against a call that receives another call's answer.
 
         A call times out, another is made, and then both answers arrive.
         Fails if answers are matched to calls by their order.
         """
-        kept = []
-        answering.handle(
+        received = []
+        acceptor.handle(
             messages.ConfigPull,
-            lambda _peer, message, reply: kept.append((message, reply)),
+            lambda _peer, message, reply: received.append((message, reply)),
         )
         with pytest.raises(_errors.PeerUnreachable, match="unanswered"):
-            asking.call("b", pull(1), timeout=0.2)
-        second = gevent.spawn(asking.call, "b", pull(2), timeout=CALL_TIMEOUT)
-        peer_fixtures.wait_until(lambda: len(kept) == 2)
-        for message, reply in kept:
+            dialler.call("b", pull(1), timeout=0.2)
+        second = gevent.spawn(dialler.call, "b", pull(2), timeout=CALL_TIMEOUT)
+        peer_fixtures.wait_until(lambda: len(received) == 2)
+        for message, reply in received:
             answer_with_number("a", message, reply)
         assert second.get().lent == 2
 
-    def test_outer_timeout_is_not_swallowed(self, asking, answering):
-        answering.handle(messages.ConfigPull, lambda *_: None)
+    def test_outer_timeout_is_not_swallowed(self, dialler, acceptor):
+        acceptor.handle(messages.ConfigPull, lambda *_: None)
         with pytest.raises(gevent.Timeout):
             with gevent.Timeout(0.1):
-                asking.call("b", pull(1), timeout=CALL_TIMEOUT)
+                dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
 
-    def test_unknown_kind_fails_at_once(self, asking, answering):
+    def test_unknown_kind_fails_at_once(self, dialler, acceptor):
         with pytest.raises(_errors.PeerUnreachable, match="refused"):
-            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
+            dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
 
-    def test_failing_handler_keeps_the_stream_open(self, asking, answering):
-        answering.handle(messages.ConfigPull, lambda *_: 1 / 0)
-        answering.handle(
-            messages.Release, lambda _p, _m, reply: reply(pull(1))
-        )
+    def test_failing_handler_keeps_the_stream_open(self, dialler, acceptor):
+        acceptor.handle(messages.ConfigPull, lambda *_: 1 / 0)
+        acceptor.handle(messages.Release, lambda _p, _m, reply: reply(pull(1)))
         with pytest.raises(_errors.PeerUnreachable, match="refused"):
-            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
-        answer = asking.call(
+            dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
+        answer = dialler.call(
             "b", messages.Release(asks=[]), timeout=CALL_TIMEOUT
         )
         assert answer == pull(1)
-        assert answering.link_count == 1
+        assert acceptor.link_count == 1
 
-    def test_sends_arrive_in_order(self, asking, answering):
+    def test_sends_arrive_in_order(self, dialler, acceptor):
         found = []
-        answering.handle(
+        acceptor.handle(
             messages.ConfigPull, lambda _p, message, _r: found.append(message)
         )
         sent = [pull(number) for number in range(2000)]
         for message in sent:
-            asking.send("b", message)
+            dialler.send("b", message)
         peer_fixtures.wait_until(lambda: len(found) == len(sent))
         assert found == sent
 
-    def test_large_message(self, asking, answering):
-        answering.handle(
+    def test_large_message(self, dialler, acceptor):
+        acceptor.handle(
             messages.Release, lambda _p, message, reply: reply(message)
         )
         large = messages.Release(asks=list(range(500_000)))
-        assert asking.call("b", large, timeout=CALL_TIMEOUT) == large
+        assert dialler.call("b", large, timeout=CALL_TIMEOUT) == large
 
-    def test_bytes_are_counted_alike(self, asking, answering):
-        answering.handle(messages.ConfigPull, answer_with_number)
-        asking.call("b", pull(1), timeout=CALL_TIMEOUT)
-        assert asking.bytes_sent == answering.bytes_received > 0
-        assert asking.bytes_received == answering.bytes_sent > 0
+    def test_bytes_are_counted_alike(self, dialler, acceptor):
+        acceptor.handle(messages.ConfigPull, answer_with_number)
+        dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
+        assert dialler.bytes_sent == acceptor.bytes_received > 0
+        assert dialler.bytes_received == acceptor.bytes_sent > 0
 
 
 class TestBrokenStreams:
     """Every failure of a peer raises `PeerUnreachable`."""
 
-    def test_unknown_peer(self, asking):
+    def test_unknown_peer(self, dialler):
         with pytest.raises(_errors.PeerUnreachable, match="no address"):
-            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
+            dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
 
-    def test_cut_fails_pending_calls(self, asking, answering):
-        answering.handle(messages.ConfigPull, lambda *_: answering.stop())
-        with pytest.raises(_errors.PeerUnreachable, match="cut"):
-            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
+    def test_closed_link_fails_pending_calls(self, dialler, acceptor):
+        acceptor.handle(messages.ConfigPull, lambda *_: acceptor.stop())
+        with pytest.raises(_errors.PeerUnreachable, match="was closed"):
+            dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
 
-    def test_restarted_peer_is_dialled_again(self, pair, asking):
+    def test_restarted_peer_is_dialled_again(self, pair, dialler):
         pair.make("b").handle(messages.ConfigPull, answer_with_number)
-        asking.call("b", pull(1), timeout=CALL_TIMEOUT)
+        dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
         pair.links_by_id["b"].stop()
         pair.make("b").handle(messages.ConfigPull, answer_with_number)
-        peer_fixtures.wait_until(lambda: asking.link_count == 0)
-        assert asking.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
+        peer_fixtures.wait_until(lambda: dialler.link_count == 0)
+        assert dialler.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
 
     def test_backoff_fails_calls_until_it_expires(
-        self, pair, asking, answering
+        self, pair, dialler, acceptor
     ):
-        answering.handle(messages.ConfigPull, answer_with_number)
+        acceptor.handle(messages.ConfigPull, answer_with_number)
         right = pair.address_by_id["b"]
         pair.address_by_id["b"] = _peers.Address("127.0.0.1", 1)
-        with pytest.raises(_errors.PeerUnreachable, match="cut"):
-            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
+        with pytest.raises(_errors.PeerUnreachable, match="was closed"):
+            dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
         pair.address_by_id["b"] = right
         with pytest.raises(_errors.PeerUnreachable, match="retried"):
-            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
+            dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
         pair.clock.seconds += 2.0
-        assert asking.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
+        assert dialler.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
 
-    def test_frozen_peer_fails_the_call(self, pair, asking):
+    def test_frozen_peer_fails_the_call(self, pair, dialler):
         """Guards against calls that hang on a frozen peer.
 
         The peer's process is frozen, while its kernel still accepts
@@ -218,10 +216,10 @@
         """
         ListeningPeer(pair, "b", never_respond)
         with pytest.raises(_errors.PeerUnreachable):
-            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
+            dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
 
     def test_peer_that_does_not_read_does_not_block_senders(
-        self, pair, asking
+        self, pair, dialler
     ):
         """Guards against blocked senders and unbounded memory.
 
@@ -233,10 +231,10 @@
         large = messages.Release(asks=list(range(100_000)))
         with pytest.raises(_errors.PeerUnreachable, match="does not read"):
             for _ in range(1000):
-                asking.send("b", large)
+                dialler.send("b", large)
                 gevent.sleep(0.001)
 
-    def test_unresponsive_stream_is_closed(self, pair, asking):
+    def test_unresponsive_stream_is_closed(self, pair, dialler):
         """Guards against calls that each wait for their timeout.
 
         The path to the peer drops all packets, and the connection stays
@@ -245,27 +243,27 @@
         """
         ListeningPeer(pair, "b", authenticate_then_never_respond)
         with pytest.raises(_errors.PeerUnreachable, match="unanswered"):
-            asking.call("b", pull(1), timeout=0.2)
-        assert asking.link_count == 1
+            dialler.call("b", pull(1), timeout=0.2)
+        assert dialler.link_count == 1
         pair.clock.seconds += _peer_link.MAX_UNANSWERED_SECONDS + 1
         with pytest.raises(_errors.PeerUnreachable):
-            asking.call("b", pull(1), timeout=0.2)
-        peer_fixtures.wait_until(lambda: asking.link_count == 0)
+            dialler.call("b", pull(1), timeout=0.2)
+        peer_fixtures.wait_until(lambda: dialler.link_count == 0)
 
-    def test_idle_stream_closes(self, pair, asking, answering):
-        answering.handle(messages.ConfigPull, answer_with_number)
-        asking.call("b", pull(1), timeout=CALL_TIMEOUT)
+    def test_idle_stream_closes(self, pair, dialler, acceptor):
+        acceptor.handle(messages.ConfigPull, answer_with_number)
+        dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
         pair.clock.seconds += 1.0
-        peer_fixtures.wait_until(lambda: asking.link_count == 0)
-        peer_fixtures.wait_until(lambda: answering.link_count == 0)
-        assert asking.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
+        peer_fixtures.wait_until(lambda: dialler.link_count == 0)
+        peer_fixtures.wait_until(lambda: acceptor.link_count == 0)
+        assert dialler.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
 
 
 class TestUnauthenticated:
     """Clients that fail the handshake are disconnected."""
 
     @pytest.mark.parametrize("data", [b"", b"GET / HTTP/1.1\r\n\r\n" * 90])
-    def test_connection_is_closed(self, pair, answering, data):
+    def test_connection_is_closed(self, pair, acceptor, data):
         with socket.create_connection(pair.address_by_id["b"]) as stranger:
             stranger.sendall(data)
             stranger.settimeout(CALL_TIMEOUT)
@@ -274,15 +272,15 @@
             except ConnectionResetError:
                 pass
 
-    def test_wrong_secret_runs_no_handler(self, pair, answering):
+    def test_wrong_secret_runs_no_handler(self, pair, acceptor):
         found = []
-        answering.handle(messages.ConfigPull, lambda *_: found.append(1))
+        acceptor.handle(messages.ConfigPull, lambda *_: found.append(1))
         stranger = pair.make("c", secret="another secret of some length")
         with pytest.raises(_errors.PeerUnreachable):
             stranger.call("b", pull(1), timeout=CALL_TIMEOUT)
         assert not found
 
-    def test_invalid_message_cuts_the_stream(self, pair, answering):
+    def test_invalid_message_cuts_the_stream(self, pair, acceptor):
         sock = socket.create_connection(pair.address_by_id["b"])
         session = _peer_auth.perform_handshake(
             sock,
@@ -312,18 +310,18 @@
         return make_tls_settings
 
     def test_call(self, pair, make_tls_settings):
-        asking = pair.make("a", tls=make_tls_settings("daemon"))
-        answering = pair.make("b", tls=make_tls_settings("daemon"))
-        answering.handle(
+        dialler = pair.make("a", tls=make_tls_settings("daemon"))
+        acceptor = pair.make("b", tls=make_tls_settings("daemon"))
+        acceptor.handle(
             messages.Release, lambda _p, message, reply: reply(message)
         )
         large = messages.Release(asks=list(range(100_000)))
-        assert asking.call("b", large, timeout=CALL_TIMEOUT) == large
+        assert dialler.call("b", large, timeout=CALL_TIMEOUT) == large
 
     def test_another_authority_is_refused(self, pair, make_tls_settings):
-        asking = pair.make("a", tls=make_tls_settings("stranger"))
-        answering = pair.make("b", tls=make_tls_settings("daemon"))
-        answering.handle(messages.ConfigPull, answer_with_number)
+        dialler = pair.make("a", tls=make_tls_settings("stranger"))
+        acceptor = pair.make("b", tls=make_tls_settings("daemon"))
+        acceptor.handle(messages.ConfigPull, answer_with_number)
         with pytest.raises(_errors.PeerUnreachable):
-            asking.call("b", pull(1), timeout=CALL_TIMEOUT)
-        assert answering.link_count == 0
+            dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
+        assert acceptor.link_count == 0
--- a/tests/topazlug/store/test_object_client.py
+++ b/tests/topazlug/store/test_object_client.py
@@ -11,10 +11,10 @@
 
 @pytest.fixture
 def platform():
-    made = _platform.Platform(list_lag=0.0, writes_per_second=0.0)
-    server = _http.server(made.answer, 0)
-    made.port = server.server_port
-    yield made
+    stand_in = _platform.Platform(list_lag=0.0, writes_per_second=0.0)
+    server = _http.server(stand_in.answer, 0)
+    stand_in.port = server.server_port
+    yield stand_in
     server.stop()
 
 
--- a/tests/topazlug/store/test_table_client.py
+++ b/tests/topazlug/store/test_table_client.py
@@ -18,10 +18,10 @@
 
 @pytest.fixture
 def platform():
-    made = _platform.Platform(list_lag=0.0, writes_per_second=0.0)
-    server = _http.server(made.answer, 0)
-    made.port = server.server_port
-    yield made
+    stand_in = _platform.Platform(list_lag=0.0, writes_per_second=0.0)
+    server = _http.server(stand_in.answer, 0)
+    stand_in.port = server.server_port
+    yield stand_in
     server.stop()
 
 
@@ -65,14 +65,14 @@
 
 @pytest.fixture
 def start_server():
-    made = []
+    servers = []
 
     def make(answer):
-        made.append(ScriptedServer(answer))
-        return made[-1]
+        servers.append(ScriptedServer(answer))
+        return servers[-1]
 
     yield make
-    for one in made:
+    for one in servers:
         one.stop()
 
 
--- a/tests/topazlug/telemetry/test_metrics.py
+++ b/tests/topazlug/telemetry/test_metrics.py
@@ -42,9 +42,9 @@
 
 @pytest.fixture
 def metrics():
-    made = make()
-    yield made
-    made.stop()
+    new_metrics = make()
+    yield new_metrics
+    new_metrics.stop()
 
 
 class TestHistograms:
--- a/tests/topazlug/test_settings.py
+++ b/tests/topazlug/test_settings.py
@@ -59,7 +59,7 @@
             ("bound: 1.25", "bound: 1, bound: 2", ["line 11", "twice"]),
             ("bound: 1.25}", "bound: 1.25", ["line 12", "expected"]),
             ("id: d1, ", "", ["daemon.id", "required"]),
-            ("routing:", "1:", ["words, not 1"]),
+            ("routing:", "1:", ["strings, not 1"]),
             ("{bound: 1.25}", "", ["routing", "nothing", "object"]),
             ("!env FLEET_SECRET", "!env NONE_SUCH", ["'NONE_SUCH'"]),
             ("{host: 127.0.0.1, port: 1}", "[]", ["platform.tables"]),
