--- a/src/topazlug/peers/_peer_codec.py
+++ b/src/topazlug/peers/_peer_codec.py
@@ -102,9 +102,9 @@
 
 def join(frames: Iterable[bytes]) -> bytes:
     """Join encoded frames into a batch."""
-    kept = list(frames)
-    header = msgpack.Packer().pack_array_header(len(kept))
-    return header + b"".join(kept)
+    frame_list = list(frames)
+    header = msgpack.Packer().pack_array_header(len(frame_list))
+    return header + b"".join(frame_list)
 
 
 def decode(batch: bytes) -> list[Frame]:
--- a/src/topazlug/peers/_peer_connections.py
+++ b/src/topazlug/peers/_peer_connections.py
@@ -100,7 +100,7 @@
         """
         with self._timeout():
             # create_connection() would resolve even an IP number in a thread
-            # pool, which takes half the cost of a new connection.
+            # pool, which would be half the cost of a new connection.
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
             sock = socket.socket(family, socket.SOCK_STREAM)
             try:
--- a/src/topazlug/store/_instances.py
+++ b/src/topazlug/store/_instances.py
@@ -180,8 +180,8 @@
             If it can't be read; the last list read stays in use.
         """
         data = self._request("GET", LIST_PATH, b"")
-        # At the fleet's target size the list is over a megabyte and seldom
-        # changes. Hashing it costs far less than decoding it.
+        # At the fleet's target size the list is over a megabyte, and usually
+        # unchanged. Hashing it costs far less than decoding it.
         fingerprint = xxhash.xxh3_128_digest(data)
         if fingerprint != self._fingerprint:
             self._replace(data)
--- a/src/topazlug/telemetry/_histograms.py
+++ b/src/topazlug/telemetry/_histograms.py
@@ -39,9 +39,9 @@
     Parameters
     ----------
     cap : int
-        Number of teams with series of their own: the first ones seen keep
-        them for good. If a team lost its series, its counts would decrease,
-        and a scraper takes a decreasing count for a restart.
+        Maximum number of teams with series of their own. The first teams
+        seen keep theirs permanently: if a team lost its series, its counts
+        would decrease, and a scraper takes a decreasing count for a restart.
     """
 
     def __init__(self, *, cap: int) -> None:
