--- a/src/topazlug/peers/_peers.py
+++ b/src/topazlug/peers/_peers.py
@@ -32,7 +32,7 @@
 from topazlug.peers import _peer_link
 
 IDLE_SECONDS = 60.0
-IDLE_MARGIN_SECONDS = 30.0
+ACCEPTED_IDLE_MARGIN_SECONDS = 30.0
 REAPS_PER_IDLE_PERIOD = 4
 MAX_PENDING_HANDSHAKES = 128
 BACKLOG = 1024
@@ -243,7 +243,7 @@
             self._clock.sleep(self._idle_seconds / REAPS_PER_IDLE_PERIOD)
             now = self._clock.monotonic()
             dialled_limit = now - self._idle_seconds
-            accepted_limit = dialled_limit - IDLE_MARGIN_SECONDS
+            accepted_limit = dialled_limit - ACCEPTED_IDLE_MARGIN_SECONDS
             for link in list(self._dialled_by_id.values()):
                 if (
                     link.last_used < dialled_limit
--- a/src/topazlug/telemetry/_histograms.py
+++ b/src/topazlug/telemetry/_histograms.py
@@ -46,15 +46,15 @@
 
     def __init__(self, *, cap: int) -> None:
         self._cap = cap
-        self._labelled: set[str] = set()
+        self._teams_with_series: set[str] = set()
 
     def team_label(self, team: str) -> str:
         """Return the label value of a team: its name, or ``other``."""
-        if team in self._labelled:
+        if team in self._teams_with_series:
             return team
-        if len(self._labelled) >= self._cap:
+        if len(self._teams_with_series) >= self._cap:
             return OTHER_TEAM
-        self._labelled.add(team)
+        self._teams_with_series.add(team)
         return team
 
 
--- a/tests/topazlug/peers/test_peer_auth.py
+++ b/tests/topazlug/peers/test_peer_auth.py
@@ -96,8 +96,8 @@
         """Guards against messages that reach the wrong daemon.
 
         A daemon is replaced, its address is assigned to another, and a peer
-        dials the address from an outdated list. Fails if the peer's name is
-        inferred from its address.
+        dials the address from an outdated list. This would happen if peers
+        were identified by their address alone.
         """
         accept_in_greenlet(pair[1])
         with pytest.raises(_errors.PeerRefused, match="dialled 'c'"):
@@ -112,9 +112,9 @@
         accepting = accept_in_greenlet(pair[1])
         dial(recording)
         accepting.get()
-        stranger, daemon = socket.socketpair()
+        client, daemon = socket.socketpair()
         accepting = accept_in_greenlet(daemon)
-        stranger.sendall(recording.sent)
+        client.sendall(recording.sent)
         with pytest.raises(_errors.PeerRefused, match="wrong proof"):
             accepting.get()
 
@@ -147,13 +147,13 @@
     @settings(max_examples=100, deadline=None)
     @given(data=strategies.binary(max_size=3000))
     def test_garbage_is_refused(self, data):
-        stranger, daemon = socket.socketpair()
+        client, daemon = socket.socketpair()
         accepting = accept_in_greenlet(daemon)
-        stranger.sendall(data)
-        stranger.shutdown(socket.SHUT_WR)
+        client.sendall(data)
+        client.shutdown(socket.SHUT_WR)
         with pytest.raises((_errors.PeerRefused, OSError)):
             accepting.get()
-        stranger.close()
+        client.close()
 
 
 class TestBatches:
--- a/tests/topazlug/peers/test_peer_codec.py
+++ b/tests/topazlug/peers/test_peer_codec.py
@@ -58,8 +58,8 @@
             _peer_codec.encode(message, call=call, max_bytes=LIMIT)
             for message, call in sent
         ]
-        found = _peer_codec.decode(_peer_codec.join(frames))
-        assert [(frame.message, frame.call) for frame in found] == sent
+        decoded = _peer_codec.decode(_peer_codec.join(frames))
+        assert [(frame.message, frame.call) for frame in decoded] == sent
 
     def test_refusal_answers_the_question(self):
         batch = _peer_codec.join([_peer_codec.encode_refusal(7)])
--- a/tests/topazlug/peers/test_peers.py
+++ b/tests/topazlug/peers/test_peers.py
@@ -113,7 +113,7 @@
         """Guards against a call that receives another call's answer.
 
         A call times out, another is made, and then both answers arrive.
-        Fails if answers are matched to calls by their order.
+        This would happen if answers were matched to calls by their order.
         """
         received = []
         acceptor.handle(
@@ -150,15 +150,16 @@
         assert acceptor.link_count == 1
 
     def test_sends_arrive_in_order(self, dialler, acceptor):
-        found = []
+        received = []
         acceptor.handle(
-            messages.ConfigPull, lambda _p, message, _r: found.append(message)
+            messages.ConfigPull,
+            lambda _p, message, _r: received.append(message),
         )
         sent = [pull(number) for number in range(2000)]
         for message in sent:
             dialler.send("b", message)
-        peer_fixtures.wait_until(lambda: len(found) == len(sent))
-        assert found == sent
+        peer_fixtures.wait_until(lambda: len(received) == len(sent))
+        assert received == sent
 
     def test_large_message(self, dialler, acceptor):
         acceptor.handle(
@@ -167,14 +168,14 @@
         large = messages.Release(asks=list(range(500_000)))
         assert dialler.call("b", large, timeout=CALL_TIMEOUT) == large
 
-    def test_bytes_are_counted_alike(self, dialler, acceptor):
+    def test_both_sides_count_the_same_bytes(self, dialler, acceptor):
         acceptor.handle(messages.ConfigPull, answer_with_number)
         dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
         assert dialler.bytes_sent == acceptor.bytes_received > 0
         assert dialler.bytes_received == acceptor.bytes_sent > 0
 
 
-class TestBrokenStreams:
+class TestFailures:
     """Every failure of a peer raises `PeerUnreachable`."""
 
     def test_unknown_peer(self, dialler):
@@ -198,11 +199,11 @@
         self, pair, dialler, acceptor
     ):
         acceptor.handle(messages.ConfigPull, answer_with_number)
-        right = pair.address_by_id["b"]
+        valid_address = pair.address_by_id["b"]
         pair.address_by_id["b"] = _peers.Address("127.0.0.1", 1)
         with pytest.raises(_errors.PeerUnreachable, match="was closed"):
             dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
-        pair.address_by_id["b"] = right
+        pair.address_by_id["b"] = valid_address
         with pytest.raises(_errors.PeerUnreachable, match="retried"):
             dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
         pair.clock.seconds += 2.0
@@ -212,7 +213,7 @@
         """Guards against calls that hang on a frozen peer.
 
         The peer's process is frozen, while its kernel still accepts
-        connections. Fails if the handshake has no timeout.
+        connections. Calls would hang if the handshake had no timeout.
         """
         ListeningPeer(pair, "b", never_respond)
         with pytest.raises(_errors.PeerUnreachable):
@@ -264,23 +265,23 @@
 
     @pytest.mark.parametrize("data", [b"", b"GET / HTTP/1.1\r\n\r\n" * 90])
     def test_connection_is_closed(self, pair, acceptor, data):
-        with socket.create_connection(pair.address_by_id["b"]) as stranger:
-            stranger.sendall(data)
-            stranger.settimeout(CALL_TIMEOUT)
+        with socket.create_connection(pair.address_by_id["b"]) as client:
+            client.sendall(data)
+            client.settimeout(CALL_TIMEOUT)
             try:
-                assert stranger.recv(1) == b""
+                assert client.recv(1) == b""
             except ConnectionResetError:
                 pass
 
     def test_wrong_secret_runs_no_handler(self, pair, acceptor):
-        found = []
-        acceptor.handle(messages.ConfigPull, lambda *_: found.append(1))
-        stranger = pair.make("c", secret="another secret of some length")
+        received = []
+        acceptor.handle(messages.ConfigPull, lambda *_: received.append(1))
+        client = pair.make("c", secret="another secret of some length")
         with pytest.raises(_errors.PeerUnreachable):
-            stranger.call("b", pull(1), timeout=CALL_TIMEOUT)
-        assert not found
+            client.call("b", pull(1), timeout=CALL_TIMEOUT)
+        assert not received
 
-    def test_invalid_message_cuts_the_stream(self, pair, acceptor):
+    def test_invalid_message_closes_the_stream(self, pair, acceptor):
         sock = socket.create_connection(pair.address_by_id["b"])
         session = _peer_auth.perform_handshake(
             sock,
