--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -89,7 +89,9 @@
     snapshot = holder.current
     assert snapshot is not None
     served = sizes.once_millis(
-        lambda: msgspec.msgpack.encode(_table_snapshot.as_changes(snapshot))
+        lambda: msgspec.msgpack.encode(
+            _table_snapshot.table_to_changes(snapshot)
+        )
     )
     push = messages.ConfigPush(changes=[_change(2)])
     return [
@@ -119,7 +121,7 @@
 def _holder(encoded: bytes) -> _configuration.ConfigurationHolder:
     answer = msgspec.msgpack.decode(encoded, type=messages.ConfigAnswer)
     holder = _configuration.ConfigurationHolder()
-    holder.apply_whole(revision=answer.revision, rows=answer.changes)
+    holder.apply_full_table(revision=answer.revision, rows=answer.changes)
     return holder
 
 
--- a/bench/fleets/fleet.py
+++ b/bench/fleets/fleet.py
@@ -46,8 +46,8 @@
         return
 
     def catch_up(self) -> None:
-        meta, rows = _table_storage.read_whole(self._store)
-        self._holder.apply_whole(revision=meta.revision, rows=rows)
+        meta, rows = _table_storage.read_full_table(self._store)
+        self._holder.apply_full_table(revision=meta.revision, rows=rows)
 
 
 @final
--- a/src/topazlug/_fleet_parts.py
+++ b/src/topazlug/_fleet_parts.py
@@ -104,7 +104,7 @@
             randomness=random.Random(),
         )
         self.membership.on_peer_revision(
-            lambda peer, revision: self.follower.hint(
+            lambda peer, revision: self.follower.handle_peer_revision(
                 peer=peer, revision=revision
             )
         )
--- a/src/topazlug/configuration/_configuration.py
+++ b/src/topazlug/configuration/_configuration.py
@@ -125,7 +125,7 @@
             revision = change.revision
         return revision, ApplyResult.APPLIED
 
-    def apply_whole(
+    def apply_full_table(
         self, *, revision: int, rows: Iterable[messages.RowChange]
     ) -> ApplyResult:
         """Bring a whole table into force if its revision is higher.
--- a/src/topazlug/configuration/_configuration_follower.py
+++ b/src/topazlug/configuration/_configuration_follower.py
@@ -143,7 +143,9 @@
         if self._greenlet is not None:
             self._greenlet.kill()
 
-    def hint(self, *, peer: _ids.DaemonId, revision: int) -> None:
+    def handle_peer_revision(
+        self, *, peer: _ids.DaemonId, revision: int
+    ) -> None:
         """Take note of the revision that a peer's heartbeat shows."""
         if revision <= self._holder.revision or peer in self._pulled_peers:
             return
@@ -234,11 +236,13 @@
     def _read_whole(self, revision: int) -> None:
         if revision <= self._whole_refused_at:
             return
-        meta, rows = _table_storage.read_whole(self._store)
+        meta, rows = _table_storage.read_full_table(self._store)
         if meta.revision < self._holder.revision:
             self.stale_count += 1
             return
-        result = self._holder.apply_whole(revision=meta.revision, rows=rows)
+        result = self._holder.apply_full_table(
+            revision=meta.revision, rows=rows
+        )
         if result is _UNREADABLE:
             self._whole_refused_at = meta.revision
 
@@ -322,7 +326,7 @@
         if not isinstance(answer, messages.ConfigAnswer):
             return False
         if answer.whole:
-            self._holder.apply_whole(
+            self._holder.apply_full_table(
                 revision=answer.revision, rows=answer.changes
             )
         else:
@@ -357,5 +361,5 @@
         return messages.ConfigAnswer(
             revision=snapshot.revision,
             whole=True,
-            changes=_table_snapshot.as_changes(snapshot),
+            changes=_table_snapshot.table_to_changes(snapshot),
         )
--- a/src/topazlug/configuration/_table_checks.py
+++ b/src/topazlug/configuration/_table_checks.py
@@ -110,7 +110,7 @@
 
 def check_all(after: _table_snapshot.TableSnapshot) -> list[Finding]:
     """Check every row of the table."""
-    return check_changes(after, _table_snapshot.as_changes(after))
+    return check_changes(after, _table_snapshot.table_to_changes(after))
 
 
 def _check_name(name: _TABLES, key: str) -> Iterator[Finding]:
--- a/src/topazlug/configuration/_table_snapshot.py
+++ b/src/topazlug/configuration/_table_snapshot.py
@@ -161,7 +161,7 @@
     return f"{name.value}_by_name"
 
 
-def as_changes(snapshot: TableSnapshot) -> list[messages.RowChange]:
+def table_to_changes(snapshot: TableSnapshot) -> list[messages.RowChange]:
     """Give every row of a snapshot in the form that peers exchange."""
     return [
         messages.RowChange(
--- a/src/topazlug/configuration/_table_storage.py
+++ b/src/topazlug/configuration/_table_storage.py
@@ -169,7 +169,7 @@
     )
 
 
-def read_whole(
+def read_full_table(
     store: _table_client.TableStore,
 ) -> tuple[Meta, list[messages.RowChange]]:
     """Read every row of one revision.
--- a/tests/topazlug/configuration/test_configuration.py
+++ b/tests/topazlug/configuration/test_configuration.py
@@ -15,7 +15,7 @@
 @pytest.fixture
 def holder():
     made = _configuration.ConfigurationHolder()
-    made.apply_whole(revision=3, rows=[table_fakes.change(3, weight=3)])
+    made.apply_full_table(revision=3, rows=[table_fakes.change(3, weight=3)])
     return made
 
 
@@ -107,16 +107,18 @@
 class TestApplyWhole:
     def test_lower_or_equal_revision_is_ignored(self, holder):
         rows = [table_fakes.change(3, weight=9)]
-        assert holder.apply_whole(revision=3, rows=rows) is RESULT.OLD
+        assert holder.apply_full_table(revision=3, rows=rows) is RESULT.OLD
         assert weight(holder) == 3
 
     def test_rows_that_are_gone_go(self, holder):
-        holder.apply_whole(revision=9, rows=[])
+        holder.apply_full_table(revision=9, rows=[])
         assert not holder.current.teams_by_name
 
     def test_unreadable_row_refuses_all(self, holder):
         rows = [table_fakes.change(9, "b"), table_fakes.change(9, weight=-1)]
-        assert holder.apply_whole(revision=9, rows=rows) is RESULT.UNREADABLE
+        assert (
+            holder.apply_full_table(revision=9, rows=rows) is RESULT.UNREADABLE
+        )
         assert list(holder.current.teams_by_name) == ["acme"]
 
 
--- a/tests/topazlug/configuration/test_configuration_follower.py
+++ b/tests/topazlug/configuration/test_configuration_follower.py
@@ -66,7 +66,7 @@
         first.put("acme", weight=4)
         table_fakes.settle()
         network.cut.clear()
-        second.follower.hint(peer=first.id, revision=1)
+        second.follower.handle_peer_revision(peer=first.id, revision=1)
         table_fakes.settle()
         assert second.weight("acme") == 4
 
@@ -77,7 +77,7 @@
         first.put("acme")
         table_fakes.settle()
         network.sent.clear()
-        first.follower.hint(peer=second.id, revision=0)
+        first.follower.handle_peer_revision(peer=second.id, revision=0)
         table_fakes.settle()
         assert not network.sent
 
--- a/tests/topazlug/configuration/test_table_checks.py
+++ b/tests/topazlug/configuration/test_table_checks.py
@@ -21,7 +21,7 @@
         change("teams", "acme", pools=["p"], keys=[{"hash": HASH}]),
         change("operators", "ana", role="admin", token_hash=HASH),
     ]
-    holder.apply_whole(revision=1, rows=rows)
+    holder.apply_full_table(revision=1, rows=rows)
     return holder.current
 
 
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -146,7 +146,7 @@
         for name, table in (rows or ROWS).items()
         for row in table
     ]
-    result = holder.apply_whole(revision=1, rows=changes)
+    result = holder.apply_full_table(revision=1, rows=changes)
     assert result is _configuration.ApplyResult.APPLIED
     return holder
 
