--- a/src/topazlug/administration/_administration.py
+++ b/src/topazlug/administration/_administration.py
@@ -147,7 +147,7 @@
 
     @property
     def routes(self) -> Sequence[_administration_http.Route]:
-        """Give the paths served."""
+        """Return the paths served."""
         return tuple(self._routes)
 
     def add(self, routes: Sequence[_administration_http.Route]) -> None:
--- a/src/topazlug/administration/_administration_blocked.py
+++ b/src/topazlug/administration/_administration_blocked.py
@@ -51,7 +51,7 @@
         self._guard = guard
 
     def routes(self) -> list[_administration_http.Route]:
-        """Give the paths; they go before those of the table's rows."""
+        """Return the paths; they go before those of the table's rows."""
         made = _administration_http.Route
         return [
             made(method="GET", path=_PATH, handler=self._list),
--- a/src/topazlug/administration/_administration_http.py
+++ b/src/topazlug/administration/_administration_http.py
@@ -65,25 +65,25 @@
 
     @property
     def token(self) -> str:
-        """Give the bearer token, empty without one."""
+        """Return the bearer token, empty without one."""
         return _tokens.bearer_of(self.header("Authorization"))
 
     def header(self, name: str) -> str:
-        """Give a header's value, empty without one."""
+        """Return a header's value, empty without one."""
         key = "HTTP_" + name.upper().replace("-", "_")
         value: str = self._environ.get(key, "")
         return value
 
     def query(self, name: str) -> str:
-        """Give a query parameter, empty without one."""
+        """Return a query parameter, empty without one."""
         return self._query.get(name, "")
 
     def flag(self, name: str) -> bool:
-        """Tell whether a query parameter is true."""
+        """Return whether a query parameter is true."""
         return self.query(name).lower() in _TRUE
 
     def number(self, name: str, *, default: int) -> int:
-        """Give a query parameter that is a whole number from 0.
+        """Return a query parameter that is a whole number from 0.
 
         Raises
         ------
@@ -100,14 +100,14 @@
         return int(text)
 
     def etag(self) -> str | None:
-        """Give the ETag of If-Match, None without one."""
+        """Return the ETag of If-Match, None without one."""
         value = self.header("If-Match").strip()
         if not value:
             return None
         return value.removeprefix("W/").strip('"')
 
     def edit_id(self) -> str:
-        """Give the edit's id, a new one when the client gave none.
+        """Return the edit's id, a new one when the client gave none.
 
         Raises
         ------
@@ -123,7 +123,7 @@
         return value
 
     def reason(self) -> str:
-        """Give why the edit is made, in the operator's words."""
+        """Return why the edit is made, in the operator's words."""
         value = parse.unquote(self.header("X-Reason"))
         return value[:MAX_TEXT]
 
@@ -182,7 +182,7 @@
     role: table.OperatorRole | None = table.OperatorRole.read
 
     def matches(self, segments: Sequence[str]) -> bool:
-        """Tell whether a request's path is this route's."""
+        """Return whether a request's path is this route's."""
         own = self.path.strip("/").split("/")
         return len(own) == len(segments) and all(
             mine == other or (mine.startswith("{") and other != "")
@@ -191,7 +191,7 @@
 
 
 def error_answer(error: _errors.TopazlugError) -> Answer:
-    """Give an error in the OpenAI shape."""
+    """Return an error in the OpenAI shape."""
     body: dict[str, Any] = {
         "code": error.code.value,
         "message": error.message,
--- a/src/topazlug/administration/_administration_rows.py
+++ b/src/topazlug/administration/_administration_rows.py
@@ -32,7 +32,7 @@
 def snapshot_of(
     holder: _configuration.ConfigurationHolder,
 ) -> _table_snapshot.TableSnapshot:
-    """Give the table in force.
+    """Return the table in force.
 
     Raises
     ------
@@ -47,7 +47,7 @@
 
 
 def table_of(request: _Request) -> _TABLES:
-    """Give the table that the path names.
+    """Return the table that the path names.
 
     Raises
     ------
@@ -63,14 +63,14 @@
 
 
 def stamp_of(request: _Request) -> _edit_plan.Stamp:
-    """Give who edits, why, and under which id."""
+    """Return who edits, why, and under which id."""
     return _edit_plan.Stamp(
         who=request.who, why=request.reason(), edit_id=request.edit_id()
     )
 
 
 def result_body(result: _table_edits.EditResult) -> dict[str, Any]:
-    """Give an accepted edit in the form of the API."""
+    """Return an accepted edit in the form of the API."""
     body: dict[str, Any] = msgspec.to_builtins(result)
     return body
 
@@ -101,7 +101,7 @@
         self._publisher = publisher
 
     def routes(self) -> list[_administration_http.Route]:
-        """Give the paths."""
+        """Return the paths."""
         made = _administration_http.Route
         edit = table.OperatorRole.edit
         row = "/v1/{table}/{name}"
@@ -188,7 +188,7 @@
         name = request.segments[2]
         stamp = stamp_of(request)
         fingerprint = f"issue {name} {asked.label} {asked.expires}"
-        repeated = self._editor.earlier(stamp, fingerprint)
+        repeated = self._editor.find_result(stamp, fingerprint)
         if repeated is not None:
             # The key itself is not kept, so it can't be shown again.
             return _Answer(body=result_body(repeated) | {"key": None})
@@ -211,7 +211,7 @@
         name, prefix = request.segments[2], request.segments[4]
         stamp = stamp_of(request)
         fingerprint = f"revoke {name} {prefix}"
-        repeated = self._editor.earlier(stamp, fingerprint)
+        repeated = self._editor.find_result(stamp, fingerprint)
         if repeated is not None:
             return _Answer(body=result_body(repeated))
         if len(prefix) < MIN_HASH_PREFIX:
--- a/src/topazlug/administration/_administration_status.py
+++ b/src/topazlug/administration/_administration_status.py
@@ -19,7 +19,7 @@
     zone: str = ""
     state: str = "live"
     incarnation: int = 0
-    revision: int = int(_configuration.NOTHING_HELD)
+    revision: int = int(_configuration.NO_REVISION)
 
 
 @final
@@ -87,10 +87,10 @@
     """What the daemon at work tells the administration API."""
 
     def status(self) -> FleetStatus:
-        """Give the fleet as this daemon sees it."""
+        """Return the fleet as this daemon sees it."""
 
     def explain(self, *, chat: str, pool: str) -> Explanation:
-        """Give why a chat goes where it goes.
+        """Return why a chat goes where it goes.
 
         Raises
         ------
@@ -113,7 +113,7 @@
         self._holder = holder
 
     def routes(self) -> list[_administration_http.Route]:
-        """Give the paths."""
+        """Return the paths."""
         made = _administration_http.Route
         return [
             made(method="GET", path="/v1/status", handler=self._status),
@@ -141,7 +141,7 @@
             "wanted": wanted,
             "in_force": not behind and self._holder.revision >= wanted,
             "behind": behind,
-            "refused_revision": self._holder.refused_revision,
+            "refused_revision": self._holder.rejected_revision,
             "daemons": counted,
         }
         return _administration_http.Answer(body=body)
--- a/src/topazlug/administration/_administration_table.py
+++ b/src/topazlug/administration/_administration_table.py
@@ -72,7 +72,7 @@
         self._store = store
 
     def routes(self) -> list[_administration_http.Route]:
-        """Give the paths."""
+        """Return the paths."""
         made = _administration_http.Route
         edit = table.OperatorRole.edit
         return [
@@ -133,7 +133,7 @@
             remove_absent=asked.remove_absent,
             with_keys=asked.with_keys,
         )
-        errors = _table_checks.errors_of(comparison.findings)
+        errors = _table_checks.select_errors(comparison.findings)
         revision = int(snapshot.revision)
         if not asked.dry_run:
             _refuse(errors)
@@ -181,7 +181,7 @@
         asked: _Undo = request.decoded(_Undo)
         stamp = _administration_rows.stamp_of(request)
         fingerprint = f"undo {asked.revision}"
-        result = self._editor.earlier(stamp, fingerprint)
+        result = self._editor.find_result(stamp, fingerprint)
         if result is None:
             edit = self._undoing_edit(asked)
             if (
@@ -213,7 +213,7 @@
     snapshot: _table_snapshot.TableSnapshot,
     force: bool,
 ) -> _edit_plan.RowEdit:
-    """Give the edit that takes one revision back.
+    """Return the edit that takes one revision back.
 
     Parameters
     ----------
--- a/src/topazlug/administration/_fleet_status.py
+++ b/src/topazlug/administration/_fleet_status.py
@@ -85,7 +85,7 @@
         reply(self.own_answer())
 
     def own_answer(self) -> messages.StatusAnswer:
-        """Give what this daemon does."""
+        """Return what this daemon does."""
         replicas = [
             messages.OwnedReplica(
                 replica=ledger.replica,
@@ -126,7 +126,7 @@
         return dict(zip(asked, workers.map(self._ask, asked)))
 
     def status(self) -> _status.FleetStatus:
-        """Give the fleet as its daemons tell."""
+        """Return the fleet as its daemons tell."""
         answers = self._ask_all()
         return _status.FleetStatus(
             daemon=self._daemon,
@@ -144,7 +144,7 @@
         member: _members.Member,
         answer: messages.StatusAnswer | None,
     ) -> _status.DaemonStatus:
-        revision = _configuration.NOTHING_HELD
+        revision = _configuration.NO_REVISION
         if answer is not None:
             revision = _ids.Revision(answer.revision)
         return _status.DaemonStatus(
@@ -219,7 +219,7 @@
         ]
 
     def explain(self, *, chat: str, pool: str) -> _status.Explanation:
-        """Give why a chat goes where it goes.
+        """Return why a chat goes where it goes.
 
         Parameters
         ----------
--- a/src/topazlug/administration/_page.py
+++ b/src/topazlug/administration/_page.py
@@ -32,7 +32,7 @@
         ]
 
     def routes(self) -> list[_administration_http.Route]:
-        """Give the path."""
+        """Return the path."""
         return [
             _administration_http.Route(
                 method="GET", path=PATH, handler=self._answer, role=None
@@ -48,7 +48,7 @@
 
 
 def policy_of(body: bytes) -> str:
-    """Give the policy that allows the page's own script and style only.
+    """Return the policy that allows the page's own script and style only.
 
     A row's text that got into the page as markup would otherwise run with
     the operator's token at hand; under this policy it can neither run nor
@@ -72,5 +72,5 @@
 
 
 def routes() -> list[_administration_http.Route]:
-    """Give the page's path, for `Administration.add`."""
+    """Return the page's path, for `Administration.add`."""
     return Page().routes()
--- a/src/topazlug/administration/_tokens.py
+++ b/src/topazlug/administration/_tokens.py
@@ -23,7 +23,7 @@
 
 
 def hash_of(secret: str) -> str:
-    """Give the SHA-256 of a secret in hexadecimal."""
+    """Return the SHA-256 of a secret in hexadecimal."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
@@ -33,6 +33,6 @@
 
 
 def bearer_of(authorization: str) -> str:
-    """Give the secret of an ``Authorization: Bearer`` header, or nothing."""
+    """Return the secret of an ``Authorization: Bearer`` header, or nothing."""
     scheme, _, secret = authorization.strip().partition(" ")
     return secret.strip() if scheme.lower() == "bearer" else ""
--- a/src/topazlug/cli/_client.py
+++ b/src/topazlug/cli/_client.py
@@ -59,7 +59,7 @@
 
     @property
     def exit_code(self) -> _exit_codes.ExitCode:
-        """Give what the program ends with."""
+        """Return what the program ends with."""
         if self.status == HTTPStatus.PRECONDITION_REQUIRED:
             return _Exit.CONFLICT
         try:
@@ -83,7 +83,7 @@
     etag: str = ""
 
     def headers(self) -> dict[str, str]:
-        """Give the headers."""
+        """Return the headers."""
         headers = {"X-Edit-Id": self.edit_id or _tokens.new_edit_id()}
         if self.reason:
             headers["X-Reason"] = parse.quote(self.reason)
@@ -218,12 +218,12 @@
 
 
 def path_of(*segments: str) -> str:
-    """Give a path of the API with its segments quoted."""
+    """Return a path of the API with its segments quoted."""
     return "/v1/" + "/".join(parse.quote(s, safe="") for s in segments)
 
 
 def shown_failure(failure: ApiFailed) -> _exit_codes.CommandFailed:
-    """Give a refusal in the form that ends the program."""
+    """Return a refusal in the form that ends the program."""
     lines = [failure.error.message]
     if failure.exit_code is _Exit.CONFLICT:
         lines += _both_values(failure.error)
--- a/src/topazlug/cli/_context.py
+++ b/src/topazlug/cli/_context.py
@@ -26,7 +26,7 @@
 
     @property
     def is_table(self) -> bool:
-        """Tell whether people read the result."""
+        """Return whether people read the result."""
         return self.output is _output.OutputFormat.TABLE
 
     def write(self, value: Any, rows: list[Any] | None = None) -> None:
@@ -43,7 +43,7 @@
     wait: float
 
     def edit(self, etag: str = "") -> _client.Edit:
-        """Give the edit's headers."""
+        """Return the edit's headers."""
         return _client.Edit(
             reason=self.reason, edit_id=self.edit_id, etag=etag
         )
@@ -64,7 +64,7 @@
 
 
 def edit_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Give a command the options of edits."""
+    """Return a command the options of edits."""
 
     @click.option("--reason", default="", help="Goes into the history.")
     @click.option(
--- a/src/topazlug/cli/_documents.py
+++ b/src/topazlug/cli/_documents.py
@@ -36,7 +36,7 @@
 
 
 def written(document: dict[str, Any], form: DocumentFormat) -> str:
-    """Give a document as text."""
+    """Return a document as text."""
     if form is DocumentFormat.CSV:
         return _written_csv(document)
     text: str = yaml.safe_dump(document, sort_keys=False, allow_unicode=True)
--- a/src/topazlug/cli/_fleet.py
+++ b/src/topazlug/cli/_fleet.py
@@ -106,7 +106,7 @@
     kind: str,
     edit_options: _context.EditOptions,
 ) -> None:
-    """Give a replica or availability zone no new work."""
+    """Return a replica or availability zone no new work."""
     result = context.client.put(
         _client.path_of(_DRAINS.value, name),
         {"kind": kind},
@@ -124,7 +124,7 @@
     name: str,
     edit_options: _context.EditOptions,
 ) -> None:
-    """Give a replica or availability zone work again."""
+    """Return a replica or availability zone work again."""
     etag = _rows.read_row(context, _DRAINS, name)["etag"]
     result = context.client.delete(
         _client.path_of(_DRAINS.value, name), edit=edit_options.edit(etag)
--- a/src/topazlug/cli/_output.py
+++ b/src/topazlug/cli/_output.py
@@ -72,7 +72,7 @@
 
 
 def cell(value: Any, *, limit: int | None = MAX_CELL) -> str:
-    """Give a value as one cell's text."""
+    """Return a value as one cell's text."""
     if value is None:
         return "-"
     if isinstance(value, bool):
--- a/src/topazlug/cli/_request_logs.py
+++ b/src/topazlug/cli/_request_logs.py
@@ -30,7 +30,7 @@
 
 
 def _records(files: tuple[TextIO, ...]) -> Iterator[dict[str, Any]]:
-    """Give the lines that are records; others are passed over, counted."""
+    """Return the lines that are records; others are passed over, counted."""
     skipped = 0
     for file in files:
         for line in file:
@@ -126,7 +126,7 @@
 
 
 def _is_belief(record: dict[str, Any]) -> bool:
-    """Say whether a line tells of more than one request."""
+    """Return whether a line tells of more than one request."""
     logger = record.get("logger")
     if "request_id" in record:
         return logger in _LEARNT_WITH_REQUESTS
@@ -134,7 +134,7 @@
 
 
 def _seconds(record: dict[str, Any]) -> float:
-    """Give the time of day of a line in seconds."""
+    """Return the time of day of a line in seconds."""
     text = str(record.get("time", ""))[11:23]
     try:
         hours, minutes, seconds = text.split(":")
--- a/src/topazlug/cli/_secrets.py
+++ b/src/topazlug/cli/_secrets.py
@@ -109,7 +109,7 @@
     name: str,
     edit_options: _context.EditOptions,
 ) -> None:
-    """Give an operator a new token; the old one stops."""
+    """Return an operator a new token; the old one stops."""
     read = _rows.read_row(context, _OPERATORS, name)
     role = read["row"]["role"]
     _put_operator(context, name, role, edit_options, etag=read["etag"])
--- a/src/topazlug/cli/_values.py
+++ b/src/topazlug/cli/_values.py
@@ -15,7 +15,7 @@
 
 
 def columns_of(name: _table_snapshot.TableName) -> dict[str, Any]:
-    """Give a table's columns with their types, without the keys."""
+    """Return a table's columns with their types, without the keys."""
     row_type = _table_snapshot.ROW_TYPE_BY_TABLE[name]
     info = inspect.type_info(row_type)
     assert isinstance(info, inspect.StructType)
@@ -90,7 +90,7 @@
 
 
 def as_text(value: Any) -> str:
-    """Give a column's value as a cell that `parsed` reads back."""
+    """Return a column's value as a cell that `parsed` reads back."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, list):
--- a/src/topazlug/configuration/__init__.py
+++ b/src/topazlug/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' table: rows, edits, revisions, who holds which."""
+"""The operators' table: rows, checks, edits, and their propagation."""
--- a/src/topazlug/configuration/_configuration.py
+++ b/src/topazlug/configuration/_configuration.py
@@ -1,9 +1,9 @@
 """The operators' table as one daemon holds it.
 
-The table has one growing revision. Each revision changes one row, so a
-daemon that holds revision N needs exactly the change N+1 next. Nothing here
-ever goes back: what is older than the revision in force is ignored, and what
-can't be read is refused while the last good revision stays in force.
+The whole table has a single revision number. Each revision changes one row,
+so a daemon at revision N can apply only the change N+1 next. The revision in
+force never decreases: older changes are ignored, and a revision that can't be
+decoded is rejected while the last valid one stays in force.
 """
 
 import enum
@@ -22,14 +22,14 @@
 from topazlug.configuration import _table_errors
 from topazlug.configuration import _table_snapshot
 
-NOTHING_HELD = _ids.Revision(-1)
+NO_REVISION = _ids.Revision(-1)
 TableName: TypeAlias = _table_snapshot.TableName
 TableSnapshot: TypeAlias = _table_snapshot.TableSnapshot
 _LOG = logbook.Logger("topazlug.configuration")
 
 
 class ApplyResult(enum.Enum):
-    """What became of changes that were given to a holder."""
+    """Outcome of applying changes to the table."""
 
     APPLIED = "applied"
     OLD = "old"
@@ -39,45 +39,46 @@
 
 @final
 class ConfigurationHolder:
-    """Holds the revision in force and lets it grow only.
+    """Holds the revision in force, which only ever increases.
 
     Attributes
     ----------
-    refused_count : int
-        Refusals since the start because a row can't be read.
-    refused_revision : Revision
-        The last revision refused, `NOTHING_HELD` when none was.
+    rejected_count : int
+        Revisions rejected since the process started because a row could not
+        be decoded; a revision counts each time it is received.
+    rejected_revision : Revision
+        The last revision rejected, `NO_REVISION` if none was.
     """
 
     def __init__(self) -> None:
         self._current: TableSnapshot | None = None
         self._callbacks: list[Callable[[], None]] = []
-        self.refused_revision = NOTHING_HELD
-        self.refused_count = 0
+        self.rejected_revision = NO_REVISION
+        self.rejected_count = 0
 
     @property
     def current(self) -> TableSnapshot | None:
-        """Give the snapshot in force, None before the first."""
+        """Return the snapshot in force, None if there is none yet."""
         return self._current
 
     @property
     def revision(self) -> _ids.Revision:
-        """Give the revision in force, `NOTHING_HELD` before the first."""
+        """Return the revision in force, `NO_REVISION` if there is none."""
         if self._current is None:
-            return NOTHING_HELD
+            return NO_REVISION
         return self._current.revision
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Have a callback run after each change; it must not block."""
+        """Register a callback to run after each change; it must not block."""
         self._callbacks.append(callback)
 
     @property
     def is_blocked(self) -> bool:
-        """Tell whether the revision that follows can't be read."""
-        return self.refused_revision > self.revision
+        """Return whether a newer revision was rejected as undecodable."""
+        return self.rejected_revision > self.revision
 
     def apply(self, changes: Iterable[messages.RowChange]) -> ApplyResult:
-        """Bring the changes into force that follow the revision held.
+        """Apply the changes that follow the revision in force.
 
         Parameters
         ----------
@@ -87,40 +88,40 @@
         Returns
         -------
         ApplyResult
-            `APPLIED` when all is in force, `OLD` when nothing was news,
-            `GAP` when a change between is missing, `UNREADABLE` when a row
-            can't be read. Readable changes before a gap or an unreadable
-            one are in force in any case.
+            `APPLIED` if all changes are in force, `OLD` if none was newer
+            than the revision in force, `GAP` if a revision in between is
+            missing, `UNREADABLE` if a row can't be decoded. Changes before
+            a gap or an undecodable row are applied in any case.
         """
-        news = sorted(
+        newer = sorted(
             (c for c in changes if c.revision > self.revision),
             key=lambda change: change.revision,
         )
-        if not news:
+        if not newer:
             return ApplyResult.OLD
         if self._current is None:
             return ApplyResult.GAP
         draft = _table_draft.TableDraft(self._current)
-        revision, result = self._draft_changes(draft, news)
+        revision, result = self._draft_changes(draft, newer)
         if revision > self.revision:
-            self._bring_into_force(draft.finished(revision))
+            self._activate(draft.build_snapshot(revision))
         return result
 
     def _draft_changes(
         self,
         draft: _table_draft.TableDraft,
-        news: Sequence[messages.RowChange],
+        newer: Sequence[messages.RowChange],
     ) -> tuple[int, ApplyResult]:
         revision = int(self.revision)
-        for change in news:
+        for change in newer:
             if change.revision == revision:
                 continue
             if change.revision != revision + 1:
                 return revision, ApplyResult.GAP
             try:
-                draft.change(change)
+                draft.apply(change)
             except _table_errors.RowInvalid as error:
-                self._refuse(change.revision, error)
+                self._reject(change.revision, error)
                 return revision, ApplyResult.UNREADABLE
             revision = change.revision
         return revision, ApplyResult.APPLIED
@@ -128,12 +129,12 @@
     def apply_full_table(
         self, *, revision: int, rows: Iterable[messages.RowChange]
     ) -> ApplyResult:
-        """Bring a whole table into force if its revision is higher.
+        """Replace the table if the given one has a higher revision.
 
         Parameters
         ----------
         revision : int
-            Revision that the rows show.
+            Revision of the table that the rows are from.
         rows : Iterable[RowChange]
             Every row of every table.
         """
@@ -144,35 +145,35 @@
         )
         try:
             for row in rows:
-                draft.change(row)
+                draft.apply(row)
         except _table_errors.RowInvalid as error:
-            self._refuse(revision, error)
+            self._reject(revision, error)
             return ApplyResult.UNREADABLE
-        self._bring_into_force(draft.finished(revision))
+        self._activate(draft.build_snapshot(revision))
         return ApplyResult.APPLIED
 
-    def _bring_into_force(self, snapshot: TableSnapshot) -> None:
+    def _activate(self, snapshot: TableSnapshot) -> None:
         self._current = snapshot
         for callback in self._callbacks:
             try:
                 callback()
             except Exception:
-                # One reader of the table that fails would keep the others
-                # on the old revision: their teams would see a limit that
-                # no longer stands. The log names the reader.
-                _LOG.exception("a reader of the table failed: {}", callback)
-
-    def _refuse(self, revision: int, error: _errors.TopazlugError) -> None:
-        # An unreadable row would otherwise be skipped and the daemons would
-        # differ silently. Refusing the revision keeps the last good one, and
-        # the count and the log show it. Each poll meets the same revision
-        # again, so it is logged once.
-        self.refused_count += 1
-        if revision == self.refused_revision:
+                # Without this, one failing callback would keep the later
+                # ones on the old revision, and they would go on applying
+                # limits that are no longer in force.
+                _LOG.exception("table change callback failed: {}", callback)
+
+    def _reject(self, revision: int, error: _errors.TopazlugError) -> None:
+        # If an undecodable row were skipped, daemons would differ without
+        # anyone noticing. Rejecting the revision keeps the last valid one in
+        # force, and the count and the log show it. Each poll reads the same
+        # revision again, so it is logged only once.
+        self.rejected_count += 1
+        if revision == self.rejected_revision:
             return
-        self.refused_revision = _ids.Revision(revision)
+        self.rejected_revision = _ids.Revision(revision)
         _LOG.error(
-            "revision {} refused, {} stays in force: {}",
+            "revision {} rejected, {} stays in force: {}",
             revision,
             self.revision,
             error.message,
--- a/src/topazlug/configuration/_configuration_follower.py
+++ b/src/topazlug/configuration/_configuration_follower.py
@@ -1,10 +1,11 @@
 """Keeps a daemon at the newest revision of the operators' table.
 
-Few daemons poll the store; who learns of news pushes it to some peers, who
-push on what was news to them. A peer whose heartbeat shows a higher revision
-is asked for the changes. So a change spreads without each daemon reading the
-store, and a daemon that starts in an outage of the store gets the table from
-its peers.
+All daemons together poll the store at one fixed rate. A daemon that receives
+changes pushes them to a few random peers, and each peer pushes on those that
+it did not have yet. A daemon also pulls changes from a peer whose heartbeat
+carries a higher revision. A change therefore spreads without every daemon
+reading the store, and a daemon that starts during an outage of the store gets
+the table from its peers.
 """
 
 import collections
@@ -34,10 +35,10 @@
 from topazlug.configuration import _table_storage
 from topazlug.store import _table_client
 
-MIN_INTERVAL = 0.2
-JITTER = 0.25
+MIN_POLL_INTERVAL = 0.2
+POLL_JITTER = 0.25
 PULL_TIMEOUT = 2.0
-KEPT_CHANGES = 2000
+MAX_RECENT_CHANGES = 2000
 MAX_PUSHED_CHANGES = 200
 MAX_CHANGES_READ = 2000
 _LOG = logbook.Logger("topazlug.configuration")
@@ -47,60 +48,61 @@
 
 
 class Links(Protocol):
-    """What the follower asks of the streams to peers."""
+    """The connections to peers, as far as the follower uses them."""
 
     def handle(
         self,
         kind: type[msgspec.Struct],
         handler: Callable[[_ids.DaemonId, Any, Reply], None],
     ) -> None:
-        """Have a handler run for each message of a kind."""
+        """Register a handler for messages of a type."""
 
     def send(self, to: _ids.DaemonId, message: msgspec.Struct) -> None:
-        """Send one way; PeerUnreachable when it can't be sent."""
+        """Send without a reply; raise PeerUnreachable if that fails."""
 
     def call(
         self, to: _ids.DaemonId, message: msgspec.Struct, *, timeout: float
     ) -> msgspec.Struct:
-        """Send and wait for the answer; PeerUnreachable without one."""
+        """Send and return the reply; raise PeerUnreachable without one."""
 
 
 class Members(Protocol):
-    """What the follower asks of the membership."""
+    """The fleet's membership, as far as the follower uses it."""
 
     def usable(self) -> Mapping[_ids.DaemonId, Any]:
-        """Give the daemons that take part, this one included."""
+        """Return the usable daemons by id, including this one."""
 
 
 @final
 class ConfigurationFollower:
-    """Follows the table in one greenlet, helped by peers' messages.
+    """Polls the store in one greenlet and exchanges changes with peers.
 
     Parameters
     ----------
     daemon_id : DaemonId
         This daemon.
     holder : ConfigurationHolder
-        What the changes are applied to.
+        Table that the changes are applied to.
     store : TableStore
         The platform's table service.
     links : Links
-        Streams to peers; two handlers are added.
+        Connections to peers; handlers for pushes and pulls are registered.
     members : Members
-        Who the peers are.
+        The fleet's daemons.
     settings : ConfigurationSettings
-        Rate of polls and fan-out of pushes.
+        Poll rate and push fan-out.
     clock : Clock
-        Waits between polls.
+        Used to sleep between polls.
     randomness : random.Random
-        Chooses peers and spreads the polls.
+        Used to choose peers and to jitter polls.
 
     Attributes
     ----------
     stale_count : int
-        Answers of the store that were older than what is held.
+        Answers of the store that were older than the revision in force, or
+        lacked history that the store had announced.
     failure_count : int
-        Polls that the store did not answer.
+        Polls that failed.
     """
 
     def __init__(
@@ -123,11 +125,11 @@
         self._settings = settings
         self._clock = clock
         self._random = randomness
-        self._recent: collections.deque[messages.RowChange]
-        self._recent = collections.deque(maxlen=KEPT_CHANGES)
-        self._reading = lock.BoundedSemaphore()
-        self._pulled_peers: set[_ids.DaemonId] = set()
-        self._whole_refused_at = int(_configuration.NOTHING_HELD)
+        self._recent_changes: collections.deque[messages.RowChange]
+        self._recent_changes = collections.deque(maxlen=MAX_RECENT_CHANGES)
+        self._read_lock = lock.BoundedSemaphore()
+        self._peers_being_pulled: set[_ids.DaemonId] = set()
+        self._rejected_table_revision = int(_configuration.NO_REVISION)
         self._greenlet: gevent.Greenlet | None = None
         self.stale_count = 0
         self.failure_count = 0
@@ -135,41 +137,44 @@
         links.handle(messages.ConfigPull, self._on_pull)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start polling."""
         self._greenlet = _tasks.spawn(self._run, clock=self._clock)
 
     def stop(self) -> None:
-        """Stop polling; peers are still answered."""
+        """Stop polling; pushes and pulls of peers are still handled."""
         if self._greenlet is not None:
             self._greenlet.kill()
 
     def handle_peer_revision(
         self, *, peer: _ids.DaemonId, revision: int
     ) -> None:
-        """Take note of the revision that a peer's heartbeat shows."""
-        if revision <= self._holder.revision or peer in self._pulled_peers:
+        """Pull from a peer whose heartbeat carries a higher revision."""
+        if (
+            revision <= self._holder.revision
+            or peer in self._peers_being_pulled
+        ):
             return
-        # A revision that can't be read would be pulled again with each
-        # heartbeat. The store's newest table settles it at a later poll.
+        # A revision that can't be decoded would be pulled again with each
+        # heartbeat. A later poll reads the newest table from the store.
         if self._holder.is_blocked:
             return
         gevent.spawn(self._pull, peer)
 
     def publish(self, changes: Sequence[messages.RowChange]) -> None:
-        """Bring committed changes into force here and push them at once."""
-        self._take(changes, source=self._daemon_id)
+        """Apply committed changes on this daemon and push them to peers."""
+        self._apply(changes, source=self._daemon_id)
 
     def catch_up(self) -> None:
-        """Read what the store holds beyond the revision in force.
+        """Read and apply the store's changes after the revision in force.
 
         Raises
         ------
         StoreUnavailable
             The store does not answer.
         TableInconsistent
-            The store's answers are of no one revision.
+            The store's answers do not belong to a single revision.
         """
-        with self._reading:
+        with self._read_lock:
             meta = _table_storage.read_meta(self._store)
             if meta.revision < self._holder.revision:
                 self.stale_count += 1
@@ -179,19 +184,23 @@
 
     def _run(self) -> None:
         self._poll()
-        self._pull_from_some()
+        self._pull_from_sample()
         while True:
-            self._clock.sleep(self._interval())
+            self._clock.sleep(self._poll_interval())
             self._poll()
             if self._holder.current is None:
-                self._pull_from_some()
+                self._pull_from_sample()
 
-    def _interval(self) -> float:
-        """Give the seconds to the next poll, so that all share one rate."""
+    def _poll_interval(self) -> float:
+        """Return the seconds to the next poll.
+
+        The interval grows with the number of daemons, so that their polls
+        together stay at `polls_per_second`.
+        """
         daemons = max(len(self._members.usable()), 1)
         mean = daemons / self._settings.polls_per_second
-        spread = self._random.uniform(1 - JITTER, 1 + JITTER)
-        return max(mean * spread, MIN_INTERVAL)
+        spread = self._random.uniform(1 - POLL_JITTER, 1 + POLL_JITTER)
+        return max(mean * spread, MIN_POLL_INTERVAL)
 
     def _poll(self) -> None:
         try:
@@ -202,39 +211,41 @@
         ) as error:
             self.failure_count += 1
             _LOG.warning(
-                "revision {} stays in force: {}",
+                "table poll failed, revision {} stays in force: {}",
                 self._holder.revision,
                 error.message,
             )
         except Exception:
-            # A fault of ours in one poll would end the greenlet: this daemon
-            # would keep an old revision for good and only `topazlug config
-            # status` would show it. The next poll tries again.
+            # A bug that raised here would end the greenlet: this daemon would
+            # stay at an old revision, and only `topazlug config status` would
+            # show it. The next poll tries again.
             self.failure_count += 1
-            _LOG.exception("a poll of the table failed")
+            _LOG.exception("table poll failed")
 
     def _read_up_to(self, revision: int) -> None:
         behind = revision - self._holder.revision
         if self._holder.current is None or behind > MAX_CHANGES_READ:
-            self._read_whole(revision)
+            self._read_full_table(revision)
             return
         while self._holder.revision < revision:
             entries = _table_storage.read_history(
                 self._store, after=self._holder.revision
             )
             if not entries:
-                # The revision came from one replica of the store and the
-                # history from another that lags.
+                # The revision was read from one replica of the store, and the
+                # history from another one that lags behind.
                 self.stale_count += 1
                 return
-            changes = [_table_storage.as_change(entry) for entry in entries]
-            result = self._take(changes, source=self._daemon_id)
+            changes = [
+                _table_storage.entry_to_change(entry) for entry in entries
+            ]
+            result = self._apply(changes, source=self._daemon_id)
             if result is not _configuration.ApplyResult.APPLIED:
-                self._read_whole(revision)
+                self._read_full_table(revision)
                 return
 
-    def _read_whole(self, revision: int) -> None:
-        if revision <= self._whole_refused_at:
+    def _read_full_table(self, revision: int) -> None:
+        if revision <= self._rejected_table_revision:
             return
         meta, rows = _table_storage.read_full_table(self._store)
         if meta.revision < self._holder.revision:
@@ -244,9 +255,9 @@
             revision=meta.revision, rows=rows
         )
         if result is _UNREADABLE:
-            self._whole_refused_at = meta.revision
+            self._rejected_table_revision = meta.revision
 
-    def _take(
+    def _apply(
         self,
         changes: Sequence[messages.RowChange],
         *,
@@ -254,7 +265,7 @@
     ) -> _configuration.ApplyResult:
         before = self._holder.revision
         result = self._holder.apply(changes)
-        news = sorted(
+        applied = sorted(
             (
                 c
                 for c in changes
@@ -262,63 +273,67 @@
             ),
             key=lambda change: change.revision,
         )
-        self._remember(news)
-        self._push(news, source=source)
+        self._record_recent(applied)
+        self._push(applied, source=source)
         return result
 
-    def _remember(self, news: Sequence[messages.RowChange]) -> None:
-        for change in news:
-            last = self._recent[-1].revision if self._recent else None
+    def _record_recent(self, applied: Sequence[messages.RowChange]) -> None:
+        for change in applied:
+            last = (
+                self._recent_changes[-1].revision
+                if self._recent_changes
+                else None
+            )
             if last is not None and change.revision != last + 1:
-                self._recent.clear()
-            self._recent.append(change)
+                self._recent_changes.clear()
+            self._recent_changes.append(change)
 
     def _push(
         self,
-        news: Sequence[messages.RowChange],
+        applied: Sequence[messages.RowChange],
         *,
         source: _ids.DaemonId,
     ) -> None:
-        if not news:
+        if not applied:
             return
-        # Peers that lack what came before these pull from this daemon.
-        push = messages.ConfigPush(changes=list(news[-MAX_PUSHED_CHANGES:]))
-        for peer in self._some_peers(without=source):
+        # Peers that lack earlier changes pull them from this daemon.
+        push = messages.ConfigPush(changes=list(applied[-MAX_PUSHED_CHANGES:]))
+        for peer in self._sample_peers(excluded=source):
             gevent.spawn(self._push_to, peer, push)
 
     def _push_to(self, peer: _ids.DaemonId, push: messages.ConfigPush) -> None:
         try:
             self._links.send(peer, push)
         except _errors.PeerUnreachable:
-            _LOG.debug("revision not pushed to {}", peer)
+            _LOG.debug("table push to {} failed: peer unreachable", peer)
 
-    def _some_peers(self, *, without: _ids.DaemonId) -> list[_ids.DaemonId]:
+    def _sample_peers(self, *, excluded: _ids.DaemonId) -> list[_ids.DaemonId]:
         peers = [
             peer
             for peer in self._members.usable()
-            if peer not in (self._daemon_id, without)
+            if peer not in (self._daemon_id, excluded)
         ]
         count = min(self._settings.push_fanout, len(peers))
         return self._random.sample(peers, count)
 
-    def _pull_from_some(self) -> None:
-        peers = self._some_peers(without=self._daemon_id)
+    def _pull_from_sample(self) -> None:
+        peers = self._sample_peers(excluded=self._daemon_id)
         gevent.joinall([gevent.spawn(self._pull, peer) for peer in peers])
 
     def _pull(self, peer: _ids.DaemonId) -> None:
-        if peer in self._pulled_peers:
+        if peer in self._peers_being_pulled:
             return
-        self._pulled_peers.add(peer)
+        self._peers_being_pulled.add(peer)
         try:
             while self._pull_once(peer):
                 pass
         except _errors.PeerUnreachable:
-            _LOG.debug("no table from {}", peer)
+            _LOG.debug("table pull from {} failed: peer unreachable", peer)
         finally:
-            self._pulled_peers.discard(peer)
+            self._peers_being_pulled.discard(peer)
 
     def _pull_once(self, peer: _ids.DaemonId) -> bool:
-        """Pull once and tell whether the peer still holds more."""
+        """Pull once and return whether the peer has more changes."""
         before = self._holder.revision
         answer = self._links.call(
             peer, messages.ConfigPull(after=before), timeout=PULL_TIMEOUT
@@ -330,30 +345,35 @@
                 revision=answer.revision, rows=answer.changes
             )
         else:
-            self._take(answer.changes, source=peer)
+            self._apply(answer.changes, source=peer)
         return before < self._holder.revision < answer.revision
 
     def _on_push(
         self, sender: _ids.DaemonId, push: messages.ConfigPush, reply: Reply
     ) -> None:
-        result = self._take(push.changes, source=sender)
+        result = self._apply(push.changes, source=sender)
         if result is _configuration.ApplyResult.GAP:
             gevent.spawn(self._pull, sender)
 
     def _on_pull(
         self, sender: _ids.DaemonId, pull: messages.ConfigPull, reply: Reply
     ) -> None:
-        reply(self._answer(pull.after))
+        reply(self._build_answer(pull.after))
 
-    def _answer(self, after: int) -> messages.ConfigAnswer:
+    def _build_answer(self, after: int) -> messages.ConfigAnswer:
         snapshot = self._holder.current
         if snapshot is None or after >= snapshot.revision:
             return messages.ConfigAnswer(
                 revision=self._holder.revision, whole=False, changes=[]
             )
-        if self._recent and self._recent[0].revision <= after + 1:
-            skipped = after + 1 - self._recent[0].revision
-            changes = list(itertools.islice(self._recent, skipped, None))
+        if (
+            self._recent_changes
+            and self._recent_changes[0].revision <= after + 1
+        ):
+            skipped = after + 1 - self._recent_changes[0].revision
+            changes = list(
+                itertools.islice(self._recent_changes, skipped, None)
+            )
             if changes and changes[-1].revision == snapshot.revision:
                 return messages.ConfigAnswer(
                     revision=snapshot.revision, whole=False, changes=changes
--- a/src/topazlug/configuration/_edit_plan.py
+++ b/src/topazlug/configuration/_edit_plan.py
@@ -1,4 +1,4 @@
-"""What an edit of the operators' table would write, worked out in memory."""
+"""Computes in memory what an edit of the operators' table writes."""
 
 import hashlib
 import json
@@ -20,16 +20,16 @@
 
 @final
 class RowEdit(msgspec.Struct, frozen=True, kw_only=True):
-    """One row as an operator would have it.
+    """The change of one row that an operator requests.
 
     Attributes
     ----------
     value : dict or None
-        Its columns; None removes the row.
+        Columns of the row; None removes the row.
     expected : str or None
         ETag of the row that the edit is based on; None for a new row.
     force : bool
-        Take the row's place whatever stands there.
+        Overwrite the row without comparing ETags.
     """
 
     table: _table_snapshot.TableName
@@ -41,7 +41,7 @@
 
 @final
 class Stamp(msgspec.Struct, frozen=True, kw_only=True):
-    """Who edits, why, and under which id the edit may be repeated."""
+    """Author and reason of an edit, and the id that makes it repeatable."""
 
     who: str
     why: str
@@ -59,7 +59,7 @@
 
 @final
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """An edit worked out on one revision of the table."""
+    """The changes of an edit, computed from one revision of the table."""
 
     meta: _table_storage.Meta
     before: _table_snapshot.TableSnapshot
@@ -68,10 +68,10 @@
 
 
 def etag_of(row: _table_snapshot.Row | None, version: int) -> str:
-    """Give the entity tag of a row, empty for no row.
+    """Return the entity tag of a row, empty if there is no row.
 
-    A row that was removed and added again starts at version 1 again, so the
-    version alone would let an edit of the old row pass for the new one.
+    A row that is removed and added again starts at version 1 again. With the
+    version alone, an edit based on the old row would overwrite the new one.
     """
     if row is None:
         return ""
@@ -79,13 +79,13 @@
     return f"{version}-{checksum:08x}"
 
 
-def normal(edit: RowEdit) -> RowEdit:
-    """Give an edit with all columns filled in.
+def normalize(edit: RowEdit) -> RowEdit:
+    """Return the edit with defaults filled in for missing columns.
 
     Raises
     ------
     RowInvalid
-        A column is unknown, missing or out of bounds.
+        A column is unknown, out of bounds, or required and missing.
     """
     if edit.value is None:
         return edit
@@ -94,7 +94,7 @@
 
 
 def fingerprint_of(edits: Sequence[RowEdit]) -> str:
-    """Tell edits under one id apart."""
+    """Return a hash of the edits that detects the reuse of an edit id."""
     return hashlib.sha256(_canonical(msgspec.to_builtins(edits))).hexdigest()
 
 
@@ -102,46 +102,46 @@
     return json.dumps(value, sort_keys=True, separators=(",", ":")).encode()
 
 
-def planned(
+def make_plan(
     edits: Sequence[RowEdit],
     *,
     meta: _table_storage.Meta,
     before: _table_snapshot.TableSnapshot,
 ) -> Plan:
-    """Work an edit out on one revision.
+    """Compute the changes of an edit from one revision of the table.
 
     Parameters
     ----------
     edits : Sequence[RowEdit]
-        Normal edits of different rows.
+        Normalized edits, each of a different row.
     meta : Meta
-        State of the table that the edit will be conditional on.
+        State of the table that the transaction is conditional on.
     before : TableSnapshot
         The table at that revision.
 
     Raises
     ------
     RowConflict, PreconditionMissing, RowNotFound
-        A row is not what the edit is based on.
+        A row does not match the ETag that the edit is based on.
     RowInvalid
         A check found an error.
     """
     for edit in edits:
         _check_base(edit, before)
     changes = [
-        _change(edit, before, revision=meta.revision + number)
+        _make_change(edit, before, revision=meta.revision + number)
         for number, edit in enumerate(edits, start=1)
     ]
-    findings = checked(changes, before=before)
+    findings = validate_changes(changes, before=before)
     return Plan(meta=meta, before=before, changes=changes, findings=findings)
 
 
-def checked(
+def validate_changes(
     changes: Sequence[messages.RowChange],
     *,
     before: _table_snapshot.TableSnapshot,
 ) -> list[_table_checks.Finding]:
-    """Give the warnings about changes.
+    """Check changes and return the warnings.
 
     Raises
     ------
@@ -149,7 +149,7 @@
         A check found an error.
     """
     findings = findings_of(changes, before=before)
-    errors = _table_checks.errors_of(findings)
+    errors = _table_checks.select_errors(findings)
     if errors:
         raise _table_errors.RowInvalid(
             "; ".join(
@@ -165,11 +165,11 @@
     *,
     before: _table_snapshot.TableSnapshot,
 ) -> list[_table_checks.Finding]:
-    """Give all that the checks find in changes."""
+    """Return all findings of the checks about changes."""
     draft = _table_draft.TableDraft(before)
     for change in changes:
-        draft.change(change)
-    after = draft.finished(before.revision + len(changes))
+        draft.apply(change)
+    after = draft.build_snapshot(before.revision + len(changes))
     return _table_checks.check_changes(after, changes)
 
 
@@ -183,20 +183,20 @@
     if row is not None and edit.expected is None:
         raise _table_errors.PreconditionMissing(
             f"{where} exists; send If-Match with the ETag that you read, so"
-            " that nobody's change is lost unseen"
+            " that no concurrent change is overwritten"
         )
     tag = etag_of(row, before.version_of(edit.table, edit.key))
     if (edit.expected or "") != tag:
         current = None if row is None else msgspec.to_builtins(row)
         raise _table_errors.RowConflict(
-            f"{where} was changed since you read it; look at both values and"
+            f"{where} was changed since you read it; compare both values and"
             " edit again",
             mine=edit.value,
             current=current,
         )
 
 
-def _change(
+def _make_change(
     edit: RowEdit, before: _table_snapshot.TableSnapshot, *, revision: int
 ) -> messages.RowChange:
     version = before.version_of(edit.table, edit.key)
@@ -212,7 +212,7 @@
 def base_conditions(
     meta: _table_storage.Meta, stamp: Stamp
 ) -> list[_table_client.Condition]:
-    """Ask that the table is as it was read and the edit not yet made."""
+    """Require that the table is unchanged and the edit id unused."""
     return [
         _table_client.Condition(
             table=_table_storage.META_TABLE,
@@ -228,7 +228,7 @@
 
 
 def row_conditions(plan: Plan) -> list[_table_client.Condition]:
-    """Ask that the rows edited are as they were read."""
+    """Require that the edited rows are unchanged."""
     return [
         _table_client.Condition(
             table=change.table,
@@ -244,10 +244,10 @@
     return plan.before.version_of(name, change.key)
 
 
-def puts_of(
+def make_puts(
     plan: Plan, *, stamp: Stamp, record: EditRecord, when: str
 ) -> list[_table_client.Put]:
-    """Give all rows that the edit writes."""
+    """Return the writes of the edit's transaction."""
     puts = [
         _table_client.Put(
             table=_table_storage.META_TABLE,
@@ -261,7 +261,7 @@
         ),
     ]
     for change in plan.changes:
-        entry = _entry(plan, change, stamp=stamp, when=when)
+        entry = _make_entry(plan, change, stamp=stamp, when=when)
         key = _table_storage.history_key(change.revision)
         puts.append(
             _table_client.Put(
@@ -279,8 +279,8 @@
     return puts
 
 
-def deletes_of(plan: Plan) -> list[_table_client.Delete]:
-    """Give the rows that the edit removes."""
+def make_deletes(plan: Plan) -> list[_table_client.Delete]:
+    """Return the deletions of the edit's transaction."""
     return [
         _table_client.Delete(table=change.table, key=change.key)
         for change in plan.changes
@@ -291,7 +291,7 @@
 def _next_meta(plan: Plan) -> dict[str, Any]:
     meta = plan.meta
     for change in plan.changes:
-        digest = _table_storage.changed_digest(
+        digest = _table_storage.update_digest(
             meta,
             key=f"{change.table}/{change.key}",
             old=_old_version(plan, change),
@@ -302,7 +302,7 @@
     return value if not meta.digest else value | {"digest": meta.digest}
 
 
-def _entry(
+def _make_entry(
     plan: Plan, change: messages.RowChange, *, stamp: Stamp, when: str
 ) -> _table_storage.HistoryEntry:
     name = _table_snapshot.TableName(change.table)
@@ -316,15 +316,17 @@
         row_version=change.row_version,
         who=stamp.who,
         when=when,
-        what=_what(change, previous),
+        what=_describe_change(change, previous),
         why=stamp.why,
         edit_id=stamp.edit_id,
         previous=previous,
     )
 
 
-def _what(change: messages.RowChange, previous: dict[str, Any] | None) -> str:
-    """Say in words what a change does."""
+def _describe_change(
+    change: messages.RowChange, previous: dict[str, Any] | None
+) -> str:
+    """Return the text that the history shows for a change."""
     if change.value is None:
         return "removed"
     if previous is None:
--- a/src/topazlug/configuration/_rules.py
+++ b/src/topazlug/configuration/_rules.py
@@ -1,4 +1,4 @@
-"""What the table in force says of groups and teams."""
+"""Routing parameters of groups and teams from the table in force."""
 
 from typing import final
 
@@ -13,14 +13,14 @@
 
 @final
 class TableRules:
-    """Bounds, slots and weights.
+    """Bounds, slots, reserves, weights and drains from the table.
 
     Parameters
     ----------
     configuration : ConfigurationHolder
         The table in force.
     routing : RoutingSettings
-        Defaults where a row names nothing.
+        Defaults for what a row does not set.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._routing = routing
 
     def bound_of(self, group: _ids.GroupName) -> float:
-        """Give the multiple of the mean that no replica may pass."""
+        """Return the maximum load of a replica as a multiple of the mean."""
         service = self._service(group)
         if service is not None:
             return service.bound
@@ -43,33 +43,33 @@
         return self._routing.bound
 
     def allowance_of(self, group: _ids.GroupName) -> int:
-        """Give the load units that a replica may hold beyond it: none."""
+        """Return the load units allowed beyond the bound, which are 0."""
         return 0
 
     def slots_of(self, group: _ids.GroupName) -> int:
-        """Give the load units that one replica runs at once."""
+        """Return the load units that one replica runs concurrently."""
         row = self._service(group) or self._pool(group)
         return _DEFAULT_SLOTS if row is None else row.slots
 
     def batch_reserve_of(self, group: _ids.GroupName) -> float:
-        """Give the part of the slots that batch work may not take."""
+        """Return the fraction of the slots that batch work may not use."""
         pool = self._pool(group)
         if pool is not None and pool.batch_reserve >= 0:
             return pool.batch_reserve
         return self._routing.batch_reserve
 
     def weight_of(self, team: _ids.TeamName) -> float:
-        """Give a team's weight."""
+        """Return a team's weight, 1 if the table has no such team."""
         row = self.team_of(team)
         return 1.0 if row is None else row.weight
 
     def team_of(self, team: _ids.TeamName) -> table.TeamRow | None:
-        """Give a team's row."""
+        """Return a team's row, None if the table has no such team."""
         snapshot = self._configuration.current
         return snapshot.teams_by_name.get(team) if snapshot else None
 
     def drains(self) -> _targets.Drains:
-        """Give what operators took out of service."""
+        """Return the replicas and zones that operators drain."""
         snapshot = self._configuration.current
         rows = list(snapshot.drains_by_name.values()) if snapshot else []
         zone = table.DrainKind.zone
--- a/src/topazlug/configuration/_table_checks.py
+++ b/src/topazlug/configuration/_table_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the operators' table that go beyond one column's bounds."""
+"""Checks of the operators' table that the schema can't express."""
 
 import datetime
 import enum
@@ -24,7 +24,7 @@
 
 
 class FindingKind(enum.Enum):
-    """What can be wrong with a row beside the others."""
+    """Kinds of problems that the checks report."""
 
     NAME_INVALID = "name_invalid"
     POOL_UNKNOWN = "pool_unknown"
@@ -44,7 +44,7 @@
 
 
 class Severity(enum.Enum):
-    """Whether a finding keeps the edit from being accepted."""
+    """Whether a finding rejects the edit or only warns."""
 
     ERROR = "error"
     WARNING = "warning"
@@ -52,14 +52,14 @@
 
 @final
 class Finding(msgspec.Struct, frozen=True, kw_only=True):
-    """One thing that is wrong.
+    """One problem of a row.
 
     Attributes
     ----------
     table, key, column : str
-        Where.
+        Location of the problem.
     message : str
-        What was found and what helps.
+        The problem and its remedy.
     """
 
     kind: FindingKind
@@ -70,8 +70,8 @@
     severity: Severity = Severity.ERROR
 
 
-def errors_of(findings: Iterable[Finding]) -> list[Finding]:
-    """Give the findings that keep an edit from being accepted."""
+def select_errors(findings: Iterable[Finding]) -> list[Finding]:
+    """Return the findings that reject an edit."""
     return [f for f in findings if f.severity is Severity.ERROR]
 
 
@@ -79,20 +79,20 @@
     after: _table_snapshot.TableSnapshot,
     changes: Sequence[messages.RowChange],
 ) -> list[Finding]:
-    """Check changed rows against the table as they leave it.
+    """Check changed rows against the resulting table.
 
     Parameters
     ----------
     after : TableSnapshot
-        The table with the changes made.
+        The table with the changes applied.
     changes : Sequence[RowChange]
-        The changes; unchanged rows are looked at only where a change may
-        have broken them.
+        The changes; an unchanged row is checked only if a change may have
+        made it invalid.
 
     Returns
     -------
     list of Finding
-        What is wrong, in the order of the changes.
+        Findings in the order of the changes.
     """
     findings: list[Finding] = []
     for change in changes:
@@ -120,7 +120,7 @@
             table=name.value,
             key=key,
             column="name",
-            message=f"{key!r} has a slash or control character; leave it out",
+            message=f"{key!r} has a slash or control character; remove it",
         )
 
 
@@ -128,7 +128,7 @@
 def _check_row(
     row: _table_snapshot.Row, after: _table_snapshot.TableSnapshot
 ) -> Iterator[Finding]:
-    """Check one row against the others; drains need no more checks."""
+    """Check one row against the others; the default covers drains."""
     yield from ()
 
 
@@ -136,20 +136,20 @@
 def _check_team(
     row: table.TeamRow, after: _table_snapshot.TableSnapshot
 ) -> Iterator[Finding]:
-    made = functools.partial(Finding, table="teams", key=row.name)
+    finding = functools.partial(Finding, table="teams", key=row.name)
     for pool in row.pools:
         if pool not in after.pools_by_name:
-            yield made(
+            yield finding(
                 kind=FindingKind.POOL_UNKNOWN,
                 column="pools",
                 message=f"no pool {pool!r}; add it first or correct the name",
             )
     for service in row.services:
         if service not in after.services_by_name:
-            yield made(
+            yield finding(
                 kind=FindingKind.SERVICE_UNKNOWN,
                 column="services",
-                message=f"no service {service!r}; add it first or correct it",
+                message=f"no service {service!r}; add it or correct the name",
             )
     yield from _check_keys(row, after)
 
@@ -157,39 +157,39 @@
 def _check_keys(
     row: table.TeamRow, after: _table_snapshot.TableSnapshot
 ) -> Iterator[Finding]:
-    made = functools.partial(
+    finding = functools.partial(
         Finding, table="teams", key=row.name, column="keys"
     )
     hashes = [key.hash for key in row.keys]
     if not hashes:
-        yield made(
+        yield finding(
             kind=FindingKind.TEAM_WITHOUT_KEY,
-            message="no key yet, so nobody can call as this team; issue one",
+            message="no key, so no request can be made as this team; issue one",
             severity=Severity.WARNING,
         )
     for key in row.keys:
         if not _HASH.match(key.hash):
-            yield made(
+            yield finding(
                 kind=FindingKind.HASH_INVALID,
-                message=f"{key.hash!r} is no SHA-256 in lower hexadecimal",
+                message=f"{key.hash!r} is not a lowercase hexadecimal SHA-256",
             )
-        holder = after.team_by_key_hash.get(key.hash)
-        is_own = holder is not None and holder.name == row.name
+        owner = after.team_by_key_hash.get(key.hash)
+        is_own = owner is not None and owner.name == row.name
         if not is_own or hashes.count(key.hash) > 1:
-            yield made(
+            yield finding(
                 kind=FindingKind.HASH_TAKEN,
-                message=f"{key.hash[:8]}… is there already, or moved from"
+                message=f"{key.hash[:8]}… is already in use, or was moved from"
                 " another team in the same edit; issue another key",
             )
-        if key.expires and not _is_time(key.expires):
-            yield made(
+        if key.expires and not _is_timestamp(key.expires):
+            yield finding(
                 kind=FindingKind.EXPIRY_INVALID,
-                message=f"{key.expires!r} is no RFC 3339 time with an offset,"
-                " such as 2027-01-31T00:00:00Z",
+                message=f"{key.expires!r} is not an RFC 3339 time with an"
+                " offset, such as 2027-01-31T00:00:00Z",
             )
 
 
-def _is_time(text: str) -> bool:
+def _is_timestamp(text: str) -> bool:
     try:
         parsed = datetime.datetime.fromisoformat(text)
     except ValueError:
@@ -201,20 +201,20 @@
 def _check_service(
     row: table.ServiceRow, after: _table_snapshot.TableSnapshot
 ) -> Iterator[Finding]:
-    made = functools.partial(
+    finding = functools.partial(
         Finding, table="services", key=row.name, column="idempotent_methods"
     )
     for method in row.idempotent_methods:
         if not _METHOD.match(method):
-            yield made(
+            yield finding(
                 kind=FindingKind.METHOD_INVALID,
-                message=f"{method!r} is no method; write it in capitals",
+                message=f"{method!r} is not a valid method; use upper case",
             )
         elif method not in IDEMPOTENT_METHODS:
-            yield made(
+            yield finding(
                 kind=FindingKind.METHOD_RISKY,
-                message=f"{method} is not idempotent by RFC 9110: it will be"
-                " repeated after failures",
+                message=f"{method} is not idempotent according to RFC 9110,"
+                " but will be retried after failures",
                 severity=Severity.WARNING,
             )
 
@@ -223,34 +223,34 @@
 def _check_pool(
     row: table.PoolRow, after: _table_snapshot.TableSnapshot
 ) -> Iterator[Finding]:
-    made = functools.partial(Finding, table="pools", key=row.name)
+    finding = functools.partial(Finding, table="pools", key=row.name)
     for other in after.pools_by_name.values():
         if other.model == row.model and other.name != row.name:
-            yield made(
+            yield finding(
                 kind=FindingKind.MODEL_TAKEN,
                 column="model",
                 message=f"pool {other.name!r} already serves {row.model!r}",
             )
     if 0 < row.bound < 1:
-        yield made(
+        yield finding(
             kind=FindingKind.BOUND_BELOW_MEAN,
             column="bound",
-            message=f"{row.bound} is below the mean load, which all replicas"
-            " can't be under; give 1 or more, or 0 for the setting",
+            message=f"{row.bound} is below the mean load, and replicas can't"
+            " all be below it; set 1 or more, or 0 for the default",
         )
     if -1 < row.batch_reserve < 0:
-        yield made(
+        yield finding(
             kind=FindingKind.RESERVE_INVALID,
             column="batch_reserve",
-            message=f"{row.batch_reserve} is no part of the slots; give 0 to"
-            " 0.9, or -1 for the setting",
+            message=f"{row.batch_reserve} is not a fraction of the slots; set"
+            " 0 to 0.9, or -1 for the default",
         )
     if row.batch_reserve > 0 and row.slots * (1 - row.batch_reserve) < 1:
-        yield made(
+        yield finding(
             kind=FindingKind.RESERVE_TAKES_ALL,
             column="batch_reserve",
-            message=f"{row.batch_reserve} of {row.slots} slots leaves none"
-            " for batch work; lower it or raise slots",
+            message=f"a reserve of {row.batch_reserve} of {row.slots} slots"
+            " leaves none for batch work; lower it or raise slots",
         )
 
 
@@ -258,17 +258,18 @@
 def _check_operator(
     row: table.OperatorRow, after: _table_snapshot.TableSnapshot
 ) -> Iterator[Finding]:
-    made = functools.partial(
+    finding = functools.partial(
         Finding, table="operators", key=row.name, column="token_hash"
     )
     if not _HASH.match(row.token_hash):
-        yield made(
+        yield finding(
             kind=FindingKind.HASH_INVALID,
-            message=f"{row.token_hash!r} is no SHA-256 in lower hexadecimal",
+            message=f"{row.token_hash!r} is not a lowercase hexadecimal"
+            " SHA-256",
         )
     for other in after.operators_by_name.values():
         if other.token_hash == row.token_hash and other.name != row.name:
-            yield made(
+            yield finding(
                 kind=FindingKind.HASH_TAKEN,
                 message=f"operator {other.name!r} has the same token",
             )
@@ -277,8 +278,8 @@
 def _check_admins(
     after: _table_snapshot.TableSnapshot,
 ) -> Iterator[Finding]:
-    # With no administrator nobody could ever name another; with no operator
-    # at all the bootstrap token would open the table again.
+    # Without an administrator, nobody could add another one. Without any
+    # operator, the bootstrap token would be accepted again.
     roles = [row.role for row in after.operators_by_name.values()]
     if table.OperatorRole.admin not in roles:
         yield Finding(
@@ -286,7 +287,7 @@
             table="operators",
             key="",
             column="role",
-            message="no operator would have the role admin; keep one",
+            message="no operator would have the role admin; keep at least one",
         )
 
 
@@ -303,6 +304,6 @@
                 table=name.value,
                 key=key,
                 column="name",
-                message=f"team {team.name!r} still names it; take it out of"
-                f" the team's {column} first",
+                message=f"team {team.name!r} still references it; remove it"
+                f" from the team's {column} first",
             )
--- a/src/topazlug/configuration/_table_difference.py
+++ b/src/topazlug/configuration/_table_difference.py
@@ -16,7 +16,7 @@
 from topazlug.configuration import _table_snapshot
 
 _TABLES = _table_snapshot.TableName
-# Rows come before the rows that name them, and go after them.
+# Rows are added before the rows that reference them, and removed after them.
 PUT_ORDER = (
     _TABLES.POOLS,
     _TABLES.SERVICES,
@@ -28,7 +28,7 @@
 
 
 class DifferenceKind(enum.Enum):
-    """What an import would do to a row."""
+    """Kinds of changes that an import makes to a row."""
 
     ADDED = "added"
     CHANGED = "changed"
@@ -46,7 +46,7 @@
 
 @final
 class Difference(msgspec.Struct, frozen=True, kw_only=True):
-    """What an import would do to one row."""
+    """The change that an import makes to one row."""
 
     kind: DifferenceKind
     table: str
@@ -56,13 +56,13 @@
 
 @final
 class Comparison(msgspec.Struct, frozen=True, kw_only=True):
-    """A document beside the table.
+    """The result of comparing a document with the table.
 
     Attributes
     ----------
     edits : list of RowEdit
-        What would make the table like the document, in an order that never
-        leaves a name without its row.
+        Edits that turn the table into the document, ordered so that no row
+        ever references a missing one.
     """
 
     differences: list[Difference]
@@ -82,20 +82,21 @@
     Parameters
     ----------
     document : TableDocument
-        Rows as they should be.
+        The desired rows.
     snapshot : TableSnapshot
         The table in force.
     remove_absent : bool
-        Whether teams, services and pools that the document lacks go.
-        Operators and drains never go by an import.
+        Whether to remove teams, services and pools that the document lacks.
+        An import never removes operators and drains.
     with_keys : bool
-        Whether the document's keys of teams count. If not, the table's stay,
-        so that an old document brings no revoked key back.
+        Whether to import the teams' keys. Otherwise, teams keep the keys that
+        they have in the table, so that an old document does not restore a
+        revoked key.
 
     Raises
     ------
     RowInvalid
-        The document has a row twice.
+        The document has two rows of the same name.
     """
     edits = []
     for name in PUT_ORDER:
@@ -120,7 +121,7 @@
     for row in rows:
         if row.name in seen:
             raise _table_errors.RowInvalid(
-                f"{name.value}/{row.name} is there twice; leave one out"
+                f"{name.value}/{row.name} appears twice; remove one"
             )
         seen.add(row.name)
     return rows
--- a/src/topazlug/configuration/_table_draft.py
+++ b/src/topazlug/configuration/_table_draft.py
@@ -1,4 +1,4 @@
-"""Makes the next snapshot of the table out of the last one."""
+"""Builds the next snapshot of the table from the previous one."""
 
 import functools
 from typing import Any
@@ -17,14 +17,14 @@
 
 @final
 class TableDraft:
-    """A snapshot in the making: copies only what it writes to."""
+    """A mutable copy of a snapshot, which copies only what it changes."""
 
     def __init__(self, base: _table_snapshot.TableSnapshot) -> None:
         self._base = base
         self._map_by_field: dict[str, _sharded_map.ShardedMapDraft[Any]] = {}
 
-    def writable(self, field: str) -> _sharded_map.ShardedMapDraft[Any]:
-        """Give an attribute of the snapshot to write to."""
+    def writable_map(self, field: str) -> _sharded_map.ShardedMapDraft[Any]:
+        """Return a writable copy of one of the snapshot's maps."""
         if field not in self._map_by_field:
             self._map_by_field[field] = getattr(self._base, field).draft()
         return self._map_by_field[field]
@@ -36,26 +36,26 @@
         version: int,
     ) -> None:
         self._remove(name, row.name)
-        self.writable(_table_snapshot.rows_field(name)).put(row.name, row)
-        versions_by_key = self.writable("row_versions_by_key")
+        self.writable_map(_table_snapshot.rows_field(name)).put(row.name, row)
+        versions_by_key = self.writable_map("row_versions_by_key")
         versions_by_key.put(_table_snapshot.row_key(name, row.name), version)
         _index(row, self)
 
     def _remove(self, name: _table_snapshot.TableName, key: str) -> None:
-        old = self.writable(_table_snapshot.rows_field(name)).remove(key)
-        self.writable("row_versions_by_key").remove(
+        old = self.writable_map(_table_snapshot.rows_field(name)).remove(key)
+        self.writable_map("row_versions_by_key").remove(
             _table_snapshot.row_key(name, key)
         )
         if old is not None:
             _unindex(old, self)
 
-    def change(self, change: messages.RowChange) -> None:
-        """Take in one row, or its removal.
+    def apply(self, change: messages.RowChange) -> None:
+        """Apply the change or removal of one row.
 
         Raises
         ------
         RowInvalid
-            The row can't be read; the draft is as before.
+            The row can't be decoded; the draft is unchanged.
         """
         name = _table_of(change)
         if not isinstance(change.value, dict):
@@ -64,8 +64,8 @@
         row = _table_snapshot.decode_row(name, change.key, change.value)
         self._put(name, row, change.row_version)
 
-    def finished(self, revision: int) -> _table_snapshot.TableSnapshot:
-        """Give the snapshot; the draft must not be used any more."""
+    def build_snapshot(self, revision: int) -> _table_snapshot.TableSnapshot:
+        """Return the snapshot; the draft must not be used afterwards."""
         fields: dict[str, Any] = {
             field: draft.finished()
             for field, draft in self._map_by_field.items()
@@ -83,7 +83,7 @@
 def _pool_by_model(
     pools_by_name: Mapping[str, table.PoolRow],
 ) -> Mapping[str, table.PoolRow]:
-    """Give the pools by model, the first name where two serve one."""
+    """Return pools by model; of two with one model, the first by name."""
     pool_by_model: dict[str, table.PoolRow] = {}
     for name in sorted(pools_by_name):
         pool = pools_by_name[name]
@@ -96,36 +96,36 @@
         return _table_snapshot.TableName(change.table)
     except ValueError as error:
         raise _table_errors.RowInvalid(
-            f"{change.table}/{change.key}: no such table; a newer program"
-            " wrote it: update this daemon"
+            f"{change.table}/{change.key}: unknown table, written by a newer"
+            " version; update this daemon"
         ) from error
 
 
 @functools.singledispatch
 def _index(row: _table_snapshot.Row, draft: TableDraft) -> None:
-    """Enter a row in the mappings derived from it."""
+    """Add a row to the indexes."""
 
 
 @functools.singledispatch
 def _unindex(row: _table_snapshot.Row, draft: TableDraft) -> None:
-    """Take a row out of the mappings derived from it."""
+    """Remove a row from the indexes."""
 
 
 @_index.register
 def _index_team(row: table.TeamRow, draft: TableDraft) -> None:
-    team_by_key_hash = draft.writable("team_by_key_hash")
+    team_by_key_hash = draft.writable_map("team_by_key_hash")
     for key in row.keys:
-        # A team that names another's key would take over its callers, seen
-        # as one team's requests counted as another's. The first keeps it,
-        # and the checks refuse the second's row.
+        # If a team with another team's key took it over, the other team's
+        # requests would be counted as its own. The first team keeps the key,
+        # and the checks reject the second team's row.
         if team_by_key_hash.get(key.hash) is None:
             team_by_key_hash.put(key.hash, row)
 
 
 @_unindex.register
 def _unindex_team(row: table.TeamRow, draft: TableDraft) -> None:
-    team_by_key_hash = draft.writable("team_by_key_hash")
+    team_by_key_hash = draft.writable_map("team_by_key_hash")
     for key in row.keys:
-        holder = team_by_key_hash.get(key.hash)
-        if holder is not None and holder.name == row.name:
+        owner = team_by_key_hash.get(key.hash)
+        if owner is not None and owner.name == row.name:
             team_by_key_hash.remove(key.hash)
--- a/src/topazlug/configuration/_table_edits.py
+++ b/src/topazlug/configuration/_table_edits.py
@@ -1,8 +1,8 @@
 """Edits of the operators' table, each in one transaction of the store.
 
-An edit is accepted only after the store has committed it. It says which
-version of a row it was based on, so of two operators who change one row one
-is refused, and it has an id of its own, so that repeating it is harmless.
+An edit is accepted only after the store has committed it. It carries the ETag
+of the row that it is based on, so that of two concurrent edits of a row one is
+rejected, and a unique id, so that it can be repeated safely.
 """
 
 import random
@@ -23,11 +23,11 @@
 from topazlug.store import _table_client
 
 MAX_ROWS = 200
-MAX_TRIES = 12
-FIRST_WAIT = 0.02
-MAX_WAIT = 0.5
+MAX_ATTEMPTS = 12
+INITIAL_BACKOFF = 0.02
+MAX_BACKOFF = 0.5
 KEPT_REVISIONS = 100_000
-_OUTAGE = (_errors.StoreUnavailable, _table_errors.TableInconsistent)
+_OUTAGE_ERRORS = (_errors.StoreUnavailable, _table_errors.TableInconsistent)
 
 
 @final
@@ -39,9 +39,9 @@
     first_revision, revision : int
         Revisions of the first and last row that it changed.
     repeated : bool
-        Whether the edit had been accepted before under this id.
+        Whether the edit had already been accepted under this id.
     findings : list of Finding
-        Warnings; errors would have refused it.
+        Warnings; with errors, the edit would have been rejected.
     """
 
     edit_id: str
@@ -52,16 +52,16 @@
 
 
 class Publisher(Protocol):
-    """What brings committed changes into force."""
+    """Applies committed changes on this daemon and on its peers."""
 
     def publish(self, changes: Sequence[messages.RowChange]) -> None:
-        """Bring changes into force here and push them."""
+        """Apply changes on this daemon and push them to peers."""
 
     def catch_up(self) -> None:
-        """Read what the store holds beyond the revision in force."""
+        """Read and apply the store's changes after the revision in force."""
 
 
-def _unknown(stamp: _edit_plan.Stamp) -> _errors.StoreAmbiguous:
+def _ambiguous_error(stamp: _edit_plan.Stamp) -> _errors.StoreAmbiguous:
     return _errors.StoreAmbiguous(
         "the store's answer was lost, so the edit may have been accepted;"
         f" repeat it under the same edit id {stamp.edit_id}"
@@ -79,9 +79,9 @@
     holder : ConfigurationHolder
         The revision in force, which an edit is checked against.
     publisher : Publisher
-        Told of each accepted edit.
+        Receives the changes of each accepted edit.
     clock : Clock
-        Stamps the history and waits between tries.
+        Used for timestamps of the history and to sleep between attempts.
     """
 
     def __init__(
@@ -104,65 +104,68 @@
         stamp: _edit_plan.Stamp,
         fingerprint: str = "",
     ) -> EditResult:
-        """Make an edit, all its rows or none.
+        """Make an edit atomically: all its rows are written or none.
 
         Parameters
         ----------
         edits : Sequence[_edit_plan.RowEdit]
             At most `MAX_ROWS`.
         stamp : Stamp
-            Goes into the history.
+            Author, reason and id of the edit, stored in the history.
         fingerprint : str
-            Tells edits under one id apart; by default made of the rows.
+            Detects the reuse of an edit id for another edit; by default a
+            hash of the rows.
 
         Returns
         -------
         EditResult
-            The revisions that the edit became, the same for a repeat.
+            The revisions of the edit; the same if the edit is repeated.
 
         Raises
         ------
         RowInvalid
             A row breaks the schema or a check.
         RowConflict, PreconditionMissing, RowNotFound
-            A row is not what the edit is based on.
+            A row does not match the ETag that the edit is based on.
         EditIdReused
-            Another edit had this id.
+            The id belongs to another edit.
         EditContention
-            Others came first in each try; nothing was changed.
+            Every attempt lost against a concurrent edit; nothing was changed.
         StoreUnavailable
             The store does not answer; nothing was changed.
         StoreAmbiguous
-            It is unknown whether the edit was accepted. Repeating it under
-            the same id is safe and settles it.
+            It is unknown whether the edit was accepted. It is safe to repeat
+            it with the same id, which gives the result.
         """
-        normal = [_edit_plan.normal(edit) for edit in edits]
-        if not 0 < len(normal) <= MAX_ROWS:
+        normalized = [_edit_plan.normalize(edit) for edit in edits]
+        if not 0 < len(normalized) <= MAX_ROWS:
             raise _table_errors.RowInvalid(
-                f"{len(normal)} rows in one edit; give 1 to {MAX_ROWS}"
+                f"{len(normalized)} rows in one edit; send 1 to {MAX_ROWS}"
             )
-        fingerprint = fingerprint or _edit_plan.fingerprint_of(normal)
-        earlier = self.earlier(stamp, fingerprint)
-        if earlier is not None:
-            return earlier
-        return self._try_often(normal, stamp=stamp, fingerprint=fingerprint)
+        fingerprint = fingerprint or _edit_plan.fingerprint_of(normalized)
+        find_result = self.find_result(stamp, fingerprint)
+        if find_result is not None:
+            return find_result
+        return self._edit_with_retries(
+            normalized, stamp=stamp, fingerprint=fingerprint
+        )
 
-    def earlier(
+    def find_result(
         self, stamp: _edit_plan.Stamp, fingerprint: str
     ) -> EditResult | None:
-        """Give what an edit became, None when it was never accepted.
+        """Return the result of an accepted edit by its id, None without one.
 
         Raises
         ------
         EditIdReused
-            Another edit had this id.
+            The id belongs to another edit.
         StoreUnavailable
             The store does not answer.
         """
         row = self._store.read(_table_storage.EDITS_TABLE, stamp.edit_id)
-        return self._result_of(row, stamp, fingerprint)
+        return self._result_from_row(row, stamp, fingerprint)
 
-    def _try_often(
+    def _edit_with_retries(
         self,
         edits: Sequence[_edit_plan.RowEdit],
         *,
@@ -171,57 +174,59 @@
     ) -> EditResult:
         ambiguous: _errors.StoreAmbiguous | None = None
         try:
-            for number in range(MAX_TRIES):
+            for number in range(MAX_ATTEMPTS):
                 try:
-                    result = self._try(edits, stamp, fingerprint)
+                    result = self._edit_once(edits, stamp, fingerprint)
                 except _errors.StoreAmbiguous as error:
                     ambiguous = error
-                    result = self.earlier(stamp, fingerprint)
+                    result = self.find_result(stamp, fingerprint)
                 if result is not None:
                     return result
-                self._wait(number)
-        except _OUTAGE as error:
-            # Said after a lost answer, "unavailable" would let the operator
-            # believe that nothing was changed while the write may have
-            # taken effect. The edit id settles it at the next repeat.
+                self._back_off(number)
+        except _OUTAGE_ERRORS as error:
+            # After a lost answer, reporting the store as unavailable would
+            # imply that nothing was changed, although the write may have
+            # been committed. Repeating the edit id resolves this.
             if ambiguous is None:
                 raise
-            raise _unknown(stamp) from error
+            raise _ambiguous_error(stamp) from error
         if ambiguous is not None:
-            raise _unknown(stamp) from ambiguous
+            raise _ambiguous_error(stamp) from ambiguous
         raise _table_errors.EditContention(
-            f"other edits came first {MAX_TRIES} times; try again"
+            "concurrent edits were committed first in all"
+            f" {MAX_ATTEMPTS} attempts; try again"
         )
 
-    def _wait(self, number: int) -> None:
-        longest = min(FIRST_WAIT * 2**number, MAX_WAIT)
-        self._clock.sleep(longest * random.uniform(0.5, 1.0))
+    def _back_off(self, number: int) -> None:
+        max_wait = min(INITIAL_BACKOFF * 2**number, MAX_BACKOFF)
+        self._clock.sleep(max_wait * random.uniform(0.5, 1.0))
 
-    def _try(
+    def _edit_once(
         self,
         edits: Sequence[_edit_plan.RowEdit],
         stamp: _edit_plan.Stamp,
         fingerprint: str,
     ) -> EditResult | None:
-        """Try once; None when the table moved meanwhile."""
+        """Try once; return None if the table changed in the meantime."""
         meta = self._newest_meta()
         before = self._holder.current
         if meta is None or before is None:
             return None
         try:
             try:
-                plan = _edit_plan.planned(edits, meta=meta, before=before)
+                plan = _edit_plan.make_plan(edits, meta=meta, before=before)
             except _errors.TopazlugError:
-                # The refusal may rest on an old answer of the store, or on
-                # this very edit when its first answer was lost. It stands
-                # only if the store confirms what it was based on.
+                # The rejection may be based on a stale read, or on this same
+                # edit if the answer to an earlier attempt was lost. It is
+                # final only if the store confirms that the table has not
+                # changed and the edit id is unused.
                 self._store.transact(
                     conditions=_edit_plan.base_conditions(meta, stamp), puts=()
                 )
                 raise
             self._commit(plan, stamp, fingerprint)
         except _table_client.TransactionConflict as conflict:
-            return self._settled(conflict, stamp, fingerprint)
+            return self._result_from_conflict(conflict, stamp, fingerprint)
         self._publisher.publish(plan.changes)
         return EditResult(
             edit_id=stamp.edit_id,
@@ -231,14 +236,14 @@
         )
 
     def _newest_meta(self) -> _table_storage.Meta | None:
-        """Read the revision and hold it; None when it moves meanwhile."""
+        """Read the state and catch up; None if it changes meanwhile."""
         meta = _table_storage.read_meta(self._store)
         if meta.revision > self._holder.revision:
             self._publisher.catch_up()
         if self._holder.is_blocked:
             raise _errors.StoreUnavailable(
-                f"revision {self._holder.refused_revision} can't be read by"
-                " this daemon; edit through a newer one"
+                f"revision {self._holder.rejected_revision} can't be decoded"
+                " by this daemon; edit through a newer one"
             )
         return meta if meta.revision == self._holder.revision else None
 
@@ -256,19 +261,19 @@
                 *_edit_plan.base_conditions(plan.meta, stamp),
                 *_edit_plan.row_conditions(plan),
             ],
-            puts=_edit_plan.puts_of(
+            puts=_edit_plan.make_puts(
                 plan, stamp=stamp, record=record, when=when
             ),
             deletes=[
-                *_edit_plan.deletes_of(plan),
-                *self._outdated(plan.changes),
+                *_edit_plan.make_deletes(plan),
+                *self._expired_history(plan.changes),
             ],
         )
 
-    def _outdated(
+    def _expired_history(
         self, changes: Sequence[messages.RowChange]
     ) -> list[_table_client.Delete]:
-        """Give the rows of history that these changes push out."""
+        """Return deletions of history older than `KEPT_REVISIONS`."""
         deletes = []
         for change in changes:
             if change.revision <= KEPT_REVISIONS:
@@ -287,19 +292,19 @@
             ]
         return deletes
 
-    def _settled(
+    def _result_from_conflict(
         self,
         conflict: _table_client.TransactionConflict,
         stamp: _edit_plan.Stamp,
         fingerprint: str,
     ) -> EditResult | None:
-        """Give the result if the conflict shows this edit is in the store."""
+        """Return the result if the conflict shows the edit was committed."""
         for row in conflict.failed:
             if row.table == _table_storage.EDITS_TABLE:
-                return self._result_of(row, stamp, fingerprint)
+                return self._result_from_row(row, stamp, fingerprint)
         return None
 
-    def _result_of(
+    def _result_from_row(
         self,
         row: _table_client.Row | None,
         stamp: _edit_plan.Stamp,
@@ -310,10 +315,10 @@
         record = msgspec.convert(row.value, _edit_plan.EditRecord)
         if record.fingerprint != fingerprint:
             raise _table_errors.EditIdReused(
-                f"edit id {stamp.edit_id!r} was another edit's, accepted as"
-                f" revision {record.revision}; give each edit its own id"
+                f"edit id {stamp.edit_id!r} was used by another edit, accepted"
+                f" as revision {record.revision}; use a new id for each edit"
             )
-        self._bring_into_force(record.revision)
+        self._catch_up_to(record.revision)
         return EditResult(
             edit_id=stamp.edit_id,
             first_revision=record.first_revision,
@@ -321,13 +326,13 @@
             repeated=True,
         )
 
-    def _bring_into_force(self, revision: int) -> None:
+    def _catch_up_to(self, revision: int) -> None:
         if revision <= self._holder.revision:
             return
         try:
             self._publisher.catch_up()
-        except _OUTAGE:
-            # The edit is accepted all the same: saying that the store is
-            # down would make the operator edit again. The next poll of this
-            # or any other daemon brings it into force.
+        except _OUTAGE_ERRORS:
+            # The edit has been accepted. Reporting that the store is down
+            # would make the operator edit again. The next poll of this or
+            # any other daemon applies the edit.
             return
--- a/src/topazlug/configuration/_table_errors.py
+++ b/src/topazlug/configuration/_table_errors.py
@@ -1,4 +1,4 @@
-"""Failures of reading and editing the operators' table."""
+"""Errors of reading and editing the operators' table."""
 
 from http import HTTPStatus
 from typing import Any
@@ -9,7 +9,7 @@
 
 @final
 class RowInvalid(_errors.TopazlugError):
-    """A row of the table that can't be taken."""
+    """A row that can't be decoded, or that breaks a check."""
 
     code = _errors.Code.ROW_INVALID
     status = HTTPStatus.UNPROCESSABLE_ENTITY
@@ -25,16 +25,16 @@
 
 @final
 class RowConflict(_errors.TopazlugError):
-    """Somebody else changed the row since it was read.
+    """The row was changed by another edit since it was read.
 
     Parameters
     ----------
     message : str
-        Which row, and what helps.
+        The row, and the remedy.
     mine : dict or None
-        The row as this edit would have it; None to remove it.
+        The row that this edit would write; None to remove it.
     current : dict or None
-        The row as it stands; None when it is gone.
+        The row in the table; None if it was removed.
     """
 
     code = _errors.Code.ROW_CONFLICT
@@ -54,7 +54,7 @@
 
 @final
 class PreconditionMissing(_errors.TopazlugError):
-    """An existing row was to be changed without saying which version."""
+    """An edit of an existing row without the ETag it is based on."""
 
     code = _errors.Code.BAD_HEADER
     status = HTTPStatus.PRECONDITION_REQUIRED
@@ -62,7 +62,7 @@
 
 @final
 class EditIdReused(_errors.TopazlugError):
-    """The edit id came before with another edit."""
+    """The edit id was already used by another edit."""
 
     code = _errors.Code.KEY_REUSED
     status = HTTPStatus.UNPROCESSABLE_ENTITY
@@ -70,7 +70,7 @@
 
 @final
 class EditContention(_errors.TopazlugError):
-    """Other edits came first each time; nothing was changed."""
+    """Every attempt lost against a concurrent edit; nothing was changed."""
 
     code = _errors.Code.STORE_CONFLICT
     status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -78,7 +78,7 @@
 
 @final
 class TableInconsistent(_errors.TopazlugError):
-    """What the store answered is no one revision of the table."""
+    """The store's answers do not belong to a single revision."""
 
     code = _errors.Code.STORE_CONFLICT
     status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -86,7 +86,7 @@
 
 @final
 class BadToken(_errors.TopazlugError):
-    """No operator holds the token."""
+    """No operator has the token."""
 
     code = _errors.Code.BAD_TOKEN
     status = HTTPStatus.UNAUTHORIZED
--- a/src/topazlug/configuration/_table_snapshot.py
+++ b/src/topazlug/configuration/_table_snapshot.py
@@ -1,4 +1,4 @@
-"""The whole of the operators' table at one revision, typed and indexed."""
+"""The operators' table at one revision, typed and indexed."""
 
 import datetime
 import enum
@@ -26,7 +26,7 @@
 
 
 class TableName(enum.Enum):
-    """The tables that operators edit."""
+    """Names of the tables that operators edit."""
 
     TEAMS = "teams"
     SERVICES = "services"
@@ -45,12 +45,12 @@
 
 
 def row_key(name: TableName, key: str) -> str:
-    """Give the key of a row among all tables, as in ``teams/acme``."""
+    """Return a key that is unique across tables, such as ``teams/acme``."""
     return f"{name.value}/{key}"
 
 
 def decode_row(name: TableName, key: str, value: Any) -> Row:
-    """Check a row's value and give it its type.
+    """Validate a row's value and convert it to the row's type.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
     key : str
         Key that the row is stored under.
     value : Any
-        Columns as read.
+        Columns of the row.
 
     Returns
     -------
@@ -80,25 +80,25 @@
         ) from error
     if row.name != key:
         raise _table_errors.RowInvalid(
-            f"{row_key(name, key)}: its name column says {row.name!r};"
-            " give both the same name"
+            f"{row_key(name, key)}: the name column is {row.name!r}; it must"
+            " equal the key"
         )
     return row
 
 
 @final
 class TableSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole table at one revision; never changed once made.
+    """The operators' table at one revision; immutable.
 
     Attributes
     ----------
     revision : Revision
-        Revision that the snapshot shows.
+        Revision of the table.
     row_versions_by_key : Mapping[str, int]
         Version of each row, by ``table/name``.
     team_by_key_hash : Mapping[str, TeamRow]
-        Team of each API key's SHA-256, lapsed keys included: ask
-        `team_of_key` where a lapsed key must not count.
+        Team of each API key's SHA-256, including expired keys; use
+        `team_of_key` to look up valid keys only.
     pool_by_model : Mapping[str, PoolRow]
         Pool that serves a model.
     """
@@ -114,25 +114,25 @@
     pool_by_model: Mapping[str, table.PoolRow] = {}
 
     def rows_by_name(self, name: TableName) -> Mapping[str, Row]:
-        """Give one table's rows."""
+        """Return one table's rows."""
         rows: Mapping[str, Row] = getattr(self, rows_field(name))
         return rows
 
     def version_of(self, name: TableName, key: str) -> int:
-        """Give a row's version, 0 when there is no such row."""
+        """Return a row's version, 0 if there is no such row."""
         return self.row_versions_by_key.get(row_key(name, key), 0)
 
     def team_of_key(
         self, key_hash: str, *, now: datetime.datetime
     ) -> table.TeamRow | None:
-        """Give the team that holds an API key.
+        """Return the team of an API key, None if the key is not valid.
 
         Parameters
         ----------
         key_hash : str
             SHA-256 of the key in hexadecimal.
         now : datetime.datetime
-            Wall time; a key past its expiry belongs to nobody.
+            Wall-clock time that expiry is checked against.
         """
         team = self.team_by_key_hash.get(key_hash)
         if team is None:
@@ -144,7 +144,7 @@
 
 
 def is_expired(key: table.KeyRow, *, now: datetime.datetime) -> bool:
-    """Tell whether a key is void; an unreadable expiry makes it void."""
+    """Return whether a key has expired or its expiry can't be parsed."""
     if not key.expires:
         return False
     try:
@@ -157,12 +157,12 @@
 
 
 def rows_field(name: TableName) -> str:
-    """Give the snapshot's attribute that holds a table's rows."""
+    """Return the snapshot's attribute that holds a table's rows."""
     return f"{name.value}_by_name"
 
 
 def table_to_changes(snapshot: TableSnapshot) -> list[messages.RowChange]:
-    """Give every row of a snapshot in the form that peers exchange."""
+    """Return every row of a snapshot as a change, to send to peers."""
     return [
         messages.RowChange(
             revision=snapshot.revision,
--- a/src/topazlug/configuration/_table_storage.py
+++ b/src/topazlug/configuration/_table_storage.py
@@ -1,7 +1,7 @@
-"""How the operators' table lies in the platform's table service.
+"""Layout of the operators' table in the platform's table service.
 
-``meta/config`` holds the revision, ``history/<revision>`` what each revision
-changed, ``edits/<edit id>`` which revisions an edit became, and one table per
+``meta/config`` holds the revision, ``history/<revision>`` the change that the
+revision made, ``edits/<edit id>`` the revisions of an edit, and one table per
 kind of row the rows themselves. An edit writes all of them in one
 transaction.
 """
@@ -24,7 +24,7 @@
 HISTORY_TABLE = "history"
 EDITS_TABLE = "edits"
 HISTORY_PAGE = 500
-SCAN_TRIES = 5
+MAX_SCAN_ATTEMPTS = 5
 _DIGEST_MASK = (1 << 64) - 1
 
 
@@ -35,12 +35,12 @@
     Attributes
     ----------
     revision : int
-        Revision of the last edit, 0 for a table never edited.
+        Revision of the last edit, 0 for a table that was never edited.
     digest : str
-        Order-free hash of all rows' versions in hexadecimal; empty for a
-        table that was first written by another program.
+        Hexadecimal hash of all rows' versions, independent of their order;
+        empty for a table that was first written by another program.
     row_version : int
-        Version of the row ``meta/config`` itself, 0 when absent.
+        Version of the row ``meta/config`` itself, 0 if absent.
     """
 
     revision: int = 0
@@ -53,14 +53,14 @@
 
 @final
 class HistoryEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """What one revision changed.
+    """The change that one revision made.
 
     Attributes
     ----------
     value : dict or None
-        The row's columns afterwards, None when the row was removed.
+        The row's columns after the change, None if the row was removed.
     previous : dict or None
-        The columns before, None when there was no row.
+        The columns before the change, None if the row was added.
     """
 
     revision: int
@@ -77,12 +77,12 @@
 
 
 def history_key(revision: int) -> str:
-    """Give the key of a revision's entry; keys sort as revisions do."""
+    """Return a revision's key in the history, padded to sort by number."""
     return f"{revision:012d}"
 
 
 def digest_of(versions_by_key: Iterator[tuple[str, int]]) -> int:
-    """Sum the hashes of rows, given by ``table/name`` with versions."""
+    """Return the sum of row hashes, given ``table/name`` and versions."""
     total = 0
     for key, version in versions_by_key:
         total += row_digest(key, version)
@@ -90,27 +90,27 @@
 
 
 def row_digest(key: str, version: int) -> int:
-    """Hash one row's name and version; 0 for an absent row."""
+    """Return a hash of a row's key and version; 0 for an absent row."""
     if not version:
         return 0
     return xxhash.xxh64_intdigest(f"{key}@{version}".encode())
 
 
-def changed_digest(meta: Meta, *, key: str, old: int, new: int) -> str:
-    """Give the digest after one row went from one version to another."""
+def update_digest(meta: Meta, *, key: str, old: int, new: int) -> str:
+    """Return the digest after the version of one row changed."""
     if not meta.digest:
         return ""
     total = int(meta.digest, 16) - row_digest(key, old) + row_digest(key, new)
     return f"{total & _DIGEST_MASK:x}"
 
 
-def meta_of(row: _table_client.Row | None) -> Meta:
-    """Read the row ``meta/config``.
+def parse_meta(row: _table_client.Row | None) -> Meta:
+    """Parse the row ``meta/config``.
 
     Raises
     ------
     TableInconsistent
-        The row is not what this program writes.
+        The row can't be decoded.
     """
     if row is None or row.value is None:
         return NEW_META
@@ -118,7 +118,7 @@
         meta = msgspec.convert(row.value, Meta)
     except msgspec.ValidationError as error:
         raise _table_errors.TableInconsistent(
-            f"{META_TABLE}/{META_KEY} can't be read: {error}"
+            f"{META_TABLE}/{META_KEY} can't be decoded: {error}"
         ) from error
     return msgspec.structs.replace(meta, row_version=row.version)
 
@@ -131,9 +131,9 @@
     StoreUnavailable
         The store does not answer.
     TableInconsistent
-        The row is not what this program writes.
+        The row can't be decoded.
     """
-    return meta_of(store.read(META_TABLE, META_KEY))
+    return parse_meta(store.read(META_TABLE, META_KEY))
 
 
 def read_history(
@@ -146,7 +146,7 @@
     StoreUnavailable
         The store does not answer.
     TableInconsistent
-        An entry is not what this program writes.
+        An entry can't be decoded.
     """
     start = history_key(max(after, 0))
     page = store.scan(HISTORY_TABLE, after=start, limit=limit)
@@ -154,12 +154,12 @@
         return [msgspec.convert(row.value, HistoryEntry) for row in page.rows]
     except msgspec.ValidationError as error:
         raise _table_errors.TableInconsistent(
-            f"an entry of {HISTORY_TABLE} after {after} can't be read: {error}"
+            f"{HISTORY_TABLE} entry after {after} can't be decoded: {error}"
         ) from error
 
 
-def as_change(entry: HistoryEntry) -> messages.RowChange:
-    """Give an entry in the form that peers exchange."""
+def entry_to_change(entry: HistoryEntry) -> messages.RowChange:
+    """Return an entry as a change, to apply it or send it to peers."""
     return messages.RowChange(
         revision=entry.revision,
         table=entry.table,
@@ -172,12 +172,12 @@
 def read_full_table(
     store: _table_client.TableStore,
 ) -> tuple[Meta, list[messages.RowChange]]:
-    """Read every row of one revision.
+    """Read all rows of the table at one revision.
 
     Returns
     -------
     Meta
-        The revision that the rows show.
+        State of the table that the rows belong to.
     list of RowChange
         All rows.
 
@@ -186,28 +186,31 @@
     StoreUnavailable
         The store does not answer.
     TableInconsistent
-        The rows were of no one revision in any of `SCAN_TRIES` tries.
+        The rows read were of different revisions in each of
+        `MAX_SCAN_ATTEMPTS` attempts.
     """
-    for _ in range(SCAN_TRIES):
+    for _ in range(MAX_SCAN_ATTEMPTS):
         before = read_meta(store)
         rows = [
             row
             for name in _table_snapshot.TableName
             for row in _scan(store, name.value)
         ]
-        if read_meta(store) == before and _is_whole(before, rows):
-            return before, [_as_change(row, before.revision) for row in rows]
+        if read_meta(store) == before and _is_consistent(before, rows):
+            return before, [
+                _row_to_change(row, before.revision) for row in rows
+            ]
     raise _table_errors.TableInconsistent(
-        f"the table changed, or replicas of the store differed, in"
-        f" {SCAN_TRIES} reads; it is read again at the next poll"
+        f"the table changed, or replicas of the store differed, in each of"
+        f" {MAX_SCAN_ATTEMPTS} reads; it is read again at the next poll"
     )
 
 
-def _is_whole(meta: Meta, rows: Sequence[_table_client.Row]) -> bool:
-    # A replica of the store that lags may answer some pages although the
-    # revision read before and after them is the newest: rows would be
-    # missing or old, for good, since later changes touch other rows. The
-    # digest in meta/config is that of exactly this revision's rows.
+def _is_consistent(meta: Meta, rows: Sequence[_table_client.Row]) -> bool:
+    # A lagging replica of the store may serve some pages although the
+    # revision read before and after them is the newest. Rows would then stay
+    # missing or outdated permanently, since later changes concern other rows.
+    # The digest in meta/config covers exactly the rows of this revision.
     if not meta.digest:
         return True
     versions = ((f"{row.table}/{row.key}", row.version) for row in rows)
@@ -226,7 +229,9 @@
         after = page.rows[-1].key
 
 
-def _as_change(row: _table_client.Row, revision: int) -> messages.RowChange:
+def _row_to_change(
+    row: _table_client.Row, revision: int
+) -> messages.RowChange:
     return messages.RowChange(
         revision=revision,
         table=row.table,
--- a/tests/topazlug/administration_fakes.py
+++ b/tests/topazlug/administration_fakes.py
@@ -60,7 +60,7 @@
     ready: bool = True,
     guard: Any = None,
 ) -> _administration.Administration:
-    """Give the administration of a node."""
+    """Return the administration of a node."""
     made = _administration.Administration(
         holder=node.holder,
         editor=node.editor,
--- a/tests/topazlug/cli/conftest.py
+++ b/tests/topazlug/cli/conftest.py
@@ -30,7 +30,7 @@
 
     @property
     def environment(self):
-        """Give the variables by which another program finds the daemon."""
+        """Return the variables by which another program finds the daemon."""
         return {"TOPAZLUG_URL": self._url, "TOPAZLUG_TOKEN": self.token}
 
     def json(self, *arguments):
--- a/tests/topazlug/configuration/test_configuration.py
+++ b/tests/topazlug/configuration/test_configuration.py
@@ -24,10 +24,10 @@
 
 
 class TestApply:
-    def test_nothing_is_held_at_first(self):
+    def test_there_is_no_revision_at_first(self):
         holder = _configuration.ConfigurationHolder()
         assert holder.current is None
-        assert holder.revision == _configuration.NOTHING_HELD
+        assert holder.revision == _configuration.NO_REVISION
 
     def test_following_changes_come_into_force(self, holder):
         changes = [table_fakes.change(r, weight=r) for r in (4, 5)]
@@ -40,21 +40,21 @@
         assert weight(holder) == 5
 
     def test_late_push_does_not_revert(self, holder):
-        """A limit that an operator raised falls back for a moment.
+        """A limit that an operator raised must not revert temporarily.
 
-        Sequence: revisions 4 and 5 arrive; a peer that was slow pushes 4
-        once more. Cause: the last message to arrive taken for the newest.
+        A slow peer pushes revision 4 after 5 has been applied. Treating the
+        message that arrives last as the newest would revert the limit.
         """
         holder.apply([table_fakes.change(r, weight=r) for r in (4, 5)])
         late = [table_fakes.change(4, weight=4)]
         assert holder.apply(late) is RESULT.OLD
         assert (holder.revision, weight(holder)) == (5, 5)
 
-    def test_gap_is_not_jumped(self, holder):
-        """A daemon shows the newest revision but lacks a row.
+    def test_gap_is_not_skipped(self, holder):
+        """A daemon must not report the newest revision and lack a row.
 
-        Sequence: the push of 4 is lost, the push of 5 arrives. Cause: the
-        revision raised although the change between was never applied.
+        The push of revision 4 is lost and the push of 5 arrives. Revision 5
+        must not be applied without the change in between.
         """
         assert holder.apply([table_fakes.change(5)]) is RESULT.GAP
         assert holder.revision == 3
@@ -64,57 +64,57 @@
         assert holder.apply(changes) is RESULT.GAP
         assert (holder.revision, weight(holder)) == (4, 4)
 
-    def test_unreadable_row_leaves_the_last_good_revision(self, holder):
-        """Teams lose their limits after an update of one daemon.
+    def test_unreadable_row_keeps_the_last_valid_revision(self, holder):
+        """Teams must keep their limits while daemons differ in version.
 
-        Sequence: a newer program writes a column that this one does not
-        know. Cause: the row skipped or half read; instead the revision is
-        refused and counted.
+        A newer version writes a row that this one can't decode. If the row
+        were skipped or decoded in part, the team would lose its limits. The
+        revision must be rejected and counted.
         """
         unreadable = table_fakes.change(4, weight=-1)
         assert holder.apply([unreadable]) is RESULT.UNREADABLE
         assert (holder.revision, weight(holder)) == (3, 3)
-        assert holder.refused_count == 1
+        assert holder.rejected_count == 1
         assert holder.is_blocked
 
     def test_unknown_table_is_unreadable(self, holder):
-        odd = table_fakes.change(4, table="gateways")
-        assert holder.apply([odd]) is RESULT.UNREADABLE
+        unknown = table_fakes.change(4, table="gateways")
+        assert holder.apply([unknown]) is RESULT.UNREADABLE
 
     def test_removal(self, holder):
         holder.apply([table_fakes.removal(4)])
         assert "acme" not in holder.current.teams_by_name
         assert holder.current.row_versions_by_key.get("teams/acme") is None
 
-    def test_earlier_snapshot_stays_as_it_was(self, holder):
+    def test_earlier_snapshot_is_unchanged(self, holder):
         earlier = holder.current
         holder.apply([table_fakes.change(4, weight=4)])
         assert earlier.teams_by_name["acme"].weight == 3
 
-    def test_failing_reader_does_not_keep_others_from_the_news(self, holder):
-        """One part of a daemon goes on with an old limit.
+    def test_failing_callback_does_not_stop_later_ones(self, holder):
+        """No part of a daemon may go on with an outdated limit.
 
-        Sequence: a reader of the table raises at a change. Cause: the
-        readers after it were never called.
+        A callback raises. The callbacks registered after it must still be
+        called.
         """
-        told = []
+        notified = []
         holder.on_change(lambda: 1 / 0)
-        holder.on_change(lambda: told.append(holder.revision))
+        holder.on_change(lambda: notified.append(holder.revision))
         holder.apply([table_fakes.change(4)])
-        assert told == [4]
+        assert notified == [4]
 
 
-class TestApplyWhole:
+class TestApplyFullTable:
     def test_lower_or_equal_revision_is_ignored(self, holder):
         rows = [table_fakes.change(3, weight=9)]
         assert holder.apply_full_table(revision=3, rows=rows) is RESULT.OLD
         assert weight(holder) == 3
 
-    def test_rows_that_are_gone_go(self, holder):
+    def test_absent_rows_are_removed(self, holder):
         holder.apply_full_table(revision=9, rows=[])
         assert not holder.current.teams_by_name
 
-    def test_unreadable_row_refuses_all(self, holder):
+    def test_unreadable_row_rejects_the_table(self, holder):
         rows = [table_fakes.change(9, "b"), table_fakes.change(9, weight=-1)]
         assert (
             holder.apply_full_table(revision=9, rows=rows) is RESULT.UNREADABLE
@@ -123,7 +123,7 @@
 
 
 class TestKeys:
-    def give_key(self, holder, **columns):
+    def add_key(self, holder, **columns):
         keys = [{"hash": table_fakes.HASH, **columns}]
         holder.apply([table_fakes.change(holder.revision + 1, keys=keys)])
 
@@ -131,32 +131,32 @@
         return holder.current.team_of_key(table_fakes.HASH, now=NOW)
 
     def test_team_of_key(self, holder):
-        self.give_key(holder)
+        self.add_key(holder)
         assert self.team(holder).name == "acme"
 
-    def test_revoked_key_is_nobodys(self, holder):
-        self.give_key(holder)
+    def test_revoked_key_has_no_team(self, holder):
+        self.add_key(holder)
         holder.apply([table_fakes.change(5, keys=[])])
         assert self.team(holder) is None
 
-    def test_key_of_removed_team_is_nobodys(self, holder):
-        self.give_key(holder)
+    def test_key_of_removed_team_has_no_team(self, holder):
+        self.add_key(holder)
         holder.apply([table_fakes.removal(5)])
         assert self.team(holder) is None
 
-    def test_key_that_two_teams_name_stays_the_firsts(self, holder):
-        """One team's requests are counted as another's.
+    def test_key_of_two_teams_stays_with_the_first(self, holder):
+        """One team's requests must not be counted as another's.
 
-        Sequence: a row that names another team's key got past the checks.
-        Cause: the last row read takes the key over.
+        A row with another team's key got past the checks. The row applied
+        last must not take the key over.
         """
-        self.give_key(holder)
+        self.add_key(holder)
         keys = [{"hash": table_fakes.HASH}]
         holder.apply([table_fakes.change(5, "thief", keys=keys)])
         assert self.team(holder).name == "acme"
 
     @pytest.mark.parametrize(
-        "expires, holds",
+        "expires, is_valid",
         [
             ("2026-06-01T00:00:01Z", True),
             ("2026-06-01T00:00:00Z", False),
@@ -164,13 +164,13 @@
             ("soon", False),
         ],
     )
-    def test_expiry(self, holder, expires, holds):
-        self.give_key(holder, expires=expires)
-        assert (self.team(holder) is not None) is holds
+    def test_expiry(self, holder, expires, is_valid):
+        self.add_key(holder, expires=expires)
+        assert (self.team(holder) is not None) is is_valid
 
 
 class TestPools:
-    def test_pool_by_model_follows_the_pools(self, holder):
+    def test_pool_by_model_is_updated_with_the_pools(self, holder):
         added = table_fakes.change(4, "p", table="pools", model="m")
         holder.apply([added])
         assert holder.current.pool_by_model["m"].name == "p"
--- a/tests/topazlug/configuration/test_configuration_follower.py
+++ b/tests/topazlug/configuration/test_configuration_follower.py
@@ -31,7 +31,7 @@
     return [node.holder.revision for node in nodes]
 
 
-class TestSpread:
+class TestPropagation:
     def test_edit_reaches_all_without_a_poll(self, add_node):
         nodes = [add_node(f"d{number}") for number in range(5)]
         nodes[0].put("acme", weight=7)
@@ -41,11 +41,11 @@
     def test_daemon_that_missed_pushes_pulls_what_it_lacks(
         self, add_node, network
     ):
-        """One daemon holds a revision with a row missing, or stays behind.
+        """A daemon must not lack a row or stay behind after lost pushes.
 
-        Sequence: a daemon is cut off while two edits are pushed, then gets
-        the push of the third. Cause: a gap between the held and the pushed
-        revision that nobody fills.
+        A daemon is disconnected while two edits are pushed, then receives the
+        push of the third. It must pull the changes between its revision and
+        the pushed one.
         """
         first, second = add_node("a"), add_node("b")
         network.cut.add("b")
@@ -58,7 +58,7 @@
         assert second.holder.revision == 3
         assert (second.weight("acme"), second.weight("beta")) == (3, 2)
 
-    def test_heartbeat_with_a_higher_revision_is_followed(
+    def test_heartbeat_with_a_higher_revision_triggers_a_pull(
         self, add_node, network
     ):
         first, second = add_node("a"), add_node("b")
@@ -70,7 +70,7 @@
         table_fakes.settle()
         assert second.weight("acme") == 4
 
-    def test_heartbeat_with_an_older_revision_asks_for_nothing(
+    def test_heartbeat_with_an_older_revision_sends_nothing(
         self, add_node, network
     ):
         first, second = add_node("a"), add_node("b")
@@ -81,7 +81,7 @@
         table_fakes.settle()
         assert not network.sent
 
-    def test_news_is_pushed_on_once(self, add_node, network):
+    def test_each_daemon_pushes_a_change_once(self, add_node, network):
         nodes = [add_node(f"d{number}") for number in range(4)]
         nodes[0].put("acme")
         table_fakes.settle()
@@ -97,10 +97,10 @@
     def test_daemon_that_starts_in_an_outage_gets_the_table_from_peers(
         self, add_node, store, network
     ):
-        """A replaced daemon refuses all callers while the store is down.
+        """A replaced daemon must serve callers while the store is down.
 
-        Sequence: the store goes down, an instance is replaced. Cause: the
-        table read from the store alone.
+        The store goes down and an instance is replaced. The new daemon must
+        not depend on the store alone for the table.
         """
         behind, ahead = add_node("a"), add_node("b")
         behind.put("acme", weight=1)
@@ -125,13 +125,13 @@
         assert node.weight("acme") == 5
 
 
-class TestReplicas:
+class TestStoreReplicas:
     def test_replica_that_lags_does_not_revert(self, add_node, store):
-        """An accepted edit is undone on one daemon for a while.
+        """An accepted edit must not be reverted temporarily on a daemon.
 
-        Sequence: an edit is in force; the next poll is answered by a
-        replica of the store that has not got it. Cause: the store's last
-        answer taken for the newest.
+        An edit is in force, and the next poll is answered by a replica of
+        the store that lacks it. The store's last answer must not be treated
+        as the newest.
         """
         node = add_node("a")
         node.put("acme", weight=1)
@@ -142,7 +142,9 @@
         assert node.weight("acme") == 2
         assert node.follower.stale_count == 1
 
-    def test_history_from_a_replica_that_lags_waits(self, add_node, store):
+    def test_history_from_a_replica_that_lags_is_read_later(
+        self, add_node, store
+    ):
         writer, reader = add_node("a"), add_node("b")
         old = store.replica()
         reader.follower.stop()
@@ -154,14 +156,14 @@
         reader.follower.catch_up()
         assert reader.weight("acme") == 2
 
-    def test_rows_from_a_replica_that_lags_are_not_taken_for_whole(
+    def test_rows_of_two_revisions_are_not_combined(
         self, add_node, store, network
     ):
-        """A daemon lacks a team for good, though at the newest revision.
+        """A daemon at the newest revision must not lack a team permanently.
 
-        Sequence: a daemon starts and reads the whole table; the revision
-        comes from a fresh replica of the store before and after, the teams
-        from one that lags. Cause: rows of two revisions taken for one.
+        A daemon starts and reads the full table. The revision before and
+        after comes from an up-to-date replica of the store, the teams from
+        one that lags. Rows of two revisions must not be taken for one table.
         """
         writer = add_node("a")
         writer.put("acme")
@@ -169,18 +171,20 @@
         writer.put("beta")
         started = table_fakes.Node("c", store=store, network=network)
         fresh = store.replica()
-        # The revision once, then tries of: revision, teams, 4 other
-        # tables, revision.
-        one_try = [fresh, old, *[fresh] * 4, fresh]
-        store.readers = [fresh, *one_try]
+        # One read of the revision, then one attempt: revision, teams, the 4
+        # other tables, revision.
+        one_attempt = [fresh, old, *[fresh] * 4, fresh]
+        store.readers = [fresh, *one_attempt]
         started.follower.catch_up()
         assert set(started.holder.current.teams_by_name) == {"acme", "beta"}
         assert not store.readers
 
-    def test_rows_that_never_agree_are_refused(self, add_node, store, network):
+    def test_rows_that_never_match_the_digest_are_rejected(
+        self, add_node, store, network
+    ):
         writer = add_node("a")
         writer.put("acme")
-        del store.row_by_place["teams", "acme"]
+        del store.row_by_key["teams", "acme"]
         started = table_fakes.Node("c", store=store, network=network)
         with pytest.raises(_table_errors.TableInconsistent):
             started.follower.catch_up()
@@ -188,34 +192,34 @@
 
 
 class TestUnreadable:
-    def test_later_readable_table_goes_past_an_unreadable_revision(
+    def test_later_readable_table_replaces_an_unreadable_revision(
         self, add_node, store
     ):
-        """A daemon stays at an old revision after the row was mended.
+        """A daemon must not stay at an old revision after a row was fixed.
 
-        Sequence: revision 1 can't be read, revision 2 mends the row. Cause:
-        the changes are applied one by one and the first stands in the way.
+        Revision 1 can't be decoded, and revision 2 fixes the row. Applied one
+        by one, the changes would stop at revision 1.
         """
         node = add_node("a")
-        table_fakes.place_unreadable_revision(store, 1)
+        table_fakes.write_unreadable_revision(store, 1)
         node.follower.catch_up()
         assert node.holder.revision == 0
         assert node.holder.is_blocked
-        mended = {"name": "acme", "weight": 3.0}
+        fixed = {"name": "acme", "weight": 3.0}
         put = _table_client.Put
         store.transact(
             conditions=(),
             puts=[
-                put(table="teams", key="acme", value=mended),
+                put(table="teams", key="acme", value=fixed),
                 put(table="meta", key="config", value={"revision": 2}),
             ],
         )
         node.follower.catch_up()
         assert (node.holder.revision, node.weight("acme")) == (2, 3)
 
-    def test_unreadable_table_is_read_whole_once(self, add_node, store):
+    def test_unreadable_table_is_read_in_full_once(self, add_node, store):
         node = add_node("a")
-        table_fakes.place_unreadable_revision(store, 1)
+        table_fakes.write_unreadable_revision(store, 1)
         node.follower.catch_up()
         before = store.reads
         node.follower.catch_up()
@@ -229,7 +233,7 @@
         handler("x", messages.ConfigPull(after=after), replies.append)
         return replies[0]
 
-    def test_changes_kept_are_answered_one_by_one(self, add_node, network):
+    def test_recent_changes_are_sent_one_by_one(self, add_node, network):
         node = add_node("a")
         for number in range(3):
             node.put("acme", weight=number + 1)
@@ -237,13 +241,13 @@
         assert not answer.whole
         assert [c.revision for c in answer.changes] == [2, 3]
 
-    def test_who_holds_nothing_gets_the_whole_table(self, add_node, network):
+    def test_peer_without_a_table_gets_the_full_table(self, add_node, network):
         node = add_node("a")
         node.put("acme")
         answer = self.answer(node, network, -1)
         assert answer.whole
         assert [c.key for c in answer.changes] == ["acme"]
 
-    def test_who_is_ahead_gets_nothing(self, add_node, network):
+    def test_peer_with_a_higher_revision_gets_nothing(self, add_node, network):
         node = add_node("a")
         assert self.answer(node, network, 5).changes == []
--- a/tests/topazlug/configuration/test_table_checks.py
+++ b/tests/topazlug/configuration/test_table_checks.py
@@ -76,7 +76,7 @@
         ),
     ],
 )
-def test_what_is_wrong_is_found(snapshot, row, kind):
+def test_problem_is_found(snapshot, row, kind):
     assert kind in kinds(snapshot, row)
 
 
@@ -90,22 +90,22 @@
         change("operators", "bo", role="read", token_hash="b" * 64),
     ],
 )
-def test_nothing_is_found_in_good_rows(snapshot, row):
+def test_valid_rows_have_no_findings(snapshot, row):
     assert not kinds(snapshot, row)
 
 
-def test_pool_that_a_team_names_stays(snapshot):
-    gone = change("pools", "p")
-    gone.value = None
-    assert kinds(snapshot, gone) == {KIND.STILL_NAMED}
+def test_pool_that_a_team_references_can_not_be_removed(snapshot):
+    removal = change("pools", "p")
+    removal.value = None
+    assert kinds(snapshot, removal) == {KIND.STILL_NAMED}
 
 
-def test_pool_may_go_with_its_teams(snapshot):
-    gone = [change("pools", "p"), change("teams", "acme")]
-    for row in gone:
+def test_pool_can_be_removed_with_its_teams(snapshot):
+    removals = [change("pools", "p"), change("teams", "acme")]
+    for row in removals:
         row.value = None
-    assert not kinds(snapshot, *gone)
+    assert not kinds(snapshot, *removals)
 
 
-def test_whole_table(snapshot):
+def test_check_all(snapshot):
     assert not _table_checks.check_all(snapshot)
--- a/tests/topazlug/configuration/test_table_edits.py
+++ b/tests/topazlug/configuration/test_table_edits.py
@@ -46,7 +46,7 @@
         assert (result.first_revision, result.revision) == (1, 1)
         assert node.weight("acme") == 2
 
-    def test_history_says_who_when_what_and_why(self, node, store):
+    def test_history_shows_who_when_what_and_why(self, node, store):
         node.put("acme", weight=2)
         node.put("acme", weight=3)
         entry = _table_storage.read_history(store, after=1)[0]
@@ -54,12 +54,12 @@
         assert entry.what == "weight: 2.0 -> 3.0"
         assert entry.when.startswith("2026-01-01T")
 
-    def test_rows_of_one_edit_come_together(self, node):
+    def test_rows_of_one_edit_get_consecutive_revisions(self, node):
         edits = [table_fakes.team_edit(key) for key in ("a", "b")]
         result = node.editor.edit(edits, stamp=table_fakes.stamp())
         assert (result.first_revision, result.revision) == (1, 2)
 
-    def test_refused_row_keeps_the_others_out(self, node, store):
+    def test_rejected_row_rejects_the_whole_edit(self, node, store):
         edits = [table_fakes.team_edit("a", pools=["none"])]
         edits.append(table_fakes.team_edit("b"))
         with pytest.raises(_table_errors.RowInvalid, match="'none'"):
@@ -68,26 +68,26 @@
 
     def test_removal(self, node):
         node.put("acme")
-        gone = _edit_plan.RowEdit(
+        removal = _edit_plan.RowEdit(
             table=TEAMS,
             key="acme",
             value=None,
-            expected=node.tag(TEAMS, "acme"),
+            expected=node.etag(TEAMS, "acme"),
         )
-        node.editor.edit([gone], stamp=table_fakes.stamp())
+        node.editor.edit([removal], stamp=table_fakes.stamp())
         assert not node.holder.current.teams_by_name
 
     def test_removal_of_no_row(self, node):
-        gone = _edit_plan.RowEdit(table=TEAMS, key="acme", value=None)
+        removal = _edit_plan.RowEdit(table=TEAMS, key="acme", value=None)
         with pytest.raises(_table_errors.RowNotFound):
-            node.editor.edit([gone], stamp=table_fakes.stamp())
+            node.editor.edit([removal], stamp=table_fakes.stamp())
 
-    def test_existing_row_needs_its_version(self, node):
+    def test_existing_row_requires_its_etag(self, node):
         node.put("acme")
         with pytest.raises(_table_errors.PreconditionMissing):
             edit(node, weight=2)
 
-    def test_force_needs_none(self, node):
+    def test_force_requires_no_etag(self, node):
         node.put("acme")
         edit_ = table_fakes.team_edit("acme", weight=2)
         forced = _edit_plan.RowEdit(
@@ -96,11 +96,11 @@
         node.editor.edit([forced], stamp=table_fakes.stamp())
         assert node.weight("acme") == 2
 
-    def test_old_history_makes_room(self, node, store, monkeypatch):
+    def test_old_history_is_deleted(self, node, store, monkeypatch):
         monkeypatch.setattr(_table_edits, "KEPT_REVISIONS", 2)
         for number in range(4):
             node.put("acme", edit_id=f"edit-{number}-x")
-        kept = [key for table, key in store.row_by_place if table == "edits"]
+        kept = [key for table, key in store.row_by_key if table == "edits"]
         assert sorted(kept) == ["edit-2-x", "edit-3-x"]
         entries = _table_storage.read_history(store, after=0)
         assert [entry.revision for entry in entries] == [3, 4]
@@ -108,17 +108,17 @@
 
 class TestConflicts:
     def test_second_of_two_editors_sees_both_values(self, node, other):
-        """An operator's change is gone and nobody was told.
+        """An operator's change must not be lost without notice.
 
-        Sequence: two operators read one row, both write it. Cause: the last
-        write wins unseen.
+        Two operators read a row and both write it. The last write must not
+        silently overwrite the first.
         """
         node.put("acme", weight=1)
         other.follower.catch_up()
-        tag = other.tag(TEAMS, "acme")
+        etag = other.etag(TEAMS, "acme")
         node.put("acme", weight=2)
         with pytest.raises(_table_errors.RowConflict) as caught:
-            edit(other, expected=tag, weight=3)
+            edit(other, expected=etag, weight=3)
         assert caught.value.mine["weight"] == 3
         assert caught.value.current["weight"] == 2
 
@@ -126,10 +126,10 @@
         """As above, with the other's commit between read and write."""
         node.put("acme", weight=1)
         other.follower.catch_up()
-        tag = other.tag(TEAMS, "acme")
+        etag = other.etag(TEAMS, "acme")
         store.before_transact = [lambda: node.put("acme", weight=2)]
         with pytest.raises(_table_errors.RowConflict):
-            edit(other, expected=tag, weight=3)
+            edit(other, expected=etag, weight=3)
         assert other.weight("acme") == 2
 
     def test_edits_of_different_rows_both_hold(self, node, other, store):
@@ -144,21 +144,20 @@
         Cause: the new row starts at the version that the old one had.
         """
         node.put("acme", weight=1)
-        tag = node.tag(TEAMS, "acme")
-        gone = _edit_plan.RowEdit(
-            table=TEAMS, key="acme", value=None, expected=tag
+        etag = node.etag(TEAMS, "acme")
+        removal = _edit_plan.RowEdit(
+            table=TEAMS, key="acme", value=None, expected=etag
         )
-        node.editor.edit([gone], stamp=table_fakes.stamp())
+        node.editor.edit([removal], stamp=table_fakes.stamp())
         node.put("acme", weight=5)
         with pytest.raises(_table_errors.RowConflict):
-            edit(node, expected=tag, weight=2)
+            edit(node, expected=etag, weight=2)
 
     def test_two_editors_can_not_both_pass_a_check(self, node, other, store):
-        """A team names a pool that is gone.
+        """A team must not reference a pool that was removed.
 
-        Sequence: one operator removes a pool while another lets a team use
-        it. Cause: each edit was checked against the table without the
-        other.
+        One operator removes a pool while another lets a team use it. Each
+        edit alone passes the checks.
         """
         pools = table_fakes.TABLES.POOLS
         pool = _edit_plan.RowEdit(
@@ -167,17 +166,17 @@
         node.editor.edit([pool], stamp=table_fakes.stamp())
 
         def remove_pool():
-            gone = _edit_plan.RowEdit(
+            removal = _edit_plan.RowEdit(
                 table=pools, key="p", value=None, force=True
             )
-            node.editor.edit([gone], stamp=table_fakes.stamp())
+            node.editor.edit([removal], stamp=table_fakes.stamp())
 
         other.follower.catch_up()
         store.before_transact = [remove_pool]
         with pytest.raises(_table_errors.RowInvalid, match="no pool 'p'"):
             edit(other, pools=["p"])
 
-    def test_endless_contention_is_given_up(self, node, store):
+    def test_attempts_are_limited_under_contention(self, node, store):
         bump = [("meta", "config"), ("x", "y")]
         numbers = iter(range(1000))
 
@@ -187,7 +186,7 @@
             put.value = {"revision": 0, "n": next(numbers)}
             store._put(put)
 
-        store.before_transact = [move_meta] * _table_edits.MAX_TRIES
+        store.before_transact = [move_meta] * _table_edits.MAX_ATTEMPTS
         with pytest.raises(_table_errors.EditContention):
             edit(node)
         assert not store.commits
@@ -195,10 +194,10 @@
 
 class TestLostAnswers:
     def test_edit_whose_answer_was_lost_is_found_by_its_id(self, node, store):
-        """An accepted edit is reported as failed, or made twice.
+        """An accepted edit must not be reported as failed or made twice.
 
-        Sequence: the store commits, its answer is lost. Cause: the write
-        repeated, or given up, without asking whether it took effect.
+        The store commits and its answer is lost. Before the write is retried
+        or reported as failed, the store must be asked whether it was made.
         """
         store.lost_answers = 1
         result = node.put("acme", weight=2)
@@ -213,10 +212,10 @@
         assert store.commits == 1
 
     def test_outage_after_a_lost_answer_is_unknown(self, node, store):
-        """The operator is told that nothing changed, and it did.
+        """A change that may have been made must not be reported as not made.
 
-        Sequence: the store commits, the answer is lost, the store goes
-        down. Cause: the outage reported in place of the doubt.
+        The store commits, the answer is lost, and the store goes down. The
+        error must be StoreAmbiguous, not StoreUnavailable.
         """
         read = store.read
 
@@ -233,16 +232,17 @@
         repeat = edit(node, edit_id="edit-one")
         assert (repeat.revision, repeat.repeated) == (1, True)
 
-    def test_outage_before_is_surely_no_edit(self, node, store):
+    def test_outage_before_the_edit_is_not_ambiguous(self, node, store):
         store.down = True
         with pytest.raises(_errors.StoreUnavailable):
             edit(node)
 
     def test_lost_answer_read_from_a_replica_that_lags(self, node, store):
-        """An accepted edit is made twice.
+        """An accepted edit must not be made twice.
 
-        Sequence: the answer is lost, the edit's row is asked of a replica
-        that has not got it. Cause: absent there taken for not made.
+        The answer is lost, and the edit's record is read from a replica of
+        the store that lags. A record missing there does not mean that the
+        edit was not made.
         """
         store.lost_answers = 1
         old = store.replica()
@@ -253,14 +253,14 @@
 
 
 class TestEditIds:
-    def test_repeat_gives_the_first_result(self, node, store):
+    def test_repeat_returns_the_first_result(self, node, store):
         first = edit(node, edit_id="edit-one", weight=2)
         node.put("acme", weight=3)
         again = edit(node, edit_id="edit-one", weight=2)
         assert (again.revision, again.repeated) == (first.revision, True)
         assert node.weight("acme") == 3
 
-    def test_id_of_another_edit_is_refused(self, node):
+    def test_id_of_another_edit_is_rejected(self, node):
         edit(node, edit_id="edit-one", weight=2)
         with pytest.raises(_table_errors.EditIdReused):
             edit(node, edit_id="edit-one", weight=3)
@@ -268,13 +268,13 @@
 
 class TestUnreadable:
     def test_no_edit_beyond_an_unreadable_revision(self, node, store):
-        """An old daemon overwrites what a newer one wrote.
+        """An old daemon must not overwrite what a newer one wrote.
 
-        Sequence: a newer daemon writes a column that this one does not
-        know; an operator edits through this one. Cause: the edit worked
-        out on a table without that revision.
+        A newer daemon writes an unknown column, and an operator edits through
+        the old one. The edit must not be based on a table without that
+        revision.
         """
         node.follower.catch_up()
-        table_fakes.place_unreadable_revision(store, 1)
+        table_fakes.write_unreadable_revision(store, 1)
         with pytest.raises(_errors.StoreUnavailable, match="newer"):
             edit(node, "beta")
--- a/tests/topazlug/table_fakes.py
+++ b/tests/topazlug/table_fakes.py
@@ -1,4 +1,4 @@
-"""Store, peers and clock that tests of the table decide on."""
+"""Fakes of the store, the peers and the daemons for tests of the table."""
 
 import copy
 import random
@@ -25,22 +25,22 @@
 
 
 class FakeStore:
-    """A table service in memory, with faults.
+    """An in-memory table service that can fail on request.
 
     Attributes
     ----------
     down : bool
-        Refuse all.
+        Whether every call raises StoreUnavailable.
     lost_answers, lost_requests : int
-        Transactions whose answer, or that themselves, are lost next.
+        Number of next transactions whose answer or request is lost.
     readers : list of FakeStore
-        Replicas that the next reads are sent to, one each.
+        Replicas that serve the next reads, one read each.
     before_transact : list of callable
-        Run once each before the next transactions.
+        Called before the next transactions, one each.
     """
 
     def __init__(self) -> None:
-        self.row_by_place: dict[tuple[str, str], _table_client.Row] = {}
+        self.row_by_key: dict[tuple[str, str], _table_client.Row] = {}
         self.down = False
         self.lost_answers = 0
         self.lost_requests = 0
@@ -50,9 +50,9 @@
         self.commits = 0
 
     def replica(self) -> "FakeStore":
-        """Give a copy that stays as the rows are now."""
+        """Return a replica with the present rows, which is not updated."""
         made = FakeStore()
-        made.row_by_place = dict(self.row_by_place)
+        made.row_by_key = dict(self.row_by_key)
         return made
 
     def read(self, table: str, key: str) -> _table_client.Row | None:
@@ -60,7 +60,7 @@
         self._check_up()
         if self.readers:
             return self.readers.pop(0).read(table, key)
-        return self.row_by_place.get((table, key))
+        return self.row_by_key.get((table, key))
 
     def scan(
         self,
@@ -74,9 +74,9 @@
         self._check_up()
         if self.readers:
             return self.readers.pop(0).scan(table, after=after, limit=limit)
-        keys = sorted(k for t, k in self.row_by_place if t == table)
+        keys = sorted(k for t, k in self.row_by_key if t == table)
         found = [k for k in keys if k > after and k.startswith(prefix)]
-        rows = [self.row_by_place[table, key] for key in found[:limit]]
+        rows = [self.row_by_key[table, key] for key in found[:limit]]
         return _table_client.Page(rows=rows, more=len(found) > limit)
 
     def transact(
@@ -101,7 +101,7 @@
             raise _table_client.TransactionConflict(failed)
         versions = {f"{put.table}/{put.key}": self._put(put) for put in puts}
         for delete in deletes:
-            self.row_by_place.pop((delete.table, delete.key), None)
+            self.row_by_key.pop((delete.table, delete.key), None)
         if puts:
             self.commits += 1
         if puts and self.lost_answers:
@@ -111,7 +111,7 @@
 
     def _put(self, put: _table_client.Put) -> int:
         version = self._row(put.table, put.key).version + 1
-        self.row_by_place[put.table, put.key] = _table_client.Row(
+        self.row_by_key[put.table, put.key] = _table_client.Row(
             table=put.table,
             key=put.key,
             version=version,
@@ -121,7 +121,7 @@
 
     def _row(self, table: str, key: str) -> _table_client.Row:
         absent = _table_client.Row(table=table, key=key, version=0, value=None)
-        return self.row_by_place.get((table, key), absent)
+        return self.row_by_key.get((table, key), absent)
 
     def _check_up(self) -> None:
         if self.down:
@@ -129,7 +129,15 @@
 
 
 class FakeNetwork:
-    """Streams between the nodes of one test."""
+    """Connections between the nodes of a test.
+
+    Attributes
+    ----------
+    cut : set of str
+        Daemons that are disconnected.
+    sent : list
+        Sender, receiver and message of each delivery.
+    """
 
     def __init__(self) -> None:
         self.handlers_by_daemon: dict[str, dict[type, Any]] = {}
@@ -138,15 +146,15 @@
 
 
 class FakeLinks:
-    """One node's streams."""
+    """The connections of one node."""
 
-    def __init__(self, network: FakeNetwork, own: str) -> None:
+    def __init__(self, network: FakeNetwork, own_id: str) -> None:
         self._network = network
-        self._own = own
-        network.handlers_by_daemon[own] = {}
+        self._own_id = own_id
+        network.handlers_by_daemon[own_id] = {}
 
     def handle(self, kind: type, handler: Any) -> None:
-        self._network.handlers_by_daemon[self._own][kind] = handler
+        self._network.handlers_by_daemon[self._own_id][kind] = handler
 
     def send(self, to: str, message: Any) -> None:
         self._deliver(to, message, lambda reply: None)
@@ -160,15 +168,15 @@
         return False
 
     def _deliver(self, to: str, message: Any, reply: Any) -> None:
-        if {to, self._own} & self._network.cut:
-            raise _errors.PeerUnreachable(f"{to} is cut off")
-        self._network.sent.append((self._own, to, message))
+        if {to, self._own_id} & self._network.cut:
+            raise _errors.PeerUnreachable(f"{to} is disconnected")
+        self._network.sent.append((self._own_id, to, message))
         handlers = self._network.handlers_by_daemon[to]
-        handlers[type(message)](_ids.DaemonId(self._own), message, reply)
+        handlers[type(message)](_ids.DaemonId(self._own_id), message, reply)
 
 
 class FakeMembers:
-    """Everybody on the network is usable."""
+    """A membership in which every daemon on the network is usable."""
 
     def __init__(self, network: FakeNetwork) -> None:
         self._network = network
@@ -178,7 +186,7 @@
 
 
 class Node:
-    """A daemon's part that holds and edits the table."""
+    """The part of a daemon that holds and edits the table."""
 
     def __init__(
         self, name: str, *, store: FakeStore, network: FakeNetwork
@@ -203,8 +211,8 @@
             clock=self.clock,
         )
 
-    def tag(self, table: TABLES, key: str) -> str | None:
-        """Give a row's ETag as this node holds it."""
+    def etag(self, table: TABLES, key: str) -> str | None:
+        """Return the ETag of a row in this node's table, None without one."""
         current = self.holder.current
         assert current is not None
         row = current.rows_by_name(table).get(key)
@@ -213,24 +221,24 @@
     def put(
         self, key: str, *, edit_id: str = "", **columns: Any
     ) -> _table_edits.EditResult:
-        """Write a team based on what this node holds."""
-        edit = team_edit(key, expected=self.tag(TABLES.TEAMS, key), **columns)
+        """Write a team, based on the row in this node's table."""
+        edit = team_edit(key, expected=self.etag(TABLES.TEAMS, key), **columns)
         return self.editor.edit([edit], stamp=stamp(edit_id))
 
     def weight(self, key: str) -> float:
-        """Give a team's weight in force here."""
+        """Return a team's weight in this node's table."""
         assert self.holder.current is not None
         return self.holder.current.teams_by_name[key].weight
 
 
 def settle() -> None:
-    """Let the greenlets that were spawned run to their end."""
+    """Let spawned greenlets run to completion."""
     for _ in range(20):
         gevent.sleep(0)
 
 
 def stamp(edit_id: str = "") -> _edit_plan.Stamp:
-    """Give a stamp, with an id of its own unless one is given."""
+    """Return a stamp with the edit id given, or else a random one."""
     made = edit_id or f"edit-{random.getrandbits(64):016x}"
     return _edit_plan.Stamp(who="ana", why="a test", edit_id=made)
 
@@ -238,7 +246,7 @@
 def team_edit(
     key: str, *, expected: str | None = None, **columns: Any
 ) -> _edit_plan.RowEdit:
-    """Give an edit of a team."""
+    """Return an edit of a team."""
     return _edit_plan.RowEdit(
         table=TABLES.TEAMS,
         key=key,
@@ -250,7 +258,7 @@
 def change(
     revision: int, key: str = "acme", table: str = "teams", **columns: Any
 ) -> messages.RowChange:
-    """Give the change of a row."""
+    """Return the change of a row."""
     return messages.RowChange(
         revision=revision,
         table=table,
@@ -261,14 +269,14 @@
 
 
 def removal(revision: int, key: str = "acme") -> messages.RowChange:
-    """Give the removal of a team."""
+    """Return the removal of a team."""
     return messages.RowChange(
         revision=revision, table="teams", key=key, value=None
     )
 
 
-def place_unreadable_revision(store: FakeStore, revision: int) -> None:
-    """Write a revision as a newer program would, with an unknown column."""
+def write_unreadable_revision(store: FakeStore, revision: int) -> None:
+    """Write a revision with an unknown column, as a newer version would."""
     value = {"name": "acme", "column_of_a_newer_program": 1}
     entry = _table_storage.HistoryEntry(
         revision=revision,
