--- a/src/topazlug/administration/__init__.py
+++ b/src/topazlug/administration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' interface: HTTP, rows, status, the page."""
+"""The administration API for operators, and its web page."""
--- a/src/topazlug/administration/_administration.py
+++ b/src/topazlug/administration/_administration.py
@@ -35,16 +35,16 @@
 
 
 @final
-class OperatorTokens:
-    """Knows the operators by their tokens.
+class OperatorAuthenticator:
+    """Authenticates operators by their tokens.
 
     Parameters
     ----------
     holder : ConfigurationHolder
-        The table, with the rows of operators.
+        The table, which has the operators.
     bootstrap_token_hash : str
-        SHA-256 of a token that counts as an administrator's while the table
-        has no operator; empty for none.
+        SHA-256 of a token that has the role admin while the table has no
+        operator; empty for none.
     """
 
     def __init__(
@@ -57,23 +57,23 @@
         self._bootstrap_token_hash = bootstrap_token_hash
 
     def identify(self, request: _Request) -> None:
-        """Set who the operator is and what they may do.
+        """Set the operator's name and role on a request.
 
         Raises
         ------
         BadToken
-            Nobody holds the token.
+            No operator has the token.
         NotReady
-            This daemon holds no table yet.
+            This daemon has no table yet.
         """
-        snapshot = _administration_rows.snapshot_of(self._holder)
+        snapshot = _administration_rows.current_snapshot(self._holder)
         token_hash = _tokens.hash_of(request.token)
         for row in snapshot.operators_by_name.values():
             if hmac.compare_digest(row.token_hash, token_hash):
                 request.who, request.role = row.name, row.role
                 return
-        # Left open beside named operators, the bootstrap token would be a
-        # way in that no list of operators shows and nobody can revoke.
+        # The bootstrap token is accepted only while there are no operators:
+        # it appears in no list of operators and can't be revoked.
         if (
             self._bootstrap_token_hash
             and not snapshot.operators_by_name
@@ -96,19 +96,19 @@
     holder : ConfigurationHolder
         The table in force.
     editor : TableEditor
-        Makes the edits.
+        Writes edits to the store.
     publisher : Publisher
-        Catches up with the store; the configuration follower.
+        Reads newer changes from the store; the configuration follower.
     store : TableStore
-        Read for the history.
+        Holds the history.
     status : StatusSource
-        Tells of the fleet at work.
+        Reports the state of the fleet.
     is_ready : callable
-        Tells whether this daemon takes calls.
+        Returns whether this daemon accepts calls.
     exposition : callable
-        Gives the metrics in the text format of Prometheus.
+        Returns the metrics in the Prometheus text format.
     bootstrap_token_hash : str
-        See `OperatorTokens`.
+        See `OperatorAuthenticator`.
     """
 
     def __init__(
@@ -123,35 +123,36 @@
         exposition: Callable[[], bytes],
         bootstrap_token_hash: str = "",
     ) -> None:
-        self._tokens = OperatorTokens(
+        self._authenticator = OperatorAuthenticator(
             holder=holder, bootstrap_token_hash=bootstrap_token_hash
         )
         self._is_ready = is_ready
         self._exposition = exposition
-        rows = _administration_rows.RowsResource(
+        rows_resource = _administration_rows.RowsResource(
             holder=holder, editor=editor, publisher=publisher
         )
-        whole = _administration_table.TableResource(
+        table_resource = _administration_table.TableResource(
             holder=holder, editor=editor, publisher=publisher, store=store
         )
-        at_work = _administration_status.StatusResource(
+        status_resource = _administration_status.StatusResource(
             source=status, holder=holder
         )
-        # The first match answers, so named paths go before /v1/{table}.
+        # The first matching route is used, so that fixed paths must precede
+        # /v1/{table}.
         self._routes = [
-            *self._open_routes(),
-            *at_work.routes(),
-            *whole.routes(),
-            *rows.routes(),
+            *self._public_routes(),
+            *status_resource.routes(),
+            *table_resource.routes(),
+            *rows_resource.routes(),
         ]
 
     @property
     def routes(self) -> Sequence[_administration_http.Route]:
-        """Return the paths served."""
+        """Return the routes in the order in which they are matched."""
         return tuple(self._routes)
 
     def add(self, routes: Sequence[_administration_http.Route]) -> None:
-        """Serve further paths; they go before the ones there are."""
+        """Add routes before the existing ones."""
         self._routes = [*routes, *self._routes]
 
     def __call__(
@@ -159,71 +160,76 @@
     ) -> Iterable[bytes]:
         """Answer one request."""
         answer = self._answer(_Request(environ))
-        return _administration_http.sent(answer, start_response)
+        return _administration_http.start_answer(answer, start_response)
 
-    def _open_routes(self) -> list[_administration_http.Route]:
-        made = _administration_http.Route
+    def _public_routes(self) -> list[_administration_http.Route]:
+        route = _administration_http.Route
         return [
-            made(
+            route(
                 method="GET",
                 path="/health/live",
-                handler=self._live,
+                handler=self._handle_live,
                 role=None,
             ),
-            made(
+            route(
                 method="GET",
                 path="/health/ready",
-                handler=self._ready,
+                handler=self._handle_ready,
                 role=None,
             ),
-            made(
-                method="GET", path="/metrics", handler=self._metrics, role=None
+            route(
+                method="GET",
+                path="/metrics",
+                handler=self._handle_metrics,
+                role=None,
             ),
         ]
 
     def _answer(self, request: _Request) -> _Answer:
         try:
-            route = self._route(request)
+            route = self._find_route(request)
             if route.role is not None:
-                self._tokens.identify(request)
+                self._authenticator.identify(request)
                 _check_role(request, route.role)
             return route.handler(request)
         except _errors.TopazlugError as error:
             return _administration_http.error_answer(error)
         except Exception:
-            # A fault of ours must not show its insides to whoever asked;
-            # the log has the trace and the answer the stable code.
-            _LOG.exception("{} failed", "/".join(request.segments))
+            # An internal error must not expose details to the client. The
+            # log has the traceback, and the answer a stable code.
+            _LOG.exception("request for {} failed", "/".join(request.segments))
             return _administration_http.error_answer(
                 _errors.TopazlugError("internal error; see the daemon's log")
             )
 
-    def _route(self, request: _Request) -> _administration_http.Route:
+    def _find_route(self, request: _Request) -> _administration_http.Route:
         matching = [r for r in self._routes if r.matches(request.segments)]
         for route in matching:
             if route.method == request.method:
                 return route
         path = "/" + "/".join(request.segments)
         if matching:
-            raise _errors.BadMethod(f"{path} knows no {request.method}")
-        raise _errors.UnknownPath(f"no path {path}")
+            raise _errors.BadMethod(
+                f"{path} does not support the method {request.method}"
+            )
+        raise _errors.UnknownPath(f"unknown path {path}")
 
-    def _live(self, request: _Request) -> _Answer:
+    def _handle_live(self, request: _Request) -> _Answer:
         return _Answer(body={"live": True})
 
-    def _ready(self, request: _Request) -> _Answer:
+    def _handle_ready(self, request: _Request) -> _Answer:
         ready = self._is_ready()
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
         return _Answer(body={"ready": ready}, status=status)
 
-    def _metrics(self, request: _Request) -> _Answer:
+    def _handle_metrics(self, request: _Request) -> _Answer:
         return _Answer(body=self._exposition(), content_type=METRICS_TYPE)
 
 
-def _check_role(request: _Request, least: table.OperatorRole) -> None:
+def _check_role(request: _Request, required: table.OperatorRole) -> None:
     role = request.role
-    if role is None or _RANK_BY_ROLE[role] < _RANK_BY_ROLE[least]:
+    if role is None or _RANK_BY_ROLE[role] < _RANK_BY_ROLE[required]:
         raise _errors.Forbidden(
-            f"this needs the role {least.value}; {request.who} has"
+            f"the role {required.value} is required; {request.who} has"
             f" {role.value if role else 'none'}"
         )
--- a/src/topazlug/administration/_administration_blocked.py
+++ b/src/topazlug/administration/_administration_blocked.py
@@ -1,4 +1,4 @@
-"""Requests that are kept from targets, and their release."""
+"""API resource of requests blocked by the crash guard."""
 
 from typing import final
 
@@ -16,18 +16,18 @@
 
 @final
 class BlockedRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One request that crashes the replicas that run it.
+    """A request that is blocked because it crashes replicas.
 
     Attributes
     ----------
     fingerprint : str
-        As in the logs, the same for all repeats of the request.
+        Hash of the request as in the logs, the same for all its repeats.
     group : str
         Pool or service whose replicas crashed.
     since, until : str
-        RFC 3339.
+        Times in RFC 3339 format.
     crashes : list of str
-        Starts of replicas that crashed under it.
+        Replica processes that crashed while they ran the request.
     """
 
     fingerprint: str
@@ -39,23 +39,23 @@
 
 @final
 class BlockedResource:
-    """Answers questions about blocked requests.
+    """Lists and releases blocked requests.
 
     Parameters
     ----------
     guard : CrashGuard
-        Blocks and releases.
+        Holds the blocked requests.
     """
 
     def __init__(self, *, guard: _crash_guard.CrashGuard) -> None:
         self._guard = guard
 
     def routes(self) -> list[_administration_http.Route]:
-        """Return the paths; they go before those of the table's rows."""
-        made = _administration_http.Route
+        """Return the routes; they must precede those of the table's rows."""
+        route = _administration_http.Route
         return [
-            made(method="GET", path=_PATH, handler=self._list),
-            made(
+            route(method="GET", path=_PATH, handler=self._list),
+            route(
                 method="DELETE",
                 path=f"{_PATH}/{{fingerprint}}",
                 handler=self._release,
@@ -76,8 +76,8 @@
         block = self._guard.release(fingerprint)
         if block is None:
             raise _errors.NotBlocked(
-                f"no request has the fingerprint {fingerprint!r} and is"
-                " blocked; see GET /v1/blocked"
+                f"no request with the fingerprint {fingerprint!r} is blocked;"
+                " see GET /v1/blocked"
             )
         return _administration_http.Answer(body=_blocked_request(block))
 
--- a/src/topazlug/administration/_administration_http.py
+++ b/src/topazlug/administration/_administration_http.py
@@ -20,7 +20,7 @@
 MAX_BODY_BYTES = 256 * 1024
 MAX_IMPORT_BYTES = 16 * 1024 * 1024
 BODY_TIMEOUT = 30.0
-MAX_TEXT = 500
+MAX_REASON_LENGTH = 500
 _JSON = "application/json"
 _EDIT_ID = re.compile(r"^[A-Za-z0-9._-]{8,128}$")
 _TRUE = frozenset(("1", "true", "yes"))
@@ -28,7 +28,7 @@
 
 @final
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """An answer; a body of bytes goes out as it is, others as JSON."""
+    """An answer; a body of bytes is sent unchanged, any other as JSON."""
 
     body: Any = None
     status: HTTPStatus = HTTPStatus.OK
@@ -48,9 +48,9 @@
     Attributes
     ----------
     who : str
-        Name of the operator, set once the token is known.
+        Name of the operator, empty until the request is authenticated.
     role : OperatorRole or None
-        What the operator may do.
+        Role of the operator, None until the request is authenticated.
     """
 
     def __init__(self, environ: dict[str, Any]) -> None:
@@ -65,17 +65,17 @@
 
     @property
     def token(self) -> str:
-        """Return the bearer token, empty without one."""
-        return _tokens.bearer_of(self.header("Authorization"))
+        """Return the bearer token, empty if there is none."""
+        return _tokens.parse_bearer(self.header("Authorization"))
 
     def header(self, name: str) -> str:
-        """Return a header's value, empty without one."""
+        """Return a header's value, empty if it is absent."""
         key = "HTTP_" + name.upper().replace("-", "_")
         value: str = self._environ.get(key, "")
         return value
 
     def query(self, name: str) -> str:
-        """Return a query parameter, empty without one."""
+        """Return a query parameter, empty if it is absent."""
         return self._query.get(name, "")
 
     def flag(self, name: str) -> bool:
@@ -83,31 +83,31 @@
         return self.query(name).lower() in _TRUE
 
     def number(self, name: str, *, default: int) -> int:
-        """Return a query parameter that is a whole number from 0.
+        """Return a query parameter as a non-negative integer.
 
         Raises
         ------
         BadHeader
-            It is something else.
+            It is not a non-negative integer of at most 15 digits.
         """
         text = self.query(name)
         if not text:
             return default
         if not text.isascii() or not text.isdigit() or len(text) > 15:
             raise _errors.BadHeader(
-                f"{name}={text!r}; give a whole number from 0"
+                f"{name}={text!r} is not a non-negative integer"
             )
         return int(text)
 
     def etag(self) -> str | None:
-        """Return the ETag of If-Match, None without one."""
+        """Return the ETag of If-Match, None if it is absent."""
         value = self.header("If-Match").strip()
         if not value:
             return None
         return value.removeprefix("W/").strip('"')
 
     def edit_id(self) -> str:
-        """Return the edit's id, a new one when the client gave none.
+        """Return the edit id of the request, or a new one if it has none.
 
         Raises
         ------
@@ -117,30 +117,33 @@
         value = self.header("X-Edit-Id") or _tokens.new_edit_id()
         if not _EDIT_ID.match(value):
             raise _errors.BadHeader(
-                f"X-Edit-Id {value!r}: give 8 to 128 letters, digits, dots,"
+                f"X-Edit-Id {value!r} is not 8 to 128 letters, digits, dots,"
                 " hyphens or underscores"
             )
         return value
 
     def reason(self) -> str:
-        """Return why the edit is made, in the operator's words."""
+        """Return the operator's reason for the edit, cut to its maximum."""
         value = parse.unquote(self.header("X-Reason"))
-        return value[:MAX_TEXT]
+        return value[:MAX_REASON_LENGTH]
 
-    def decoded(self, kind: Any, *, limit: int = MAX_BODY_BYTES) -> Any:
-        """Read the body as JSON of a type.
+    def decode_body(self, kind: Any, *, limit: int = MAX_BODY_BYTES) -> Any:
+        """Decode the JSON body to a type.
 
         Raises
         ------
         BodyTooLarge, BodyTooSlow, BadBody
-            It is too large, came too slowly, or is something else.
+            The body is too large, did not arrive in time, or does not match
+            the type.
         """
         try:
-            return msgspec.json.decode(self._body(limit) or b"{}", type=kind)
+            return msgspec.json.decode(
+                self._read_body(limit) or b"{}", type=kind
+            )
         except msgspec.DecodeError as error:
-            raise _errors.BadBody(f"the body: {error}") from error
+            raise _errors.BadBody(f"invalid body: {error}") from error
 
-    def _body(self, limit: int) -> bytes:
+    def _read_body(self, limit: int) -> bytes:
         length = self._environ.get("CONTENT_LENGTH") or "0"
         if length.isdigit() and int(length) > limit:
             raise _too_large(limit)
@@ -152,7 +155,7 @@
 
 
 def _too_large(limit: int) -> _errors.BodyTooLarge:
-    return _errors.BodyTooLarge(f"the body passes {limit} bytes; send less")
+    return _errors.BodyTooLarge(f"the body exceeds {limit} bytes; send less")
 
 
 def _too_slow() -> _errors.BodyTooSlow:
@@ -166,14 +169,15 @@
 
 @final
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """A path with what answers it.
+    """A method and path, and their handler.
 
     Attributes
     ----------
     path : str
-        As in ``/v1/{table}/{name}``; a segment in braces matches any.
+        Path such as ``/v1/{table}/{name}``; a segment in braces matches any
+        non-empty segment.
     role : OperatorRole or None
-        Least role that may ask; None for everybody, without a token.
+        Minimum role required; None for a path that needs no token.
     """
 
     method: str
@@ -182,7 +186,7 @@
     role: table.OperatorRole | None = table.OperatorRole.read
 
     def matches(self, segments: Sequence[str]) -> bool:
-        """Return whether a request's path is this route's."""
+        """Return whether the route matches the segments of a path."""
         own = self.path.strip("/").split("/")
         return len(own) == len(segments) and all(
             mine == other or (mine.startswith("{") and other != "")
@@ -191,7 +195,7 @@
 
 
 def error_answer(error: _errors.TopazlugError) -> Answer:
-    """Return an error in the OpenAI shape."""
+    """Return an error as an answer in the format of the OpenAI API."""
     body: dict[str, Any] = {
         "code": error.code.value,
         "message": error.message,
@@ -207,10 +211,10 @@
     return Answer(body={"error": body}, status=error.status, headers=headers)
 
 
-def sent(
+def start_answer(
     answer: Answer, start_response: Callable[..., Any]
 ) -> Iterable[bytes]:
-    """Write an answer the WSGI way."""
+    """Call ``start_response`` and return the body, as WSGI requires."""
     body = answer.body
     if not isinstance(body, bytes):
         body = msgspec.json.encode(body)
--- a/src/topazlug/administration/_administration_rows.py
+++ b/src/topazlug/administration/_administration_rows.py
@@ -1,4 +1,4 @@
-"""The rows of the operators' table as resources of the API."""
+"""API resource of the rows of the operators' table."""
 
 from http import HTTPStatus
 from typing import Any
@@ -29,7 +29,7 @@
     expires: str = ""
 
 
-def snapshot_of(
+def current_snapshot(
     holder: _configuration.ConfigurationHolder,
 ) -> _table_snapshot.TableSnapshot:
     """Return the table in force.
@@ -37,17 +37,17 @@
     Raises
     ------
     NotReady
-        The daemon holds none yet.
+        The daemon has no table yet.
     """
     if holder.current is None:
         raise _errors.NotReady(
-            "this daemon holds no table yet; see /health/ready"
+            "this daemon has no table yet; see /health/ready"
         )
     return holder.current
 
 
-def table_of(request: _Request) -> _TABLES:
-    """Return the table that the path names.
+def parse_table(request: _Request) -> _TABLES:
+    """Return the table named in the path.
 
     Raises
     ------
@@ -58,35 +58,35 @@
         return _TABLES(request.segments[1])
     except ValueError as error:
         raise _errors.UnknownPath(
-            f"no table {request.segments[1]!r}"
+            f"unknown table {request.segments[1]!r}"
         ) from error
 
 
-def stamp_of(request: _Request) -> _edit_plan.Stamp:
-    """Return who edits, why, and under which id."""
+def parse_stamp(request: _Request) -> _edit_plan.Stamp:
+    """Return the author, reason and edit id of a request."""
     return _edit_plan.Stamp(
         who=request.who, why=request.reason(), edit_id=request.edit_id()
     )
 
 
-def result_body(result: _table_edits.EditResult) -> dict[str, Any]:
-    """Return an accepted edit in the form of the API."""
+def result_to_body(result: _table_edits.EditResult) -> dict[str, Any]:
+    """Return an accepted edit as the body of an answer."""
     body: dict[str, Any] = msgspec.to_builtins(result)
     return body
 
 
 @final
 class RowsResource:
-    """Reads and edits single rows.
+    """Reads and edits single rows and the keys of teams.
 
     Parameters
     ----------
     holder : ConfigurationHolder
         The table in force.
     editor : TableEditor
-        Makes the edits.
+        Writes edits to the store.
     publisher : Publisher
-        Catches up with the store where a fresh row is asked for.
+        Reads newer changes from the store if a fresh row is requested.
     """
 
     def __init__(
@@ -101,18 +101,18 @@
         self._publisher = publisher
 
     def routes(self) -> list[_administration_http.Route]:
-        """Return the paths."""
-        made = _administration_http.Route
+        """Return the routes of the resource."""
+        route = _administration_http.Route
         edit = table.OperatorRole.edit
         row = "/v1/{table}/{name}"
         keys = "/v1/teams/{name}/keys"
         return [
-            made(method="GET", path="/v1/{table}", handler=self._list),
-            made(method="GET", path=row, handler=self._get),
-            made(method="PUT", path=row, handler=self._put, role=edit),
-            made(method="DELETE", path=row, handler=self._delete, role=edit),
-            made(method="POST", path=keys, handler=self._issue, role=edit),
-            made(
+            route(method="GET", path="/v1/{table}", handler=self._list),
+            route(method="GET", path=row, handler=self._get),
+            route(method="PUT", path=row, handler=self._put, role=edit),
+            route(method="DELETE", path=row, handler=self._delete, role=edit),
+            route(method="POST", path=keys, handler=self._issue, role=edit),
+            route(
                 method="DELETE",
                 path=keys + "/{hash}",
                 handler=self._revoke,
@@ -121,13 +121,13 @@
         ]
 
     def _list(self, request: _Request) -> _Answer:
-        name = table_of(request)
-        snapshot = self._fresh(request)
+        name = parse_table(request)
+        snapshot = self._requested_snapshot(request)
         rows = snapshot.rows_by_name(name)
         limit = min(request.number("limit", default=MAX_PAGE), MAX_PAGE)
         after = request.query("after")
         keys = sorted(key for key in rows if key > after)
-        page = [self._shown(snapshot, name, key) for key in keys[:limit]]
+        page = [self._row_body(snapshot, name, key) for key in keys[:limit]]
         return _Answer(
             body={
                 "revision": snapshot.revision,
@@ -137,41 +137,41 @@
         )
 
     def _get(self, request: _Request) -> _Answer:
-        name = table_of(request)
+        name = parse_table(request)
         key = request.segments[2]
-        snapshot = self._fresh(request)
+        snapshot = self._requested_snapshot(request)
         if key not in snapshot.rows_by_name(name):
             raise _not_found(name, key)
-        shown = self._shown(snapshot, name, key)
+        shown = self._row_body(snapshot, name, key)
         return _Answer(
             body=shown | {"revision": snapshot.revision},
             headers=[("ETag", f'"{shown["etag"]}"')],
         )
 
     def _put(self, request: _Request) -> _Answer:
-        name = table_of(request)
+        name = parse_table(request)
         _check_operators(request, name)
         key = request.segments[2]
-        asked = _edit_plan.RowEdit(
+        requested = _edit_plan.RowEdit(
             table=name,
             key=key,
-            value={"name": key} | request.decoded(dict[str, Any]),
+            value={"name": key} | request.decode_body(dict[str, Any]),
             expected=request.etag(),
             force=request.flag("force"),
         )
-        row = snapshot_of(self._holder).rows_by_name(name).get(key)
-        edit = _with_keys_of(row, asked)
+        row = current_snapshot(self._holder).rows_by_name(name).get(key)
+        edit = _with_current_keys(row, requested)
         result = self._editor.edit(
             [edit],
-            stamp=stamp_of(request),
-            fingerprint=_edit_plan.fingerprint_of([asked]),
+            stamp=parse_stamp(request),
+            fingerprint=_edit_plan.fingerprint_of([requested]),
         )
         created = edit.expected is None and row is None
         status = HTTPStatus.CREATED if created else HTTPStatus.OK
-        return self._edited(name, key, result, status=status)
+        return self._edit_answer(name, key, result, status=status)
 
     def _delete(self, request: _Request) -> _Answer:
-        name = table_of(request)
+        name = parse_table(request)
         _check_operators(request, name)
         edit = _edit_plan.RowEdit(
             table=name,
@@ -180,59 +180,59 @@
             expected=request.etag(),
             force=request.flag("force"),
         )
-        result = self._editor.edit([edit], stamp=stamp_of(request))
-        return _Answer(body=result_body(result))
+        result = self._editor.edit([edit], stamp=parse_stamp(request))
+        return _Answer(body=result_to_body(result))
 
     def _issue(self, request: _Request) -> _Answer:
-        asked: _NewKey = request.decoded(_NewKey)
+        requested: _NewKey = request.decode_body(_NewKey)
         name = request.segments[2]
-        stamp = stamp_of(request)
-        fingerprint = f"issue {name} {asked.label} {asked.expires}"
+        stamp = parse_stamp(request)
+        fingerprint = f"issue {name} {requested.label} {requested.expires}"
         repeated = self._editor.find_result(stamp, fingerprint)
         if repeated is not None:
-            # The key itself is not kept, so it can't be shown again.
-            return _Answer(body=result_body(repeated) | {"key": None})
+            # The key itself is not stored, so it can't be returned again.
+            return _Answer(body=result_to_body(repeated) | {"key": None})
         team = self._team(name)
         secret = _tokens.new_key()
         key = table.KeyRow(
             hash=_tokens.hash_of(secret),
-            label=asked.label,
-            expires=asked.expires,
+            label=requested.label,
+            expires=requested.expires,
         )
         result = self._set_keys(
             team, [*team.keys, key], stamp=stamp, fingerprint=fingerprint
         )
         return _Answer(
             status=HTTPStatus.CREATED,
-            body=result_body(result) | {"key": secret, "hash": key.hash},
+            body=result_to_body(result) | {"key": secret, "hash": key.hash},
         )
 
     def _revoke(self, request: _Request) -> _Answer:
         name, prefix = request.segments[2], request.segments[4]
-        stamp = stamp_of(request)
+        stamp = parse_stamp(request)
         fingerprint = f"revoke {name} {prefix}"
         repeated = self._editor.find_result(stamp, fingerprint)
         if repeated is not None:
-            return _Answer(body=result_body(repeated))
+            return _Answer(body=result_to_body(repeated))
         if len(prefix) < MIN_HASH_PREFIX:
             raise _errors.BadHeader(
-                f"{prefix!r}: give {MIN_HASH_PREFIX} or more characters of"
-                " the key's hash"
+                f"{prefix!r} is too short; send {MIN_HASH_PREFIX} or more"
+                " characters of the key's hash"
             )
         team = self._team(name)
         kept = [key for key in team.keys if not key.hash.startswith(prefix)]
         if len(kept) == len(team.keys):
             raise _table_errors.RowNotFound(
-                f"team {name!r} has no key with hash {prefix}…"
+                f"team {name!r} has no key with the hash {prefix}…"
             )
         if len(kept) < len(team.keys) - 1:
             raise _errors.BadHeader(
-                f"{prefix!r} begins more than one hash; give more of it"
+                f"{prefix!r} matches more than one hash; send more characters"
             )
         result = self._set_keys(
             team, kept, stamp=stamp, fingerprint=fingerprint
         )
-        return _Answer(body=result_body(result))
+        return _Answer(body=result_to_body(result))
 
     def _set_keys(
         self,
@@ -242,7 +242,7 @@
         stamp: _edit_plan.Stamp,
         fingerprint: str,
     ) -> _table_edits.EditResult:
-        version = snapshot_of(self._holder).version_of(
+        version = current_snapshot(self._holder).version_of(
             _TABLES.TEAMS, team.name
         )
         changed = msgspec.structs.replace(team, keys=keys)
@@ -256,25 +256,27 @@
 
     def _team(self, name: str) -> table.TeamRow:
         self._catch_up()
-        team = snapshot_of(self._holder).teams_by_name.get(name)
+        team = current_snapshot(self._holder).teams_by_name.get(name)
         if team is None:
             raise _not_found(_TABLES.TEAMS, name)
         return team
 
-    def _fresh(self, request: _Request) -> _table_snapshot.TableSnapshot:
+    def _requested_snapshot(
+        self, request: _Request
+    ) -> _table_snapshot.TableSnapshot:
         if request.flag("fresh"):
             self._catch_up()
-        return snapshot_of(self._holder)
+        return current_snapshot(self._holder)
 
     def _catch_up(self) -> None:
         try:
             self._publisher.catch_up()
         except (_errors.StoreUnavailable, _table_errors.TableInconsistent):
-            # What is in force is shown all the same; the answer's revision
-            # tells which it is, and an edit based on it is still checked.
+            # The table in force is used in this case. The answer has its
+            # revision, and an edit based on it is checked by the store.
             return
 
-    def _shown(
+    def _row_body(
         self, snapshot: _table_snapshot.TableSnapshot, name: _TABLES, key: str
     ) -> dict[str, Any]:
         row = snapshot.rows_by_name(name)[key]
@@ -285,7 +287,7 @@
             "etag": _edit_plan.etag_of(row, version),
         }
 
-    def _edited(
+    def _edit_answer(
         self,
         name: _TABLES,
         key: str,
@@ -293,19 +295,19 @@
         *,
         status: HTTPStatus,
     ) -> _Answer:
-        snapshot = snapshot_of(self._holder)
-        body = result_body(result)
+        snapshot = current_snapshot(self._holder)
+        body = result_to_body(result)
         headers = []
         if key in snapshot.rows_by_name(name):
-            body |= self._shown(snapshot, name, key)
+            body |= self._row_body(snapshot, name, key)
             headers.append(("ETag", f'"{body["etag"]}"'))
         return _Answer(body=body, headers=headers, status=status)
 
 
-def _with_keys_of(
+def _with_current_keys(
     row: _table_snapshot.Row | None, edit: _edit_plan.RowEdit
 ) -> _edit_plan.RowEdit:
-    """Keep a team's keys where the edit does not name them."""
+    """Add a team's present keys to an edit that has no keys."""
     if not isinstance(row, table.TeamRow) or edit.value is None:
         return edit
     keys = {"keys": msgspec.to_builtins(row.keys)}
@@ -316,7 +318,7 @@
     if name is not _TABLES.OPERATORS:
         return
     if request.role is not table.OperatorRole.admin:
-        raise _errors.Forbidden("only the role admin edits operators")
+        raise _errors.Forbidden("the role admin is required to edit operators")
 
 
 def _not_found(name: _TABLES, key: str) -> _table_errors.RowNotFound:
--- a/src/topazlug/administration/_administration_status.py
+++ b/src/topazlug/administration/_administration_status.py
@@ -1,4 +1,4 @@
-"""What the administration API shows of the fleet at work."""
+"""API resource of the state of the fleet."""
 
 from typing import Any
 from typing import Protocol
@@ -13,7 +13,7 @@
 
 @final
 class DaemonStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One daemon as this one sees it; revision -1 when unknown."""
+    """One daemon as known to this one; revision -1 if unknown."""
 
     id: str
     zone: str = ""
@@ -24,7 +24,7 @@
 
 @final
 class ReplicaStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One replica; load, bound and slots in load units, -1 unknown."""
+    """One replica; load, bound and slots in load units, -1 if unknown."""
 
     id: str
     group: str
@@ -38,7 +38,11 @@
 
 @final
 class TeamStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One team's use; requests and requests a second, ceilings 0 for none."""
+    """One team's usage.
+
+    `running` is in requests and `rate` in requests per second; a ceiling of 0
+    means no ceiling.
+    """
 
     name: str
     running: int = 0
@@ -50,7 +54,7 @@
 
 @final
 class FleetStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The fleet as the daemon that was asked sees it."""
+    """The fleet as known to the daemon that answers."""
 
     daemon: str
     revision: int
@@ -61,7 +65,7 @@
 
 @final
 class Candidate(msgspec.Struct, frozen=True, kw_only=True):
-    """One replica in a chat's rank and why it was taken or passed over."""
+    """One replica of a chat's ranking and why it was or was not chosen."""
 
     rank: int
     replica: str
@@ -74,7 +78,7 @@
 
 @final
 class Explanation(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a chat goes where it goes."""
+    """Why a chat is placed on a replica."""
 
     group: str
     chat: str
@@ -84,13 +88,13 @@
 
 
 class StatusSource(Protocol):
-    """What the daemon at work tells the administration API."""
+    """Source of the fleet's state for the administration API."""
 
     def status(self) -> FleetStatus:
-        """Return the fleet as this daemon sees it."""
+        """Return the state of the fleet as known to this daemon."""
 
     def explain(self, *, chat: str, pool: str) -> Explanation:
-        """Return why a chat goes where it goes.
+        """Return why a chat is placed on a replica.
 
         Raises
         ------
@@ -101,7 +105,7 @@
 
 @final
 class StatusResource:
-    """Answers the questions about the fleet at work."""
+    """Returns the state of the fleet and explains placements."""
 
     def __init__(
         self,
@@ -113,12 +117,14 @@
         self._holder = holder
 
     def routes(self) -> list[_administration_http.Route]:
-        """Return the paths."""
-        made = _administration_http.Route
+        """Return the routes of the resource."""
+        route = _administration_http.Route
         return [
-            made(method="GET", path="/v1/status", handler=self._status),
-            made(method="GET", path="/v1/config/status", handler=self._config),
-            made(method="GET", path="/v1/explain", handler=self._explain),
+            route(method="GET", path="/v1/status", handler=self._status),
+            route(
+                method="GET", path="/v1/config/status", handler=self._config
+            ),
+            route(method="GET", path="/v1/explain", handler=self._explain),
         ]
 
     def _status(
@@ -151,7 +157,7 @@
     ) -> _administration_http.Answer:
         chat = request.query("chat")
         if not chat:
-            raise _errors.BadHeader("chat is missing; give ?chat=<chat id>")
+            raise _errors.BadHeader("chat is missing; add ?chat=<chat id>")
         explanation = self._source.explain(
             chat=chat, pool=request.query("pool")
         )
--- a/src/topazlug/administration/_administration_table.py
+++ b/src/topazlug/administration/_administration_table.py
@@ -1,4 +1,4 @@
-"""The operators' table as a whole: import, export, history, undo."""
+"""API resource of the whole table: import, export, history, undo."""
 
 import hashlib
 from typing import Any
@@ -44,18 +44,18 @@
 
 @final
 class TableResource:
-    """Answers what concerns the whole table.
+    """Imports and exports the table, reads its history, undoes revisions.
 
     Parameters
     ----------
     holder : ConfigurationHolder
         The table in force.
     editor : TableEditor
-        Makes the edits.
+        Writes edits to the store.
     publisher : Publisher
-        Catches up with the store before a comparison.
+        Reads newer changes from the store before a comparison.
     store : TableStore
-        Read for the history.
+        Holds the history.
     """
 
     def __init__(
@@ -72,19 +72,19 @@
         self._store = store
 
     def routes(self) -> list[_administration_http.Route]:
-        """Return the paths."""
-        made = _administration_http.Route
+        """Return the routes of the resource."""
+        route = _administration_http.Route
         edit = table.OperatorRole.edit
         return [
-            made(method="GET", path="/v1/export", handler=self._export),
-            made(method="GET", path="/v1/history", handler=self._history),
-            made(
+            route(method="GET", path="/v1/export", handler=self._export),
+            route(method="GET", path="/v1/history", handler=self._history),
+            route(
                 method="POST",
                 path="/v1/import",
                 handler=self._import,
                 role=edit,
             ),
-            made(
+            route(
                 method="POST", path="/v1/undo", handler=self._undo, role=edit
             ),
         ]
@@ -92,11 +92,13 @@
     def _export(self, request: _Request) -> _Answer:
         with_keys = request.flag("keys")
         if with_keys and request.role is not table.OperatorRole.admin:
-            raise _errors.Forbidden("only the role admin exports keys")
-        snapshot = _administration_rows.snapshot_of(self._holder)
+            raise _errors.Forbidden(
+                "the role admin is required to export keys"
+            )
+        snapshot = _administration_rows.current_snapshot(self._holder)
         document = {
             name.value: [
-                _exported(row, with_keys=with_keys)
+                _export_row(row, with_keys=with_keys)
                 for _, row in sorted(snapshot.rows_by_name(name).items())
             ]
             for name in _TABLES
@@ -121,25 +123,25 @@
         return _Answer(body={"revision": newest, "entries": entries})
 
     def _import(self, request: _Request) -> _Answer:
-        asked: _Import = request.decoded(
+        payload: _Import = request.decode_body(
             _Import, limit=_administration_http.MAX_IMPORT_BYTES
         )
-        self._check_may_import(request, asked)
+        self._check_import_role(request, payload)
         self._publisher.catch_up()
-        snapshot = _administration_rows.snapshot_of(self._holder)
+        snapshot = _administration_rows.current_snapshot(self._holder)
         comparison = _table_difference.compare(
-            asked.document,
+            payload.document,
             snapshot=snapshot,
-            remove_absent=asked.remove_absent,
-            with_keys=asked.with_keys,
+            remove_absent=payload.remove_absent,
+            with_keys=payload.with_keys,
         )
         errors = _table_checks.select_errors(comparison.findings)
         revision = int(snapshot.revision)
-        if not asked.dry_run:
-            _refuse(errors)
-            revision = self._edit_in_parts(request, comparison, revision)
+        if not payload.dry_run:
+            _raise_for_errors(errors)
+            revision = self._edit_in_batches(request, comparison, revision)
         body: dict[str, Any] = {
-            "dry_run": asked.dry_run,
+            "dry_run": payload.dry_run,
             "revision": revision,
             "acceptable": not errors,
             "differences": comparison.differences,
@@ -147,106 +149,110 @@
         }
         return _Answer(body=body)
 
-    def _check_may_import(self, request: _Request, asked: _Import) -> None:
+    def _check_import_role(self, request: _Request, payload: _Import) -> None:
         if request.role is table.OperatorRole.admin:
             return
-        if asked.document.operators or asked.with_keys:
+        if payload.document.operators or payload.with_keys:
             raise _errors.Forbidden(
-                "only the role admin imports operators or keys"
+                "the role admin is required to import operators or keys"
             )
 
-    def _edit_in_parts(
+    def _edit_in_batches(
         self,
         request: _Request,
         comparison: _table_difference.Comparison,
         revision: int,
     ) -> int:
-        """Make the edits, each part of `MAX_ROWS` rows whole or not at all.
+        """Make the edits in batches of `MAX_ROWS` rows, each batch atomic.
 
-        A repeat compares anew, so it makes what the first call did not come
-        to. Each part's id is made of its content: a part whose answer was
-        lost is known again.
+        If the import is repeated, the document is compared again, so that
+        only the remaining edits are made. The id of a batch contains a hash
+        of its edits, which identifies a batch whose answer was lost.
         """
-        stamp = _administration_rows.stamp_of(request)
-        for edits in _parts(comparison.edits):
+        stamp = _administration_rows.parse_stamp(request)
+        for edits in _split_into_batches(comparison.edits):
             fingerprint = _edit_plan.fingerprint_of(edits)
             digest = hashlib.sha256(fingerprint.encode()).hexdigest()[:16]
-            part = msgspec.structs.replace(
+            batch_stamp = msgspec.structs.replace(
                 stamp, edit_id=f"{stamp.edit_id}.{digest}"
             )
-            revision = self._editor.edit(edits, stamp=part).revision
+            revision = self._editor.edit(edits, stamp=batch_stamp).revision
         return revision
 
     def _undo(self, request: _Request) -> _Answer:
-        asked: _Undo = request.decoded(_Undo)
-        stamp = _administration_rows.stamp_of(request)
-        fingerprint = f"undo {asked.revision}"
+        payload: _Undo = request.decode_body(_Undo)
+        stamp = _administration_rows.parse_stamp(request)
+        fingerprint = f"undo {payload.revision}"
         result = self._editor.find_result(stamp, fingerprint)
         if result is None:
-            edit = self._undoing_edit(asked)
+            edit = self._make_undo_edit(payload)
             if (
                 edit.table is _TABLES.OPERATORS
                 and request.role is not table.OperatorRole.admin
             ):
-                raise _errors.Forbidden("only the role admin edits operators")
+                raise _errors.Forbidden(
+                    "the role admin is required to edit operators"
+                )
             result = self._editor.edit(
                 [edit], stamp=stamp, fingerprint=fingerprint
             )
-        return _Answer(body=_administration_rows.result_body(result))
+        return _Answer(body=_administration_rows.result_to_body(result))
 
-    def _undoing_edit(self, asked: _Undo) -> _edit_plan.RowEdit:
+    def _make_undo_edit(self, payload: _Undo) -> _edit_plan.RowEdit:
         self._publisher.catch_up()
         entries = _table_storage.read_history(
-            self._store, after=asked.revision - 1, limit=1
+            self._store, after=payload.revision - 1, limit=1
         )
-        if not entries or entries[0].revision != asked.revision:
+        if not entries or entries[0].revision != payload.revision:
             raise _table_errors.RowNotFound(
-                f"no revision {asked.revision} in the history"
+                f"revision {payload.revision} is not in the history"
             )
-        snapshot = _administration_rows.snapshot_of(self._holder)
-        return undoing_edit(entries[0], snapshot=snapshot, force=asked.force)
+        snapshot = _administration_rows.current_snapshot(self._holder)
+        return make_undo_edit(
+            entries[0], snapshot=snapshot, force=payload.force
+        )
 
 
-def undoing_edit(
+def make_undo_edit(
     entry: _table_storage.HistoryEntry,
     *,
     snapshot: _table_snapshot.TableSnapshot,
     force: bool,
 ) -> _edit_plan.RowEdit:
-    """Return the edit that takes one revision back.
+    """Return the edit that reverts one revision.
 
     Parameters
     ----------
     entry : HistoryEntry
-        The revision to take back.
+        The revision to revert.
     snapshot : TableSnapshot
         The table in force.
     force : bool
-        Whether later changes of the row may be lost.
+        Whether to overwrite later changes of the row.
 
     Raises
     ------
     RowConflict
-        The row was changed again since.
+        The row was changed after the revision.
     RowInvalid
-        There is nothing to take back.
+        There is nothing to revert.
     """
     name = _TABLES(entry.table)
     row = snapshot.rows_by_name(name).get(entry.key)
     version = snapshot.version_of(name, entry.key)
     current = None if row is None else msgspec.to_builtins(row)
-    value = _without_old_keys(entry, row)
+    value = _previous_with_current_keys(entry, row)
     if version != entry.row_version and not force:
         raise _table_errors.RowConflict(
             f"{entry.table}/{entry.key} was changed again after revision"
-            f" {entry.revision}; undo those first, or force it",
+            f" {entry.revision}; undo later changes first, or use force",
             mine=value,
             current=current,
         )
     if value == current:
         raise _table_errors.RowInvalid(
-            f"revision {entry.revision} leaves nothing to undo; keys are"
-            " issued and revoked, never brought back"
+            f"revision {entry.revision} leaves nothing to undo; keys can be"
+            " issued and revoked, but not restored"
         )
     return _edit_plan.RowEdit(
         table=name,
@@ -256,25 +262,27 @@
     )
 
 
-def _without_old_keys(
+def _previous_with_current_keys(
     entry: _table_storage.HistoryEntry, row: _table_snapshot.Row | None
 ) -> dict[str, Any] | None:
-    # Taking back the revision that revoked a leaked key would let the key
-    # in again, unseen among the other columns. A team's keys stay as they
-    # are.
+    # Undoing the revision that revoked a leaked key would make the key valid
+    # again, easily overlooked among the other columns. An undo therefore
+    # leaves a team's keys unchanged.
     if entry.previous is None or not isinstance(row, table.TeamRow):
         return entry.previous
     return entry.previous | {"keys": msgspec.to_builtins(row.keys)}
 
 
-def _exported(row: _table_snapshot.Row, *, with_keys: bool) -> dict[str, Any]:
+def _export_row(
+    row: _table_snapshot.Row, *, with_keys: bool
+) -> dict[str, Any]:
     value: dict[str, Any] = msgspec.to_builtins(row)
     if isinstance(row, table.TeamRow) and not with_keys:
         del value["keys"]
     return value
 
 
-def _refuse(errors: list[_table_checks.Finding]) -> None:
+def _raise_for_errors(errors: list[_table_checks.Finding]) -> None:
     if errors:
         raise _table_errors.RowInvalid(
             "; ".join(
@@ -283,7 +291,7 @@
         )
 
 
-def _parts(
+def _split_into_batches(
     edits: list[_edit_plan.RowEdit],
 ) -> Iterator[list[_edit_plan.RowEdit]]:
     for start in range(0, len(edits), _table_edits.MAX_ROWS):
--- a/src/topazlug/administration/_fleet_status.py
+++ b/src/topazlug/administration/_fleet_status.py
@@ -1,7 +1,7 @@
-"""What the fleet does just now, asked of each daemon when somebody looks.
+"""The present state of the fleet, requested from each daemon on demand.
 
-Nothing of it travels unasked: at 880 daemons a standing report of all to all
-would cost more than the budget for control.
+Daemons do not exchange it periodically: with 880 daemons, reports from all to
+all would exceed the budget for control traffic.
 """
 
 from typing import Any
@@ -24,14 +24,14 @@
 from topazlug.routing import _ranking
 from topazlug.targets import _targets
 
-_ASKED_AT_ONCE = 32
-_TIMEOUT = 0.5
-_RANK_SHOWN = 8
+_MAX_CONCURRENT_CALLS = 32
+_STATUS_TIMEOUT = 0.5
+_MAX_CANDIDATES = 8
 
 
 @final
 class FleetStatusSource:
-    """Answers the administration API's questions.
+    """Collects the state of the fleet for the administration API.
 
     Parameters
     ----------
@@ -40,19 +40,19 @@
     configuration : ConfigurationHolder
         The table in force.
     membership : Membership
-        The daemons.
+        The fleet's daemons.
     links : PeerLinks
-        Streams to them.
+        Connections to the other daemons.
     owner : Owner
-        This daemon's ledgers.
+        Holds the ledgers of the replicas that this daemon owns.
     ownership : Ownership
-        Who owns what.
+        Maps replicas to their owners.
     targets : TargetDirectory
         The replicas.
     rules : TableRules
-        Bounds.
+        Routing parameters from the table.
     quotas : Quotas
-        Use of the teams.
+        Usage of the teams on this daemon.
     """
 
     def __init__(
@@ -70,22 +70,22 @@
     ) -> None:
         self._daemon = daemon
         self._configuration = configuration
-        self._fleet = membership
+        self._membership = membership
         self._links = links
         self._owner = owner
         self._ownership = ownership
         self._targets = targets
         self._rules = rules
         self._quotas = quotas
-        links.handle(messages.StatusAsk, self._on_ask)
+        links.handle(messages.StatusAsk, self._handle_status_ask)
 
-    def _on_ask(
+    def _handle_status_ask(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        reply(self.own_answer())
+        reply(self.own_status())
 
-    def own_answer(self) -> messages.StatusAnswer:
-        """Return what this daemon does."""
+    def own_status(self) -> messages.StatusAnswer:
+        """Return the state of this daemon."""
         replicas = [
             messages.OwnedReplica(
                 replica=ledger.replica,
@@ -103,12 +103,14 @@
             teams=self._quotas.usage(),
         )
 
-    def _ask(self, daemon: _ids.DaemonId) -> messages.StatusAnswer | None:
+    def _fetch_status(
+        self, daemon: _ids.DaemonId
+    ) -> messages.StatusAnswer | None:
         if daemon == self._daemon:
-            return self.own_answer()
+            return self.own_status()
         try:
             answer = self._links.call(
-                daemon, messages.StatusAsk(), timeout=_TIMEOUT
+                daemon, messages.StatusAsk(), timeout=_STATUS_TIMEOUT
             )
         except _errors.PeerUnreachable:
             return None
@@ -116,24 +118,24 @@
             return answer
         return None
 
-    def _ask_all(
+    def _fetch_all_statuses(
         self,
     ) -> dict[_ids.DaemonId, messages.StatusAnswer | None]:
         states = (messages.FactState.live, messages.FactState.suspected)
-        members = list(self._fleet.members_by_id.values())
-        asked = [m.daemon_id for m in members if m.state in states]
-        workers = _pool.Pool(_ASKED_AT_ONCE)
-        return dict(zip(asked, workers.map(self._ask, asked)))
+        members = list(self._membership.members_by_id.values())
+        called = [m.daemon_id for m in members if m.state in states]
+        workers = _pool.Pool(_MAX_CONCURRENT_CALLS)
+        return dict(zip(called, workers.map(self._fetch_status, called)))
 
     def status(self) -> _status.FleetStatus:
-        """Return the fleet as its daemons tell."""
-        answers = self._ask_all()
+        """Return the state of the fleet as reported by its daemons."""
+        answers = self._fetch_all_statuses()
         return _status.FleetStatus(
             daemon=self._daemon,
             revision=self._configuration.revision,
             daemons=[
                 self._daemon_status(member, answers.get(member.daemon_id))
-                for member in self._fleet.members_by_id.values()
+                for member in self._membership.members_by_id.values()
             ],
             replicas=self._replicas(answers),
             teams=self._teams(answers),
@@ -179,14 +181,14 @@
             id=target.replica,
             group=target.group,
             zone=target.zone,
-            state=self._shown_state(target),
+            state=self._displayed_state(target),
             owner=self._ownership.owner_of(target.replica) or "",
             load=entry.load if entry else -1,
             bound=entry.limit if entry else -1,
             slots=entry.slots if entry else -1,
         )
 
-    def _shown_state(self, target: _targets.Target) -> str:
+    def _displayed_state(self, target: _targets.Target) -> str:
         state = self._targets.state_of(target.replica)
         if self._targets.is_usable(target.replica):
             return state.value
@@ -200,43 +202,49 @@
     def _teams(
         self, answers: dict[_ids.DaemonId, messages.StatusAnswer | None]
     ) -> list[_status.TeamStatus]:
-        uses: dict[str, list[messages.TeamUse]] = {}
+        usage_by_team: dict[str, list[messages.TeamUse]] = {}
         for answer in answers.values():
             for usage in answer.teams if answer else []:
-                uses.setdefault(usage.team, []).append(usage)
+                usage_by_team.setdefault(usage.team, []).append(usage)
         snapshot = self._configuration.current
         rows = snapshot.teams_by_name.values() if snapshot else []
         return [
             _status.TeamStatus(
                 name=row.name,
-                running=sum(usage.running for usage in uses.get(row.name, [])),
+                running=sum(
+                    usage.running for usage in usage_by_team.get(row.name, [])
+                ),
                 ceiling_running=row.ceiling_running,
-                rate=sum(usage.rate for usage in uses.get(row.name, [])),
+                rate=sum(
+                    usage.rate for usage in usage_by_team.get(row.name, [])
+                ),
                 ceiling_rate=row.ceiling_rate,
-                refused=sum(usage.refused for usage in uses.get(row.name, [])),
+                refused=sum(
+                    usage.refused for usage in usage_by_team.get(row.name, [])
+                ),
             )
             for row in rows
         ]
 
     def explain(self, *, chat: str, pool: str) -> _status.Explanation:
-        """Return why a chat goes where it goes.
+        """Return why a chat is placed on a replica.
 
         Parameters
         ----------
         chat : str
-            ``team/chat id``, as the caller named the chat.
+            ``team/chat id``, with the chat id that the caller uses.
         pool : str
-            The pool; may be empty where there is only one.
+            The pool; may be empty if there is only one.
         """
         group = _ids.GroupName(pool or self._only_pool())
         team, _, name = chat.partition("/")
         seed = _ranking.chat_hash(team, name)
         known = self._targets.known(group)
         if not known:
-            raise _errors.NoTarget(f"no replica of a pool {group!r} is known")
-        answers = self._ask_all()
+            raise _errors.NoTarget(f"pool {group!r} has no known replica")
+        answers = self._fetch_all_statuses()
         status_by_id = {entry.id: entry for entry in self._replicas(answers)}
-        ranked = _ranking.rank(known, seed, count=_RANK_SHOWN)
+        ranked = _ranking.rank(known, seed, count=_MAX_CANDIDATES)
         candidates = [
             self._candidate(number, status_by_id[replica])
             for number, replica in enumerate(ranked, start=1)
@@ -248,7 +256,7 @@
             chat=f"{seed:016x}",
             chosen=chosen.replica if chosen else "",
             reason=(
-                "its home has room"
+                "its home has free capacity"
                 if chosen is home
                 else f"its home {home.replica} is {home.verdict}"
             ),
@@ -282,6 +290,7 @@
         names = sorted(snapshot.pools_by_name) if snapshot else []
         if len(names) != 1:
             raise _errors.BadHeader(
-                f"name the pool; there are {', '.join(names) or 'none'}"
+                "the pool is missing; the table has"
+                f" {', '.join(names) or 'none'}"
             )
         return names[0]
--- a/src/topazlug/administration/_page.py
+++ b/src/topazlug/administration/_page.py
@@ -1,7 +1,8 @@
-"""A page on which operators look at the table and the fleet at work.
+"""A web page that shows operators the table and the state of the fleet.
 
-The page itself holds no data and needs no token; its script asks the API
-with the token that the operator types in, and shows what that may read.
+The page itself contains no data and needs no token. Its script calls the API
+with the token that the operator enters, and shows what the token gives access
+to.
 """
 
 import base64
@@ -20,19 +21,19 @@
 
 @final
 class Page:
-    """The page, read once."""
+    """The page, read from its file once."""
 
     def __init__(self) -> None:
         self._body = resources.files(__package__).joinpath(_FILE).read_bytes()
         self._headers = [
-            ("Content-Security-Policy", policy_of(self._body)),
+            ("Content-Security-Policy", content_security_policy(self._body)),
             ("X-Content-Type-Options", "nosniff"),
             ("X-Frame-Options", "DENY"),
             ("Referrer-Policy", "no-referrer"),
         ]
 
     def routes(self) -> list[_administration_http.Route]:
-        """Return the path."""
+        """Return the route of the page."""
         return [
             _administration_http.Route(
                 method="GET", path=PATH, handler=self._answer, role=None
@@ -47,12 +48,12 @@
         )
 
 
-def policy_of(body: bytes) -> str:
-    """Return the policy that allows the page's own script and style only.
+def content_security_policy(body: bytes) -> str:
+    """Return a policy that allows only the page's own script and style.
 
-    A row's text that got into the page as markup would otherwise run with
-    the operator's token at hand; under this policy it can neither run nor
-    send anything elsewhere.
+    Without it, a script injected through the text of a row would run with
+    access to the operator's token. The policy prevents such a script from
+    running and from sending data to other hosts.
     """
     hashes: dict[str, list[str]] = {"script": [], "style": []}
     for kind, text in _INLINE.findall(body):
@@ -72,5 +73,5 @@
 
 
 def routes() -> list[_administration_http.Route]:
-    """Return the page's path, for `Administration.add`."""
+    """Return the route of the page, for `Administration.add`."""
     return Page().routes()
--- a/src/topazlug/administration/_tokens.py
+++ b/src/topazlug/administration/_tokens.py
@@ -1,6 +1,7 @@
-"""Secrets that callers and operators show, of which only hashes are kept.
+"""API keys of callers and tokens of operators, stored only as hashes.
 
-The secrets are 256 random bits, so a plain SHA-256 can't be guessed back.
+The secrets have 256 random bits, so a plain SHA-256 can't be reversed by
+guessing.
 """
 
 import hashlib
@@ -13,12 +14,12 @@
 
 
 def new_key() -> str:
-    """Make an API key of a team."""
+    """Return a new API key for a team."""
     return _KEY_PREFIX + secrets.token_urlsafe(_RANDOM_BYTES)
 
 
 def new_token() -> str:
-    """Make a token of an operator."""
+    """Return a new token for an operator."""
     return _TOKEN_PREFIX + secrets.token_urlsafe(_RANDOM_BYTES)
 
 
@@ -28,11 +29,11 @@
 
 
 def new_edit_id() -> str:
-    """Make an id under which an edit can be repeated safely."""
+    """Return a new id, with which an edit can be repeated safely."""
     return secrets.token_hex(16)
 
 
-def bearer_of(authorization: str) -> str:
-    """Return the secret of an ``Authorization: Bearer`` header, or nothing."""
+def parse_bearer(authorization: str) -> str:
+    """Return the secret of an ``Authorization: Bearer`` header, or empty."""
     scheme, _, secret = authorization.strip().partition(" ")
     return secret.strip() if scheme.lower() == "bearer" else ""
--- a/src/topazlug/configuration/_edit_plan.py
+++ b/src/topazlug/configuration/_edit_plan.py
@@ -247,7 +247,7 @@
 def make_puts(
     plan: Plan, *, stamp: Stamp, record: EditRecord, when: str
 ) -> list[_table_client.Put]:
-    """Return the writes of the edit's transaction."""
+    """Return the rows that the edit's transaction writes."""
     puts = [
         _table_client.Put(
             table=_table_storage.META_TABLE,
@@ -280,7 +280,7 @@
 
 
 def make_deletes(plan: Plan) -> list[_table_client.Delete]:
-    """Return the deletions of the edit's transaction."""
+    """Return the deletions of the rows that the edit removes."""
     return [
         _table_client.Delete(table=change.table, key=change.key)
         for change in plan.changes
--- a/tests/topazlug/administration/test_administration.py
+++ b/tests/topazlug/administration/test_administration.py
@@ -19,9 +19,9 @@
 @pytest.fixture
 def node(store):
     network = table_fakes.FakeNetwork()
-    made = table_fakes.Node("a", store=store, network=network)
-    made.follower.catch_up()
-    return made
+    node = table_fakes.Node("a", store=store, network=network)
+    node.follower.catch_up()
+    return node
 
 
 @pytest.fixture
@@ -35,7 +35,7 @@
 
 
 def add_operator(call, role, name=None):
-    """Add an operator and give a caller with the token."""
+    """Add an operator and return the token."""
     name = name or role
     token = f"token-of-{name}"
     body = {"role": role, "token_hash": _tokens.hash_of(token)}
@@ -66,10 +66,10 @@
         assert answer.code == "invalid_operator_token"
 
     def test_bootstrap_token_ends_with_the_first_operator(self, call):
-        """A token that no list shows opens the table for ever.
+        """The bootstrap token must not stay valid beside operators.
 
-        Sequence: the table is set up with the bootstrap token, operators
-        are added. Cause: the bootstrap token still counts.
+        It appears in no list of operators, so it could be used unnoticed
+        after the table has been set up with it.
         """
         token = add_operator(call, "admin")
         assert call("GET", "/v1/teams").status == 401
@@ -91,7 +91,7 @@
         body = {"role": "admin", "token_hash": "b" * 64}
         assert call("PUT", "/v1/operators/me", body).code == "forbidden"
 
-    def test_no_table_no_answer(self, store):
+    def test_daemon_without_a_table_is_not_ready(self, store):
         node = table_fakes.Node(
             "b", store=store, network=table_fakes.FakeNetwork()
         )
@@ -110,7 +110,7 @@
         assert call("DELETE", "/v1/teams/acme", if_match=tag).status == 200
         assert call("GET", "/v1/teams/acme").code == "row_not_found"
 
-    def test_change_without_version_is_refused(self, call):
+    def test_change_without_etag_is_rejected(self, call):
         call("PUT", "/v1/teams/acme", {})
         answer = call("PUT", "/v1/teams/acme", {"weight": 3})
         assert answer.status == 428
@@ -133,7 +133,7 @@
         answer = call("PUT", "/v1/teams/acme", {"weight": -1})
         assert (answer.status, answer.code) == (422, "row_invalid")
 
-    def test_list_goes_by_pages(self, call):
+    def test_list_is_paged(self, call):
         for name in ("a", "b", "c"):
             call("PUT", f"/v1/teams/{name}", {})
         page = call("GET", "/v1/teams?limit=2").body
@@ -166,7 +166,7 @@
     def test_paths(self, call, method, path, code):
         assert call(method, path).code == code
 
-    def test_fault_of_ours_shows_no_insides(self, call, node):
+    def test_internal_error_exposes_no_details(self, call, node):
         node.editor.edit = None
         answer = call("PUT", "/v1/teams/acme", {})
         assert (answer.status, answer.code) == (500, "internal_error")
@@ -181,7 +181,7 @@
     def issue(self, call, **options):
         return call("POST", "/v1/teams/acme/keys", {"label": "x"}, **options)
 
-    def test_key_is_shown_once_and_kept_as_hash(self, call, node):
+    def test_key_is_shown_once_and_stored_as_hash(self, call, node):
         issued = self.issue(call).body
         key = node.holder.current.teams_by_name["acme"].keys[0]
         assert key.hash == _tokens.hash_of(issued["key"]) == issued["hash"]
@@ -199,7 +199,7 @@
         assert again.body["key"] is None
         assert len(node.holder.current.teams_by_name["acme"].keys) == 1
 
-    def test_edit_without_keys_keeps_them(self, call, node):
+    def test_edit_without_keys_keeps_the_keys(self, call, node):
         self.issue(call)
         tag = call("GET", "/v1/teams/acme").header_by_name["ETag"]
         call("PUT", "/v1/teams/acme", {"weight": 2}, if_match=tag)
@@ -209,11 +209,11 @@
         answer = call("DELETE", "/v1/teams/acme/keys/" + "0" * 8)
         assert answer.code == "row_not_found"
 
-    def test_undo_brings_no_revoked_key_back(self, call, node):
-        """A leaked key works again.
+    def test_undo_does_not_restore_a_revoked_key(self, call, node):
+        """A leaked key must not become valid again.
 
-        Sequence: a key is revoked, the revision is undone. Cause: the whole
-        old row is put back, keys included.
+        A key is revoked, and the revision is undone. Writing the full old
+        row would restore the key.
         """
         issued = self.issue(call).body
         path = f"/v1/teams/acme/keys/{issued['hash']}"
@@ -237,13 +237,13 @@
         assert answer.body["revision"] == 3
         assert node.weight("acme") == 1
 
-    def test_undo_under_later_changes_is_a_conflict(self, call):
+    def test_undo_before_later_changes_is_a_conflict(self, call):
         call("PUT", "/v1/teams/acme", {"weight": 1})
         tag = call("GET", "/v1/teams/acme").header_by_name["ETag"]
         call("PUT", "/v1/teams/acme", {"weight": 2}, if_match=tag)
         assert call("POST", "/v1/undo", {"revision": 1}).code == "row_conflict"
 
-    def test_undo_of_no_revision(self, call):
+    def test_undo_of_an_unknown_revision(self, call):
         answer = call("POST", "/v1/undo", {"revision": 7})
         assert answer.code == "row_not_found"
 
@@ -269,34 +269,36 @@
         assert [d["kind"] for d in answer["differences"]] == ["added"] * 3
         assert node.holder.revision == 0
 
-    def test_dry_run_tells_what_is_wrong(self, call):
+    def test_dry_run_reports_findings(self, call):
         document = {"teams": [{"name": "acme", "pools": ["none"]}]}
         answer = self.send(call, document, dry_run=True).body
         assert not answer["acceptable"]
         assert "pool_unknown" in [f["kind"] for f in answer["findings"]]
 
-    def test_wrong_document_is_refused_whole(self, call, node):
+    def test_invalid_document_is_rejected_in_full(self, call, node):
         document = {"teams": [{"name": "acme"}, {"name": "b", "pools": ["n"]}]}
         assert self.send(call, document).code == "row_invalid"
         assert node.holder.revision == 0
 
-    def test_absent_rows_go_when_asked(self, call, node):
+    def test_absent_rows_are_removed_on_request(self, call, node):
         self.send(call)
         self.send(call, {"teams": [{"name": "beta"}]}, remove_absent=True)
         assert list(node.holder.current.teams_by_name) == ["beta"]
         assert not node.holder.current.pools_by_name
 
-    def test_old_document_brings_no_revoked_key_back(self, call, node):
+    def test_old_document_does_not_restore_a_revoked_key(self, call, node):
         document = {"teams": [{"name": "a", "keys": [{"hash": "a" * 64}]}]}
         self.send(call, document)
         assert not node.holder.current.teams_by_name["a"].keys
 
-    def test_repeat_after_a_lost_part_makes_the_rest(self, call, node, store):
-        """Half of a long import is missing, and its repeat is refused.
+    def test_repeat_after_a_failed_batch_makes_the_rest(
+        self, call, node, store
+    ):
+        """The repeat of an incomplete import must make the remaining edits.
 
-        Sequence: the store goes down between two parts of an import; the
-        operator repeats it under the same edit id. Cause: the repeat taken
-        for made, or for another edit.
+        The store goes down between two batches of an import, and the operator
+        repeats it under the same edit id. The repeat must neither be taken
+        for done nor be rejected as another edit.
         """
         document = {"teams": [{"name": f"t{n:03d}"} for n in range(250)]}
 
@@ -318,12 +320,12 @@
     def test_status(self, call):
         assert call("GET", "/v1/status").body["teams"][0]["running"] == 2
 
-    def test_config_status_leaves_the_dead_out(self, call):
+    def test_config_status_omits_dead_daemons(self, call):
         body = call("GET", "/v1/config/status").body
         assert body["in_force"]
         assert [d["id"] for d in body["daemons"]] == ["a", "other"]
 
-    def test_config_status_names_who_is_behind(self, node, store):
+    def test_config_status_lists_daemons_that_are_behind(self, node, store):
         status = administration_fakes.FakeStatus(node)
         status.other_revision = 0
         app = administration_fakes.application(node, store, status=status)
@@ -336,12 +338,12 @@
         body = call("GET", "/v1/explain?chat=c&pool=p").body
         assert body["chosen"] == "r2"
 
-    def test_explain_of_no_pool(self, call):
+    def test_explain_of_an_unknown_pool(self, call):
         answer = call("GET", "/v1/explain?chat=c&pool=q")
         assert answer.code == "model_not_found"
 
 
-def test_document_names_the_paths_and_roles_served(app):
+def test_openapi_document_has_the_paths_and_roles_served(app):
     document = yaml.safe_load((PAGES / "openapi.yaml").read_text())
     described = {
         (method.upper(), path, operation.get("x-role"))
@@ -354,21 +356,21 @@
 
 
 class TestBlocked:
-    def test_they_are_shown(self, call):
+    def test_list(self, call):
         (shown,) = call("GET", "/v1/blocked").body["blocked"]
         assert shown["fingerprint"] == "f1"
         assert shown["crashes"] == ["i-1@1", "i-2@1"]
         assert shown["until"] == "2026-01-02T00:00:00+00:00"
 
-    def test_one_is_released(self, call):
+    def test_release(self, call):
         assert call("DELETE", "/v1/blocked/f1").status == 200
         assert call("GET", "/v1/blocked").body["blocked"] == []
 
-    def test_one_that_is_not_blocked(self, call):
+    def test_release_of_a_request_that_is_not_blocked(self, call):
         answer = call("DELETE", "/v1/blocked/f2")
         assert (answer.status, answer.code) == (404, "request_not_blocked")
 
-    def test_reading_is_not_releasing(self, call):
+    def test_role_read_may_list_but_not_release(self, call):
         add_operator(call, "admin")
         call.token = "token-of-admin"
         call.token = add_operator(call, "read")
--- a/tests/topazlug/administration/test_page.py
+++ b/tests/topazlug/administration/test_page.py
@@ -38,15 +38,15 @@
     def test_it_is_html(self, answer: _administration_http.Answer) -> None:
         assert answer.content_type == "text/html; charset=utf-8"
 
-    def test_nothing_comes_from_outside(self, text: str) -> None:
+    def test_it_loads_nothing_from_other_hosts(self, text: str) -> None:
         assert not OUTSIDE.search(text)
 
-    def test_no_text_of_a_row_becomes_markup(self, text: str) -> None:
-        """A row's text runs as a script in the operator's browser.
+    def test_text_of_rows_is_not_inserted_as_markup(self, text: str) -> None:
+        """A row's text must not run as a script in the operator's browser.
 
-        An editor names a team with markup in it; an administrator opens the
-        page; the markup's script takes the administrator's token. Cause:
-        text put into the page as markup.
+        An operator with the role edit puts markup into a team's name, and an
+        administrator opens the page. If the text were inserted as markup, its
+        script could read the administrator's token.
         """
         assert not MARKUP.search(text)
 
@@ -67,7 +67,7 @@
         assert "unsafe" not in policy
 
     def test_another_script_gets_another_policy(self) -> None:
-        one = _page.policy_of(b"<script>one()</script>")
-        other = _page.policy_of(b"<script>two()</script>")
+        one = _page.content_security_policy(b"<script>one()</script>")
+        other = _page.content_security_policy(b"<script>two()</script>")
 
         assert one != other
--- a/tests/topazlug/administration_fakes.py
+++ b/tests/topazlug/administration_fakes.py
@@ -1,4 +1,4 @@
-"""An administration listener around a node of `table_fakes`."""
+"""An administration application for a node of `table_fakes`."""
 
 import io
 import json
@@ -17,27 +17,29 @@
 
 
 class FakeStatus:
-    """A fleet of the node and one more daemon."""
+    """The state of a fleet of the node, another daemon and a dead one."""
 
     def __init__(self, node: table_fakes.Node) -> None:
         self._node = node
         self.other_revision = 10**6
 
     def status(self) -> _administration_status.FleetStatus:
-        made = _administration_status
+        status = _administration_status
         revision = self._node.holder.revision
-        return made.FleetStatus(
+        return status.FleetStatus(
             daemon=self._node.id,
             revision=revision,
             daemons=[
-                made.DaemonStatus(id=self._node.id, revision=revision),
-                made.DaemonStatus(
+                status.DaemonStatus(id=self._node.id, revision=revision),
+                status.DaemonStatus(
                     id="other", revision=min(revision, self.other_revision)
                 ),
-                made.DaemonStatus(id="gone", state="dead", revision=0),
+                status.DaemonStatus(id="gone", state="dead", revision=0),
             ],
-            replicas=[made.ReplicaStatus(id="r1", group="p", load=3, bound=4)],
-            teams=[made.TeamStatus(name="acme", running=2)],
+            replicas=[
+                status.ReplicaStatus(id="r1", group="p", load=3, bound=4)
+            ],
+            teams=[status.TeamStatus(name="acme", running=2)],
         )
 
     def explain(
@@ -45,9 +47,9 @@
     ) -> _administration_status.Explanation:
         if pool != "p":
             raise _errors.UnknownModel(f"no pool {pool!r}")
-        made = _administration_status
-        first = made.Candidate(rank=0, replica="r1", verdict="over_bound")
-        return made.Explanation(
+        status = _administration_status
+        first = status.Candidate(rank=0, replica="r1", verdict="over_bound")
+        return status.Explanation(
             group=pool, chat=chat, chosen="r2", candidates=[first]
         )
 
@@ -60,8 +62,8 @@
     ready: bool = True,
     guard: Any = None,
 ) -> _administration.Administration:
-    """Return the administration of a node."""
-    made = _administration.Administration(
+    """Return the administration application of a node."""
+    administration = _administration.Administration(
         holder=node.holder,
         editor=node.editor,
         publisher=node.follower,
@@ -71,13 +73,15 @@
         exposition=lambda: b"up 1\n",
         bootstrap_token_hash=_tokens.hash_of(BOOTSTRAP),
     )
-    blocked = _administration_blocked.BlockedResource(guard=guard or Guard())
-    made.add(blocked.routes())
-    return made
+    blocked = _administration_blocked.BlockedResource(
+        guard=guard or FakeCrashGuard()
+    )
+    administration.add(blocked.routes())
+    return administration
 
 
-class Guard:
-    """Keeps one request from targets until it is released."""
+class FakeCrashGuard:
+    """A crash guard that blocks one request until it is released."""
 
     def __init__(self) -> None:
         self._blocks = [crash_fixtures.block("f1", "i-1@1", "i-2@1")]
@@ -94,7 +98,7 @@
 
 
 class Answer:
-    """What a call of the application gave."""
+    """The answer to a call of the application."""
 
     def __init__(self, status: str, headers: Any, body: bytes) -> None:
         self.status = int(status.split()[0])
--- a/tests/topazlug/configuration/test_configuration.py
+++ b/tests/topazlug/configuration/test_configuration.py
@@ -14,9 +14,11 @@
 
 @pytest.fixture
 def holder():
-    made = _configuration.ConfigurationHolder()
-    made.apply_full_table(revision=3, rows=[table_fakes.change(3, weight=3)])
-    return made
+    configuration = _configuration.ConfigurationHolder()
+    configuration.apply_full_table(
+        revision=3, rows=[table_fakes.change(3, weight=3)]
+    )
+    return configuration
 
 
 def weight(holder):
--- a/tests/topazlug/configuration/test_table_edits.py
+++ b/tests/topazlug/configuration/test_table_edits.py
@@ -22,22 +22,22 @@
 
 @pytest.fixture
 def node(store, network):
-    made = table_fakes.Node("a", store=store, network=network)
-    made.follower.catch_up()
-    return made
+    node = table_fakes.Node("a", store=store, network=network)
+    node.follower.catch_up()
+    return node
 
 
 @pytest.fixture
 def other(store, network):
     network.cut.add("b")
-    made = table_fakes.Node("b", store=store, network=network)
-    made.follower.catch_up()
-    return made
+    node = table_fakes.Node("b", store=store, network=network)
+    node.follower.catch_up()
+    return node
 
 
 def edit(node, key="acme", *, edit_id="", **columns):
-    made = table_fakes.team_edit(key, **columns)
-    return node.editor.edit([made], stamp=table_fakes.stamp(edit_id))
+    row_edit = table_fakes.team_edit(key, **columns)
+    return node.editor.edit([row_edit], stamp=table_fakes.stamp(edit_id))
 
 
 class TestEdit:
@@ -107,7 +107,7 @@
 
 
 class TestConflicts:
-    def test_second_of_two_editors_sees_both_values(self, node, other):
+    def test_second_of_two_editors_gets_both_values(self, node, other):
         """An operator's change must not be lost without notice.
 
         Two operators read a row and both write it. The last write must not
@@ -122,8 +122,8 @@
         assert caught.value.mine["weight"] == 3
         assert caught.value.current["weight"] == 2
 
-    def test_editors_at_the_same_moment(self, node, other, store):
-        """As above, with the other's commit between read and write."""
+    def test_concurrent_edits_of_a_row(self, node, other, store):
+        """As above, with the other commit between read and write."""
         node.put("acme", weight=1)
         other.follower.catch_up()
         etag = other.etag(TEAMS, "acme")
@@ -132,16 +132,16 @@
             edit(other, expected=etag, weight=3)
         assert other.weight("acme") == 2
 
-    def test_edits_of_different_rows_both_hold(self, node, other, store):
+    def test_concurrent_edits_of_different_rows(self, node, other, store):
         store.before_transact = [lambda: node.put("acme", weight=2)]
         other.put("beta", weight=3)
         assert (other.weight("acme"), other.weight("beta")) == (2, 3)
 
     def test_row_that_was_removed_and_added_again(self, node):
-        """An edit based on a removed row changes its successor.
+        """An edit based on a removed row must not change the new row.
 
-        Sequence: a row is read, removed, added again; the reader writes.
-        Cause: the new row starts at the version that the old one had.
+        A row is read, removed and added again, then written by the reader.
+        The new row may have the same version as the old one.
         """
         node.put("acme", weight=1)
         etag = node.etag(TEAMS, "acme")
--- a/tests/topazlug/table_fakes.py
+++ b/tests/topazlug/table_fakes.py
@@ -51,9 +51,9 @@
 
     def replica(self) -> "FakeStore":
         """Return a replica with the present rows, which is not updated."""
-        made = FakeStore()
-        made.row_by_key = dict(self.row_by_key)
-        return made
+        replica = FakeStore()
+        replica.row_by_key = dict(self.row_by_key)
+        return replica
 
     def read(self, table: str, key: str) -> _table_client.Row | None:
         self.reads += 1
@@ -239,8 +239,8 @@
 
 def stamp(edit_id: str = "") -> _edit_plan.Stamp:
     """Return a stamp with the edit id given, or else a random one."""
-    made = edit_id or f"edit-{random.getrandbits(64):016x}"
-    return _edit_plan.Stamp(who="ana", why="a test", edit_id=made)
+    chosen_id = edit_id or f"edit-{random.getrandbits(64):016x}"
+    return _edit_plan.Stamp(who="ana", why="a test", edit_id=chosen_id)
 
 
 def team_edit(
@@ -291,16 +291,16 @@
         edit_id="",
     )
     key = _table_storage.history_key(revision)
-    made = _table_client.Put
+    put = _table_client.Put
     store.transact(
         conditions=(),
         puts=[
-            made(table="teams", key="acme", value=value),
-            made(
+            put(table="teams", key="acme", value=value),
+            put(
                 table="history",
                 key=key,
                 value={f: getattr(entry, f) for f in entry.__struct_fields__},
             ),
-            made(table="meta", key="config", value={"revision": revision}),
+            put(table="meta", key="config", value={"revision": revision}),
         ],
     )
