--- a/src/topazlug/cli/__init__.py
+++ b/src/topazlug/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command line, a client of the administration API."""
+"""The command line for operators, a client of the administration API."""
 
 from topazlug.cli import _main as _main
 
--- a/src/topazlug/cli/_blocked.py
+++ b/src/topazlug/cli/_blocked.py
@@ -1,4 +1,4 @@
-"""Commands on requests that are kept from targets: blocked, release."""
+"""Commands on blocked requests: blocked, release."""
 
 import click
 
@@ -10,18 +10,18 @@
 @click.command()
 @_context.pass_context
 def blocked(context: _context.CommandContext) -> None:
-    """Show requests that crash the targets that run them."""
-    read = context.client.get("/v1/blocked")
+    """Show requests blocked because they crash targets."""
+    answer = context.client.get("/v1/blocked")
     if context.is_table:
-        _output.write_rows(read["blocked"])
+        _output.write_rows(answer["blocked"])
     else:
-        context.write(read)
+        context.write(answer)
 
 
 @click.command()
 @click.argument("fingerprint")
 @_context.pass_context
 def release(context: _context.CommandContext, fingerprint: str) -> None:
-    """Let a blocked request run again."""
-    path = _client.path_of("blocked", fingerprint)
+    """Unblock a request."""
+    path = _client.api_path("blocked", fingerprint)
     context.write(context.client.delete(path))
--- a/src/topazlug/cli/_client.py
+++ b/src/topazlug/cli/_client.py
@@ -1,4 +1,4 @@
-"""Calls to the administration API."""
+"""Client of the administration API."""
 
 import functools
 from http import HTTPStatus
@@ -19,14 +19,14 @@
 
 CONNECT_TIMEOUT = 5.0
 NETWORK_TIMEOUT = 30.0
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 RETRY_WAIT = 0.3
 _Exit = _exit_codes.ExitCode
 
 
 @final
 class ApiError(msgspec.Struct, frozen=True, kw_only=True):
-    """The error of an answer."""
+    """The error in the body of an answer."""
 
     code: str = ""
     message: str = ""
@@ -42,14 +42,14 @@
 
 @final
 class ApiFailed(Exception):
-    """The daemon refused a call.
+    """The daemon answered a call with an error.
 
     Parameters
     ----------
     status : int
         HTTP status code.
     error : ApiError
-        What the daemon said.
+        The error in the answer.
     """
 
     def __init__(self, status: int, error: ApiError) -> None:
@@ -59,7 +59,7 @@
 
     @property
     def exit_code(self) -> _exit_codes.ExitCode:
-        """Return what the program ends with."""
+        """Return the exit code for the error."""
         if self.status == HTTPStatus.PRECONDITION_REQUIRED:
             return _Exit.CONFLICT
         try:
@@ -71,19 +71,19 @@
 
 @final
 class Unreachable(Exception):
-    """No daemon answered, or its answer was lost."""
+    """The daemon did not answer, or its answer was lost."""
 
 
 @final
 class Edit(msgspec.Struct, frozen=True, kw_only=True):
-    """What the headers of an edit say."""
+    """Values that are sent as headers of an edit."""
 
     reason: str = ""
     edit_id: str = ""
     etag: str = ""
 
     def headers(self) -> dict[str, str]:
-        """Return the headers."""
+        """Return the headers, with a new edit id if none was set."""
         headers = {"X-Edit-Id": self.edit_id or _tokens.new_edit_id()}
         if self.reason:
             headers["X-Reason"] = parse.quote(self.reason)
@@ -99,7 +99,8 @@
     Parameters
     ----------
     url : str
-        Where it listens, as in ``http://192.0.2.7:8081``.
+        URL of the daemon's administration, such as
+        ``http://192.0.2.7:8081``.
     token : str
         Token of the operator.
     """
@@ -109,19 +110,19 @@
         self._token = token
 
     def get(self, path: str, **query: str) -> Any:
-        """Read."""
+        """Send a GET request."""
         return self._call("GET", path, query=query)
 
     def put(self, path: str, value: Any, *, edit: Edit) -> Any:
-        """Write a row; safe to repeat under one edit id."""
+        """Send a PUT request; safe to repeat with the same edit id."""
         return self._call("PUT", path, value=value, edit=edit)
 
     def post(self, path: str, value: Any, *, edit: Edit) -> Any:
-        """Ask for an edit; safe to repeat under one edit id."""
+        """Send a POST request; safe to repeat with the same edit id."""
         return self._call("POST", path, value=value, edit=edit)
 
     def delete(self, path: str, *, edit: Edit | None = None) -> Any:
-        """Remove; safe to repeat under one edit id."""
+        """Send a DELETE request; safe to repeat with the same edit id."""
         return self._call("DELETE", path, edit=edit)
 
     def _call(
@@ -135,54 +136,61 @@
     ) -> Any:
         headers = {} if edit is None else edit.headers()
         body = b"" if value is None else msgspec.json.encode(value)
-        target = path
+        path_and_query = path
         if query:
-            target += "?" + parse.urlencode(query)
-        once = functools.partial(
-            self._call_once, method, target, body=body, headers=headers
+            path_and_query += "?" + parse.urlencode(query)
+        call_once = functools.partial(
+            self._call_once, method, path_and_query, body=body, headers=headers
         )
-        for _ in range(MAX_TRIES - 1):
+        for _ in range(MAX_ATTEMPTS - 1):
             try:
-                return once()
+                return call_once()
             except Unreachable:
-                # A lost answer to an edit would leave the operator with an
-                # edit of unknown fate. The daemon knows the edit by its id,
-                # so that the repeat settles it and changes nothing twice.
+                # After a lost answer it is unknown whether the edit was made.
+                # The daemon identifies the edit by its id, so that a repeat
+                # returns the result and does not make the edit twice.
                 gevent.sleep(RETRY_WAIT)
             except ApiFailed as failure:
                 if failure.error.type != _errors.StoreAmbiguous.__name__:
                     raise
                 gevent.sleep(RETRY_WAIT)
         try:
-            return once()
+            return call_once()
         except Unreachable as error:
-            raise _no_answer(error, headers) from error
+            raise _no_answer_error(error, headers) from error
 
     def _call_once(
-        self, method: str, target: str, *, body: bytes, headers: dict[str, str]
+        self,
+        method: str,
+        path_and_query: str,
+        *,
+        body: bytes,
+        headers: dict[str, str],
     ) -> Any:
-        sent = {
+        request_headers = {
             "Authorization": f"Bearer {self._token}",
             "Content-Type": "application/json",
             **headers,
         }
-        client = self._connected()
+        client = self._connect()
         try:
             with gevent.Timeout(NETWORK_TIMEOUT, TimeoutError("no answer")):
-                answer = client.request(method, target, body, sent)
+                answer = client.request(
+                    method, path_and_query, body, request_headers
+                )
                 content = bytes(answer.read())
                 status = int(answer.status_code)
         except (OSError, response.HTTPParseError) as error:
             raise Unreachable(f"{self._url}: {error}") from error
         finally:
             client.close()
-        return _decoded(status, content)
+        return _decode_answer(status, content)
 
-    def _connected(self) -> geventhttpclient.HTTPClient:
+    def _connect(self) -> geventhttpclient.HTTPClient:
         if not self._url.startswith(("http://", "https://")):
             raise _exit_codes.CommandFailed(
-                f"{self._url!r} is no URL of a daemon; give --url or"
-                " TOPAZLUG_URL, as in http://192.0.2.7:8081",
+                f"{self._url!r} is not an HTTP URL; set --url or TOPAZLUG_URL"
+                " to a daemon's URL, such as http://192.0.2.7:8081",
                 _Exit.USAGE,
             )
         return geventhttpclient.HTTPClient.from_url(
@@ -192,12 +200,12 @@
         )
 
 
-def _decoded(status: int, content: bytes) -> Any:
+def _decode_answer(status: int, content: bytes) -> Any:
     if status < HTTPStatus.BAD_REQUEST:
         try:
             return msgspec.json.decode(content)
         except msgspec.DecodeError as error:
-            raise Unreachable(f"the answer is no JSON: {error}") from error
+            raise Unreachable(f"the answer is not JSON: {error}") from error
     try:
         failure = msgspec.json.decode(content, type=_ErrorBody).error
     except msgspec.DecodeError:
@@ -205,33 +213,33 @@
     raise ApiFailed(status, failure)
 
 
-def _no_answer(
+def _no_answer_error(
     error: Unreachable, headers: Mapping[str, str]
 ) -> _exit_codes.CommandFailed:
     message = f"no answer: {error}"
     if "X-Edit-Id" in headers:
         message += (
-            "\nThe edit may have been accepted. Repeat it with"
-            f" --edit-id {headers['X-Edit-Id']}: it is never made twice."
+            "\nThe edit may have been accepted. To repeat it safely, use"
+            f" --edit-id {headers['X-Edit-Id']}."
         )
     return _exit_codes.CommandFailed(message, _Exit.UNREACHABLE)
 
 
-def path_of(*segments: str) -> str:
-    """Return a path of the API with its segments quoted."""
+def api_path(*segments: str) -> str:
+    """Return a path of the API from unquoted segments."""
     return "/v1/" + "/".join(parse.quote(s, safe="") for s in segments)
 
 
-def shown_failure(failure: ApiFailed) -> _exit_codes.CommandFailed:
-    """Return a refusal in the form that ends the program."""
+def to_command_error(failure: ApiFailed) -> _exit_codes.CommandFailed:
+    """Return an error of the API as the error that ends the program."""
     lines = [failure.error.message]
     if failure.exit_code is _Exit.CONFLICT:
-        lines += _both_values(failure.error)
+        lines += _conflict_lines(failure.error)
     return _exit_codes.CommandFailed("\n".join(lines), failure.exit_code)
 
 
-def _both_values(error: ApiError) -> list[str]:
-    """Show where the operator's row and the one that stands differ."""
+def _conflict_lines(error: ApiError) -> list[str]:
+    """Return lines on how the operator's row and the one in force differ."""
     if error.mine is None and error.current is None:
         return []
     mine, current = error.mine or {}, error.current or {}
@@ -242,12 +250,12 @@
     ]
     lines = []
     if error.current is None:
-        lines.append("  the row is gone")
+        lines.append("  the row was removed")
     if error.mine is None:
-        lines.append("  you remove the row")
+        lines.append("  your edit removes the row")
     for column in columns:
-        yours = click.style(repr(mine.get(column)), bold=True)
+        styled = click.style(repr(mine.get(column)), bold=True)
         lines.append(
-            f"  {column}: yours {yours}, in force {current.get(column)!r}"
+            f"  {column}: yours {styled}, in force {current.get(column)!r}"
         )
     return lines
--- a/src/topazlug/cli/_context.py
+++ b/src/topazlug/cli/_context.py
@@ -1,4 +1,4 @@
-"""What all commands share: the client, the output, options of edits."""
+"""Shared parts of the commands: client, output format, edit options."""
 
 import functools
 import time
@@ -19,38 +19,38 @@
 
 @final
 class CommandContext(msgspec.Struct, frozen=True, kw_only=True):
-    """What the options before the command said."""
+    """Values of the options that precede the command."""
 
     client: _client.ApiClient
     output: _output.OutputFormat
 
     @property
     def is_table(self) -> bool:
-        """Return whether people read the result."""
+        """Return whether the result is shown as a table."""
         return self.output is _output.OutputFormat.TABLE
 
     def write(self, value: Any, rows: list[Any] | None = None) -> None:
-        """Write a result in the format asked for."""
+        """Write a result in the selected format."""
         _output.write(value, output=self.output, rows=rows)
 
 
 @final
 class EditOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Options that all edits have."""
+    """Values of the options that all edits have."""
 
     reason: str
     edit_id: str
     wait: float
 
     def edit(self, etag: str = "") -> _client.Edit:
-        """Return the edit's headers."""
+        """Return the values that are sent as headers of an edit."""
         return _client.Edit(
             reason=self.reason, edit_id=self.edit_id, etag=etag
         )
 
 
 def pass_context(command: Callable[..., None]) -> Callable[..., None]:
-    """Hand the context to a command and show refusals without traceback."""
+    """Pass the context to a command and turn API errors into messages."""
 
     @functools.wraps(command)
     @click.pass_obj
@@ -58,17 +58,21 @@
         try:
             command(context, *args, **options)
         except _client.ApiFailed as failure:
-            raise _client.shown_failure(failure) from failure
+            raise _client.to_command_error(failure) from failure
 
     return run
 
 
 def edit_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Return a command the options of edits."""
+    """Add the options of edits to a command."""
 
-    @click.option("--reason", default="", help="Goes into the history.")
     @click.option(
-        "--edit-id", default="", help="Repeats an edit whose answer was lost."
+        "--reason", default="", help="Reason, stored in the history."
+    )
+    @click.option(
+        "--edit-id",
+        default="",
+        help="Id of an edit to repeat if its answer was lost.",
     )
     @click.option(
         "--wait",
@@ -80,8 +84,8 @@
     def run(
         *args: Any, reason: str, edit_id: str, wait: float, **options: Any
     ) -> None:
-        made = EditOptions(reason=reason, edit_id=edit_id, wait=wait)
-        command(*args, edit_options=made, **options)
+        parsed = EditOptions(reason=reason, edit_id=edit_id, wait=wait)
+        command(*args, edit_options=parsed, **options)
 
     return run
 
@@ -89,7 +93,7 @@
 def report_edit(
     context: CommandContext, result: dict[str, Any], options: EditOptions
 ) -> None:
-    """Show an accepted edit and wait for it if asked to."""
+    """Show an accepted edit; with ``--wait``, wait until it is in force."""
     for finding in result.get("findings", ()):
         click.echo(f"warning: {finding['message']}", err=True)
     shown: dict[str, Any] = {
@@ -113,20 +117,20 @@
     Raises
     ------
     CommandFailed
-        It is not within the time.
+        The revision is not in force everywhere within the time.
     """
-    end = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while True:
         status: dict[str, Any] = context.client.get(
             "/v1/config/status", revision=str(revision)
         )
         if status["in_force"]:
             return status
-        if time.monotonic() >= end:
-            behind = ", ".join(status["behind"]) or "the daemon asked"
+        if time.monotonic() >= deadline:
+            behind = ", ".join(status["behind"]) or "the daemon called"
             raise _exit_codes.CommandFailed(
-                f"revision {revision} is accepted, but after {seconds:g} s not"
-                f" in force on: {behind}",
+                f"revision {revision} was accepted, but after {seconds:g} s is"
+                f" not in force on: {behind}",
                 _exit_codes.ExitCode.NOT_IN_FORCE,
             )
         gevent.sleep(POLL_INTERVAL)
--- a/src/topazlug/cli/_documents.py
+++ b/src/topazlug/cli/_documents.py
@@ -1,7 +1,7 @@
-"""Reads and writes the whole table as YAML and as CSV.
+"""Formats and parses the whole table as YAML and as CSV.
 
-In CSV each line is a row of any table, told by the first column; a cell is
-empty where the table has no such column or the default stands.
+In CSV, each line is a row of the table that the first column names. A cell is
+empty if that table has no such column, or for the column's default.
 """
 
 import csv
@@ -21,44 +21,49 @@
 
 
 class DocumentFormat(enum.Enum):
-    """How the table is written."""
+    """File formats of the table."""
 
     YAML = "yaml"
     CSV = "csv"
 
 
-def format_of(path: str, given: str | None) -> DocumentFormat:
-    """Tell a file's format by what was given, else by its name."""
+def choose_format(path: str, given: str | None) -> DocumentFormat:
+    """Return the format given, or else the one of the file's suffix."""
     if given is not None:
         return DocumentFormat(given)
     is_csv = pathlib.PurePath(path).suffix.lower() == ".csv"
     return DocumentFormat.CSV if is_csv else DocumentFormat.YAML
 
 
-def written(document: dict[str, Any], form: DocumentFormat) -> str:
-    """Return a document as text."""
-    if form is DocumentFormat.CSV:
-        return _written_csv(document)
+def format_document(
+    document: dict[str, Any], document_format: DocumentFormat
+) -> str:
+    """Return a document as text of a format."""
+    if document_format is DocumentFormat.CSV:
+        return _format_csv(document)
     text: str = yaml.safe_dump(document, sort_keys=False, allow_unicode=True)
     return text
 
 
-def read(text: str, form: DocumentFormat) -> dict[str, Any]:
-    """Read a document.
+def parse_document(
+    text: str, document_format: DocumentFormat
+) -> dict[str, Any]:
+    """Parse a document.
 
     Raises
     ------
     CommandFailed
-        The text is not of the format, or names what there is not.
+        The text is not valid in the format, or, in CSV, has an unknown table
+        or column.
     """
-    if form is DocumentFormat.CSV:
-        return _read_csv(text)
+    if document_format is DocumentFormat.CSV:
+        return _parse_csv(text)
     try:
         document = yaml.safe_load(text)
     except yaml.YAMLError as error:
-        raise _invalid(f"no YAML: {error}") from error
+        raise _invalid(f"invalid YAML: {error}") from error
     if not isinstance(document, dict):
-        raise _invalid("the file is no mapping of tables to lists of rows")
+        raise _invalid("the file is not a mapping of tables to lists of rows")
     return document
 
 
@@ -67,32 +72,34 @@
     return [TABLE_COLUMN, *dict.fromkeys(columns)]
 
 
-def _written_csv(document: dict[str, Any]) -> str:
+def _format_csv(document: dict[str, Any]) -> str:
     text = io.StringIO()
     writer = csv.DictWriter(text, _all_columns(), restval="")
     writer.writeheader()
     for name in _TABLES:
         columns = _values.columns_of(name)
         for row in document.get(name.value, ()):
-            cells = {c: _values.as_text(row[c]) for c in columns if c in row}
+            cells = {
+                c: _values.format_cell(row[c]) for c in columns if c in row
+            }
             writer.writerow({TABLE_COLUMN: name.value, **cells})
     return text.getvalue()
 
 
-def _read_csv(text: str) -> dict[str, Any]:
+def _parse_csv(text: str) -> dict[str, Any]:
     document: dict[str, Any] = {}
     reader = csv.DictReader(io.StringIO(text.removeprefix("\ufeff")))
     if TABLE_COLUMN not in (reader.fieldnames or ()):
-        raise _invalid(f"no column {TABLE_COLUMN!r} in the first line")
+        raise _invalid(f"the first line has no column {TABLE_COLUMN!r}")
     for cells in reader:
         try:
             name = _TABLES((cells.pop(TABLE_COLUMN) or "").strip())
         except ValueError as error:
             raise _invalid(f"line {reader.line_num}: {error}") from error
         if None in cells:
-            raise _invalid(f"line {reader.line_num}: more cells than heads")
+            raise _invalid(f"line {reader.line_num}: more cells than columns")
         row = {
-            column: _values.parsed(name, column, cell)
+            column: _values.parse_cell(name, column, cell)
             for column, cell in cells.items()
             if cell
         }
--- a/src/topazlug/cli/_exit_codes.py
+++ b/src/topazlug/cli/_exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of ``topazlug``; once shipped, a code keeps its meaning."""
+"""Exit codes of ``topazlug``; a released code never changes its meaning."""
 
 import enum
 from typing import IO
@@ -10,7 +10,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the program ends with."""
+    """Exit codes of the program."""
 
     OK = 0
     FAILURE = 1
@@ -49,9 +49,9 @@
     Parameters
     ----------
     message : str
-        What happened and what helps.
+        The error and its remedy.
     exit_code : ExitCode
-        What the program ends with.
+        Exit code of the program.
     """
 
     def __init__(self, message: str, exit_code: ExitCode) -> None:
--- a/src/topazlug/cli/_fleet.py
+++ b/src/topazlug/cli/_fleet.py
@@ -1,4 +1,4 @@
-"""Commands on the fleet at work: status, drain, explain, top."""
+"""Commands on the fleet: status, top, config, drain, undrain, explain."""
 
 import itertools
 from typing import Any
@@ -24,75 +24,88 @@
 @_context.pass_context
 def status(context: _context.CommandContext) -> None:
     """Show daemons, replicas and teams."""
-    read = context.client.get("/v1/status")
+    answer = context.client.get("/v1/status")
     if context.is_table:
-        _show_status(read)
+        _show_status(answer)
     else:
-        context.write(read)
+        context.write(answer)
 
 
 @click.command()
-@click.option("--interval", default=1.0, help="Seconds.")
-@click.option("--count", type=click.IntRange(1), help="Times; default: ever.")
+@click.option("--interval", default=1.0, help="Seconds between updates.")
+@click.option(
+    "--count",
+    type=click.IntRange(1),
+    help="Number of updates; unlimited by default.",
+)
 @_context.pass_context
 def top(
     context: _context.CommandContext, interval: float, count: int | None
 ) -> None:
-    """Show the status again and again."""
-    turns = itertools.count() if count is None else range(count)
-    for turn in turns:
-        if turn:
+    """Show the status and update it periodically."""
+    iterations = itertools.count() if count is None else range(count)
+    for iteration in iterations:
+        if iteration:
             gevent.sleep(interval)
-        read = context.client.get("/v1/status")
+        answer = context.client.get("/v1/status")
         click.clear()
-        _show_status(read)
+        _show_status(answer)
 
 
-def _show_status(read: dict[str, Any]) -> None:
-    click.echo(f"{read['daemon']} at revision {read['revision']}")
-    for part in ("daemons", "replicas", "teams"):
-        click.echo(f"\n{part}")
-        _output.write_rows(_sorted_for_people(read[part]))
+def _show_status(answer: dict[str, Any]) -> None:
+    click.echo(f"{answer['daemon']} at revision {answer['revision']}")
+    for section in ("daemons", "replicas", "teams"):
+        click.echo(f"\n{section}")
+        _output.write_rows(_sorted_for_display(answer[section]))
 
 
-def _sorted_for_people(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Order rows by name: else each look shows them in another order."""
-    shown = [_for_people(row) for row in rows]
+def _sorted_for_display(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    """Sort rows by name, so that each update shows them in the same order."""
+    shown = [_for_display(row) for row in rows]
     return sorted(shown, key=lambda row: str(row.get("id", row.get("name"))))
 
 
-def _for_people(row: dict[str, Any]) -> dict[str, Any]:
-    """Leave out what is unknown."""
+def _for_display(row: dict[str, Any]) -> dict[str, Any]:
+    """Replace -1, which means unknown, by None."""
     return {k: None if v == -1 else v for k, v in row.items()}
 
 
 @click.group()
 def config() -> None:
-    """Follow the table's way to the daemons."""
+    """Show which revision of the table each daemon has."""
 
 
 @config.command("status")
-@click.option("--revision", type=click.IntRange(0), help="Default: newest.")
-@click.option("--wait", type=float, metavar="SECONDS", help="Until in force.")
+@click.option(
+    "--revision",
+    type=click.IntRange(0),
+    help="Revision to check; by default the newest.",
+)
+@click.option(
+    "--wait",
+    type=float,
+    metavar="SECONDS",
+    help="Wait until the revision is in force on all daemons.",
+)
 @_context.pass_context
 def config_status(
     context: _context.CommandContext,
     revision: int | None,
     wait: float | None,
 ) -> None:
-    """Show which daemon is at which revision."""
+    """Show the revision in force on each daemon."""
     query = {} if revision is None else {"revision": str(revision)}
-    read = context.client.get("/v1/config/status", **query)
+    answer = context.client.get("/v1/config/status", **query)
     if wait is not None:
-        read = _context.wait_in_force(
-            context, revision=read["wanted"], seconds=wait
+        answer = _context.wait_in_force(
+            context, revision=answer["wanted"], seconds=wait
         )
     if not context.is_table:
-        context.write(read)
+        context.write(answer)
         return
-    shown = {key: value for key, value in read.items() if key != "daemons"}
+    shown = {key: value for key, value in answer.items() if key != "daemons"}
     context.write(shown)
-    _output.write_rows(_sorted_for_people(read["daemons"]))
+    _output.write_rows(_sorted_for_display(answer["daemons"]))
 
 
 @click.command()
@@ -106,9 +119,9 @@
     kind: str,
     edit_options: _context.EditOptions,
 ) -> None:
-    """Return a replica or availability zone no new work."""
+    """Stop sending new work to a replica or availability zone."""
     result = context.client.put(
-        _client.path_of(_DRAINS.value, name),
+        _client.api_path(_DRAINS.value, name),
         {"kind": kind},
         edit=edit_options.edit(),
     )
@@ -124,10 +137,10 @@
     name: str,
     edit_options: _context.EditOptions,
 ) -> None:
-    """Return a replica or availability zone work again."""
+    """Resume sending work to a replica or availability zone."""
     etag = _rows.read_row(context, _DRAINS, name)["etag"]
     result = context.client.delete(
-        _client.path_of(_DRAINS.value, name), edit=edit_options.edit(etag)
+        _client.api_path(_DRAINS.value, name), edit=edit_options.edit(etag)
     )
     _context.report_edit(context, result, edit_options)
 
@@ -137,10 +150,10 @@
 @click.option("--pool", required=True)
 @_context.pass_context
 def explain(context: _context.CommandContext, chat: str, pool: str) -> None:
-    """Show why a chat goes where it goes."""
-    read = context.client.get("/v1/explain", chat=chat, pool=pool)
+    """Show why a chat is placed on a replica."""
+    answer = context.client.get("/v1/explain", chat=chat, pool=pool)
     if not context.is_table:
-        context.write(read)
+        context.write(answer)
         return
-    context.write({k: v for k, v in read.items() if k != "candidates"})
-    _output.write_rows([_for_people(row) for row in read["candidates"]])
+    context.write({k: v for k, v in answer.items() if k != "candidates"})
+    _output.write_rows([_for_display(row) for row in answer["candidates"]])
--- a/src/topazlug/cli/_main.py
+++ b/src/topazlug/cli/_main.py
@@ -22,7 +22,12 @@
 
 
 @click.group()
-@click.option("--url", envvar="TOPAZLUG_URL", default="", help="Of a daemon.")
+@click.option(
+    "--url",
+    envvar="TOPAZLUG_URL",
+    default="",
+    help="URL of a daemon's administration.",
+)
 @click.option("--token", envvar="TOPAZLUG_TOKEN", default="")
 @click.option("--output", type=_OUTPUTS, default="table")
 @click.version_option(topazlug.__version__, prog_name=PROGRAM)
@@ -30,7 +35,7 @@
 def main(
     click_context: click.Context, url: str, token: str, output: str
 ) -> None:
-    """Read and edit the table, and look at the fleet.
+    """Read and edit the table, and inspect the fleet.
 
     Exit codes: 0 done, 1 failure, 2 usage, 3 conflict, 4 refused,
     5 unreachable, 6 not in force in time, 7 not found, 8 invalid.
@@ -44,10 +49,12 @@
 @main.command()
 @click.argument("shell", type=_SHELLS)
 def completion(shell: str) -> None:
-    """Write the completion script of a shell."""
-    made = shell_completion.get_completion_class(shell)
-    assert made is not None
-    script = made(main, {}, PROGRAM, f"_{PROGRAM.upper()}_COMPLETE")
+    """Print the completion script for a shell."""
+    completion_class = shell_completion.get_completion_class(shell)
+    assert completion_class is not None
+    script = completion_class(
+        main, {}, PROGRAM, f"_{PROGRAM.upper()}_COMPLETE"
+    )
     click.echo(script.source())
 
 
@@ -58,13 +65,13 @@
         (_TABLES.POOLS, "pool"),
         (_TABLES.OPERATORS, "operator"),
     ):
-        group = _rows.group_of(name, singular)
+        group = _rows.make_group(name, singular)
         main.add_command(group)
         if name is _TABLES.OPERATORS:
             group.add_command(_secrets.add_operator)
             group.add_command(_secrets.renew_operator)
         else:
-            _rows.add_add(group, name)
+            _rows.add_add_command(group, name)
         if name is _TABLES.TEAMS:
             group.add_command(_secrets.key)
 
--- a/src/topazlug/cli/_output.py
+++ b/src/topazlug/cli/_output.py
@@ -14,7 +14,7 @@
 
 
 class OutputFormat(enum.Enum):
-    """How results are written."""
+    """Output formats of results."""
 
     TABLE = "table"
     JSON = "json"
@@ -32,11 +32,11 @@
     Parameters
     ----------
     value : Any
-        The whole result, for programs.
+        The full result, written as JSON or YAML.
     output : OutputFormat
-        How.
+        The format.
     rows : Sequence[Mapping] or None
-        What people are shown as a table; by default `value` itself.
+        Rows to show in the format `TABLE`; by default the fields of `value`.
     """
     if output is OutputFormat.JSON:
         click.echo(msgspec.json.format(msgspec.json.encode(value)).decode())
@@ -49,30 +49,30 @@
 
 
 def write_rows(rows: Sequence[Mapping[str, Any]]) -> None:
-    """Write rows as a table with a head."""
+    """Write rows as a table with a header."""
     if not rows:
         click.echo("(none)")
         return
     columns = list(dict.fromkeys(c for row in rows for c in row))
     cells = [[cell(row.get(column)) for column in columns] for row in rows]
-    heads = [column.upper() for column in columns]
+    headers = [column.upper() for column in columns]
     widths = [
-        max(len(line[index]) for line in [heads, *cells])
+        max(len(line[index]) for line in [headers, *cells])
         for index in range(len(columns))
     ]
-    for line in [heads, *cells]:
-        click.echo(_padded(line, widths))
+    for line in [headers, *cells]:
+        click.echo(_format_line(line, widths))
 
 
 def write_pairs(value: Mapping[str, Any]) -> None:
-    """Write one value's fields under each other."""
+    """Write the fields of a mapping, one per line."""
     width = max((len(key) for key in value), default=0)
     for key, field in value.items():
         click.echo(f"{key:<{width}}  {cell(field, limit=None)}")
 
 
 def cell(value: Any, *, limit: int | None = MAX_CELL) -> str:
-    """Return a value as one cell's text."""
+    """Return a value as the text of a cell, cut to a limit."""
     if value is None:
         return "-"
     if isinstance(value, bool):
@@ -92,6 +92,6 @@
     return text
 
 
-def _padded(cells: Iterable[str], widths: Iterable[int]) -> str:
+def _format_line(cells: Iterable[str], widths: Iterable[int]) -> str:
     padded = [f"{text:<{width}}" for text, width in zip(cells, widths)]
     return "  ".join(padded).rstrip()
--- a/src/topazlug/cli/_request_logs.py
+++ b/src/topazlug/cli/_request_logs.py
@@ -1,7 +1,7 @@
-"""Questions that logs answer: what became of a request, what failed why.
+"""Commands that analyse log files: explain-request, why-failed.
 
-They read lines of any number of daemons from files or standard input, and
-need no daemon that runs.
+They read logs of any number of daemons from files or standard input, and do
+not need a running daemon.
 """
 
 import collections
@@ -16,21 +16,23 @@
 from topazlug.cli import _context
 from topazlug.cli import _output
 
-# Fields of every line, which the table shows in columns of their own.
-_COMMON = frozenset({"time", "level", "logger", "daemon", "message"})
-# A replica's report older than this was no news when it decided a placement.
+# Fields that every log line has; the output shows them apart from the others.
+_COMMON_FIELDS = frozenset({"time", "level", "logger", "daemon", "message"})
+# A replica's report older than this is shown as stale in a placement.
 _STALE_REPORT_SECONDS = 2.0
-# Paths and hosts differ from request to request; the cause does not.
-_QUOTED = re.compile(r"(?<!\w)'[^']*'")
+# Quoted texts, such as paths and hosts, differ between requests that fail for
+# the same cause. They are masked to count these requests together.
+_QUOTED_TEXT = re.compile(r"(?<!\w)'[^']*'")
 _FAILED = "failed with"
-_CUT = "a stream ends early"
-_BELIEFS = frozenset({"store", "replicas", "fleet", "daemon"})
-# What these write is learnt with one request, and decides on later ones.
-_LEARNT_WITH_REQUESTS = frozenset({"replicas"})
+_TRUNCATED = "a stream ends early"
+_STATE_LOGGERS = frozenset({"store", "replicas", "fleet", "daemon"})
+# These log state changes that a request caused, under the id of that request.
+# The changes affect later requests too.
+_STATE_LOGGERS_WITH_REQUEST_ID = frozenset({"replicas"})
 
 
-def _records(files: tuple[TextIO, ...]) -> Iterator[dict[str, Any]]:
-    """Return the lines that are records; others are passed over, counted."""
+def _read_records(files: tuple[TextIO, ...]) -> Iterator[dict[str, Any]]:
+    """Yield the log records; count and report other lines."""
     skipped = 0
     for file in files:
         for line in file:
@@ -45,33 +47,33 @@
             else:
                 skipped += 1
     if skipped:
-        click.echo(f"{skipped} lines are no records", err=True)
+        click.echo(f"skipped {skipped} lines that are not records", err=True)
 
 
-def _details(record: dict[str, Any]) -> str:
+def _format_details(record: dict[str, Any]) -> str:
     shown = [
         f"{name}={value}"
         for name, value in record.items()
-        if name not in _COMMON and name != "request_id"
+        if name not in _COMMON_FIELDS and name != "request_id"
     ]
     return " ".join(shown)
 
 
-def _stale(record: dict[str, Any]) -> str:
-    """Name the inputs of a decision that were out of date."""
+def _stale_inputs(record: dict[str, Any]) -> str:
+    """Return a text on a decision's outdated input, empty without one."""
     age = record.get("report_age")
     if isinstance(age, (int, float)) and age > _STALE_REPORT_SECONDS:
         return f"load report {age:.1f} s old"
     return ""
 
 
-def _row(record: dict[str, Any]) -> dict[str, Any]:
+def _record_to_row(record: dict[str, Any]) -> dict[str, Any]:
     return {
         "time": str(record.get("time", ""))[11:23],
         "daemon": record.get("daemon", ""),
         "message": record.get("message", ""),
-        "stale": _stale(record),
-        "details": _details(record),
+        "stale": _stale_inputs(record),
+        "details": _format_details(record),
     }
 
 
@@ -83,7 +85,7 @@
     type=float,
     default=5.0,
     show_default=True,
-    help="Seconds before the request for which changes of belief are shown.",
+    help="Seconds before the request for which state changes are shown.",
 )
 @click.pass_obj
 def explain_request(
@@ -92,49 +94,55 @@
     files: tuple[TextIO, ...],
     around: float,
 ) -> None:
-    """Show what logs say of one request, and what its daemon believed.
+    """Show the log lines of a request and the state changes before it.
 
-    FILES are logs of the daemons; without any, standard input is read.
+    FILES are logs of daemons; without any, standard input is read.
     """
-    records = list(_records(files))
-    own = [one for one in records if one.get("request_id") == request_id]
-    if not own:
-        raise click.ClickException(f"no line names request {request_id}")
-    found = _with_beliefs(records, own, around)
+    records = list(_read_records(files))
+    request_records = [
+        record for record in records if record.get("request_id") == request_id
+    ]
+    if not request_records:
+        raise click.ClickException(f"no log line has request {request_id}")
+    related = _with_state_changes(records, request_records, around)
     if context.is_table:
-        _write_lines([_row(record) for record in found])
+        _write_lines([_record_to_row(record) for record in related])
     else:
-        context.write([{**one, "stale": _stale(one)} for one in found])
+        context.write(
+            [{**record, "stale": _stale_inputs(record)} for record in related]
+        )
 
 
-def _with_beliefs(
-    records: list[dict[str, Any]], own: list[dict[str, Any]], around: float
+def _with_state_changes(
+    records: list[dict[str, Any]],
+    request_records: list[dict[str, Any]],
+    around: float,
 ) -> list[dict[str, Any]]:
-    """Add the last changes of belief of the daemons that had the request."""
-    daemons = {one.get("daemon") for one in own}
-    first = _seconds(own[0])
-    last = _seconds(own[-1])
-    beliefs = [
-        one
-        for one in records
-        if one.get("daemon") in daemons
-        and _is_belief(one)
-        and one.get("request_id") != own[0]["request_id"]
-        and first - around <= _seconds(one) <= last
+    """Add state changes of the daemons that handled the request."""
+    daemons = {record.get("daemon") for record in request_records}
+    first = _time_of_day(request_records[0])
+    last = _time_of_day(request_records[-1])
+    state_changes = [
+        record
+        for record in records
+        if record.get("daemon") in daemons
+        and _is_state_change(record)
+        and record.get("request_id") != request_records[0]["request_id"]
+        and first - around <= _time_of_day(record) <= last
     ]
-    return sorted([*own, *beliefs], key=_seconds)
+    return sorted([*request_records, *state_changes], key=_time_of_day)
 
 
-def _is_belief(record: dict[str, Any]) -> bool:
-    """Return whether a line tells of more than one request."""
+def _is_state_change(record: dict[str, Any]) -> bool:
+    """Return whether a record is about a change of the daemon's state."""
     logger = record.get("logger")
     if "request_id" in record:
-        return logger in _LEARNT_WITH_REQUESTS
-    return logger in _BELIEFS
+        return logger in _STATE_LOGGERS_WITH_REQUEST_ID
+    return logger in _STATE_LOGGERS
 
 
-def _seconds(record: dict[str, Any]) -> float:
-    """Return the time of day of a line in seconds."""
+def _time_of_day(record: dict[str, Any]) -> float:
+    """Return the time of day of a record in seconds, 0 if it has none."""
     text = str(record.get("time", ""))[11:23]
     try:
         hours, minutes, seconds = text.split(":")
@@ -158,21 +166,21 @@
 def why_failed(
     context: _context.CommandContext, files: tuple[TextIO, ...], team: str
 ) -> None:
-    """Count failed requests by cause, each with the newest one's id.
+    """Count failed requests by cause, with the id of the newest one.
 
-    FILES are logs of the daemons; without any, standard input is read.
+    FILES are logs of daemons; without any, standard input is read.
     """
-    records = _records(files)
+    records = _read_records(files)
     counts: collections.Counter[tuple[str, str]] = collections.Counter()
     newest: dict[tuple[str, str], str] = {}
     for record in records:
         message = str(record.get("message", ""))
-        if not message.startswith((_FAILED, _CUT)):
+        if not message.startswith((_FAILED, _TRUNCATED)):
             continue
         if team and record.get("team") != team:
             continue
         code = str(record.get("code", "cut"))
-        cause = (code, _QUOTED.sub("'…'", str(record.get("why", ""))))
+        cause = (code, _QUOTED_TEXT.sub("'…'", str(record.get("why", ""))))
         counts[cause] += 1
         newest[cause] = str(record.get("request_id", ""))
     rows = [
--- a/src/topazlug/cli/_rows.py
+++ b/src/topazlug/cli/_rows.py
@@ -10,30 +10,30 @@
 from topazlug.cli import _values
 from topazlug.configuration import _table_snapshot
 
-PAGE = 1000
+PAGE_SIZE = 1000
 _TABLES = _table_snapshot.TableName
 _name_argument = click.argument("row_name", metavar="NAME")
 _pairs_argument = click.argument("pairs", nargs=-1, metavar="COLUMN=VALUE...")
 
 
-def group_of(name: _TABLES, singular: str) -> click.Group:
-    """Make the commands on one table's rows."""
+def make_group(name: _TABLES, singular: str) -> click.Group:
+    """Return the command group for the rows of a table."""
     group = click.Group(singular, help=f"Read and edit {name.value}.")
-    _add_list(group, name)
-    _add_show(group, name)
-    _add_set(group, name)
-    _add_remove(group, name)
+    _add_list_command(group, name)
+    _add_show_command(group, name)
+    _add_set_command(group, name)
+    _add_remove_command(group, name)
     return group
 
 
 def read_row(
     context: _context.CommandContext, name: _TABLES, row_name: str
 ) -> dict[str, Any]:
-    """Read a row, with its ETag, as the store has it."""
-    read: dict[str, Any] = context.client.get(
-        _client.path_of(name.value, row_name), fresh="true"
+    """Read a row and its ETag, up to date if the store answers."""
+    answer: dict[str, Any] = context.client.get(
+        _client.api_path(name.value, row_name), fresh="true"
     )
-    return read
+    return answer
 
 
 def read_all(
@@ -44,35 +44,35 @@
     after = ""
     while True:
         page = context.client.get(
-            _client.path_of(name.value), after=after, limit=str(PAGE)
+            _client.api_path(name.value), after=after, limit=str(PAGE_SIZE)
         )
-        rows += [read["row"] for read in page["rows"]]
+        rows += [answer["row"] for answer in page["rows"]]
         if not page["more"] or not page["rows"]:
             return rows
         after = rows[-1]["name"]
 
 
-def _add_list(group: click.Group, name: _TABLES) -> None:
+def _add_list_command(group: click.Group, name: _TABLES) -> None:
     @group.command("list", help=f"List all {name.value}.")
     @_context.pass_context
     def list_rows(context: _context.CommandContext) -> None:
         rows = read_all(context, name)
-        context.write(rows, rows=[_for_people(row) for row in rows])
+        context.write(rows, rows=[_for_display(row) for row in rows])
 
 
-def _add_show(group: click.Group, name: _TABLES) -> None:
+def _add_show_command(group: click.Group, name: _TABLES) -> None:
     @group.command("show", help="Show one row with its version.")
     @_name_argument
     @_context.pass_context
     def show_row(context: _context.CommandContext, row_name: str) -> None:
-        read = read_row(context, name, row_name)
+        answer = read_row(context, name, row_name)
         if context.is_table:
-            context.write({**read["row"], "etag": read["etag"]})
+            context.write({**answer["row"], "etag": answer["etag"]})
         else:
-            context.write(read)
+            context.write(answer)
 
 
-def _add_set(group: click.Group, name: _TABLES) -> None:
+def _add_set_command(group: click.Group, name: _TABLES) -> None:
     @group.command("set", help="Change columns of a row.")
     @_name_argument
     @_pairs_argument
@@ -88,22 +88,22 @@
         etag: str,
         edit_options: _context.EditOptions,
     ) -> None:
-        values = _values.parsed_pairs(name, pairs)
+        values = _values.parse_pairs(name, pairs)
         if not values:
             raise _exit_codes.CommandFailed(
-                "nothing to set; give column=value",
+                "nothing to set; add column=value",
                 _exit_codes.ExitCode.USAGE,
             )
-        read = read_row(context, name, row_name)
+        answer = read_row(context, name, row_name)
         result = context.client.put(
-            _client.path_of(name.value, row_name),
-            read["row"] | values,
-            edit=edit_options.edit(etag or read["etag"]),
+            _client.api_path(name.value, row_name),
+            answer["row"] | values,
+            edit=edit_options.edit(etag or answer["etag"]),
         )
         _context.report_edit(context, result, edit_options)
 
 
-def add_add(group: click.Group, name: _TABLES) -> None:
+def add_add_command(group: click.Group, name: _TABLES) -> None:
     """Add the command that adds a row."""
 
     @group.command("add", help="Add a row.")
@@ -118,14 +118,14 @@
         edit_options: _context.EditOptions,
     ) -> None:
         result = context.client.put(
-            _client.path_of(name.value, row_name),
-            _values.parsed_pairs(name, pairs),
+            _client.api_path(name.value, row_name),
+            _values.parse_pairs(name, pairs),
             edit=edit_options.edit(),
         )
         _context.report_edit(context, result, edit_options)
 
 
-def _add_remove(group: click.Group, name: _TABLES) -> None:
+def _add_remove_command(group: click.Group, name: _TABLES) -> None:
     @group.command("remove", help="Remove a row.")
     @_name_argument
     @click.option(
@@ -141,14 +141,14 @@
     ) -> None:
         etag = etag or read_row(context, name, row_name)["etag"]
         result = context.client.delete(
-            _client.path_of(name.value, row_name),
+            _client.api_path(name.value, row_name),
             edit=edit_options.edit(etag),
         )
         _context.report_edit(context, result, edit_options)
 
 
-def _for_people(row: dict[str, Any]) -> dict[str, Any]:
-    """Show the number of keys in place of their hashes."""
+def _for_display(row: dict[str, Any]) -> dict[str, Any]:
+    """Return a row with the number of its keys and without hashes."""
     shown = {k: v for k, v in row.items() if k != "token_hash"}
     if "keys" in shown:
         shown["keys"] = len(shown["keys"])
--- a/src/topazlug/cli/_secrets.py
+++ b/src/topazlug/cli/_secrets.py
@@ -1,6 +1,6 @@
 """Commands on keys of teams and tokens of operators.
 
-A secret is shown once, when it is made; the table keeps only its hash.
+A secret is shown once, when it is created; the table has only its hash.
 """
 
 import datetime
@@ -28,8 +28,10 @@
 @key.command("issue")
 @click.argument("team")
 @click.option("--label", default="", help="What the key is for.")
-@click.option("--expires", default="", help="RFC 3339 time.")
-@click.option("--days", type=click.IntRange(1, 3650), help="Days it lasts.")
+@click.option("--expires", default="", help="Expiry as an RFC 3339 time.")
+@click.option(
+    "--days", type=click.IntRange(1, 3650), help="Days until it expires."
+)
 @_context.edit_options
 @_context.pass_context
 def issue_key(
@@ -40,16 +42,16 @@
     days: int | None,
     edit_options: _context.EditOptions,
 ) -> None:
-    """Issue a further key; the team's others stay in force.
+    """Issue another key; the team's existing keys stay valid.
 
-    To rotate: issue, hand out, then revoke the old key.
+    To rotate a key, issue a new one, distribute it, then revoke the old one.
     """
     if days is not None:
         now = datetime.datetime.now(datetime.timezone.utc)
         end = now + datetime.timedelta(days=days)
         expires = end.isoformat(timespec="seconds")
     result = context.client.post(
-        _client.path_of("teams", team, "keys"),
+        _client.api_path("teams", team, "keys"),
         {"label": label, "expires": expires},
         edit=edit_options.edit(),
     )
@@ -77,9 +79,9 @@
     hash_prefix: str,
     edit_options: _context.EditOptions,
 ) -> None:
-    """Revoke the key whose hash begins so."""
+    """Revoke the key whose hash starts with HASH_PREFIX."""
     result = context.client.delete(
-        _client.path_of("teams", team, "keys", hash_prefix),
+        _client.api_path("teams", team, "keys", hash_prefix),
         edit=edit_options.edit(),
     )
     _context.report_edit(context, result, edit_options)
@@ -109,10 +111,10 @@
     name: str,
     edit_options: _context.EditOptions,
 ) -> None:
-    """Return an operator a new token; the old one stops."""
-    read = _rows.read_row(context, _OPERATORS, name)
-    role = read["row"]["role"]
-    _put_operator(context, name, role, edit_options, etag=read["etag"])
+    """Replace an operator's token; the old one becomes invalid."""
+    answer = _rows.read_row(context, _OPERATORS, name)
+    role = answer["row"]["role"]
+    _put_operator(context, name, role, edit_options, etag=answer["etag"])
 
 
 def _put_operator(
@@ -125,7 +127,7 @@
 ) -> None:
     token = _tokens.new_token()
     result = context.client.put(
-        _client.path_of(_OPERATORS.value, name),
+        _client.api_path(_OPERATORS.value, name),
         {"role": role, "token_hash": _tokens.hash_of(token)},
         edit=edit_options.edit(etag),
     )
@@ -144,11 +146,14 @@
     shown = {"revision": result["revision"], field: secret}
     if "hash" in result:
         shown["hash"] = result["hash"]
-    # Shown before any wait: lost with a failing wait, the secret would be
-    # in force and known to nobody.
+    # The secret is shown before any wait. If the wait failed first, the
+    # secret would be valid and nobody would have it.
     context.write(shown)
     if secret is None:
-        click.echo("issued before; the key is not kept, revoke it", err=True)
+        click.echo(
+            "already issued; the key can't be shown again, revoke it",
+            err=True,
+        )
     if edit_options.wait:
         _context.wait_in_force(
             context, revision=result["revision"], seconds=edit_options.wait
--- a/src/topazlug/cli/_table.py
+++ b/src/topazlug/cli/_table.py
@@ -11,41 +11,62 @@
 from topazlug.cli import _exit_codes
 from topazlug.cli import _output
 
-STANDARD = "-"
+STANDARD_STREAM = "-"
 _FORMATS = click.Choice([form.value for form in _documents.DocumentFormat])
 
 
 @click.command("export")
-@click.option("--file", "path", default=STANDARD, help="Default: standard.")
-@click.option("--format", "form", type=_FORMATS, help="Default: by name.")
-@click.option("--keys", is_flag=True, help="With hashes of keys, tokens.")
+@click.option(
+    "--file",
+    "path",
+    default=STANDARD_STREAM,
+    help="File to write; by default standard output.",
+)
+@click.option(
+    "--format",
+    "form",
+    type=_FORMATS,
+    help="File format; by default that of the file's suffix.",
+)
+@click.option(
+    "--keys", is_flag=True, help="Include hashes of keys and tokens."
+)
 @_context.pass_context
 def export_table(
     context: _context.CommandContext, path: str, form: str | None, keys: bool
 ) -> None:
     """Write the whole table as YAML or CSV."""
-    chosen = _documents.format_of(path, form)
-    exported = context.client.get("/v1/export", keys=str(keys).lower())
-    text = _documents.written(exported["document"], chosen)
-    if path == STANDARD:
+    chosen = _documents.choose_format(path, form)
+    answer = context.client.get("/v1/export", keys=str(keys).lower())
+    text = _documents.format_document(answer["document"], chosen)
+    if path == STANDARD_STREAM:
         click.echo(text, nl=False)
         return
     try:
         pathlib.Path(path).write_text(text, encoding="utf-8")
     except OSError as error:
-        raise _no_file(path, error) from error
+        raise _file_error(path, error) from error
 
 
 @click.command("import")
 @click.argument("path")
-@click.option("--format", "form", type=_FORMATS, help="Default: by name.")
-@click.option("--dry-run", is_flag=True, help="Show the difference only.")
+@click.option(
+    "--format",
+    "form",
+    type=_FORMATS,
+    help="File format; by default that of the file's suffix.",
+)
+@click.option(
+    "--dry-run", is_flag=True, help="Show the differences without importing."
+)
 @click.option(
     "--remove-absent",
     is_flag=True,
     help="Remove teams, services and pools that the file lacks.",
 )
-@click.option("--with-keys", is_flag=True, help="Take the file's keys too.")
+@click.option(
+    "--with-keys", is_flag=True, help="Import the keys of teams too."
+)
 @_context.edit_options
 @_context.pass_context
 def import_table(
@@ -57,9 +78,11 @@
     with_keys: bool,
     edit_options: _context.EditOptions,
 ) -> None:
-    """Make the table like a file of YAML or CSV."""
+    """Import the table from a YAML or CSV file."""
     text = _read_text(path)
-    document = _documents.read(text, _documents.format_of(path, form))
+    document = _documents.parse_document(
+        text, _documents.choose_format(path, form)
+    )
     result = context.client.post(
         "/v1/import",
         {
@@ -73,7 +96,7 @@
     _show_difference(context, result)
     if not result["acceptable"]:
         raise _exit_codes.CommandFailed(
-            "the table would not be accepted; see the findings",
+            "the import has errors; see the findings",
             _exit_codes.ExitCode.INVALID,
         )
     if edit_options.wait and not dry_run:
@@ -83,9 +106,13 @@
 
 
 @click.command()
-@click.option("--after", type=click.IntRange(0), help="Revision.")
-@click.option("--limit", default=50, help="Entries at most.")
-@click.option("--row", default="", help="Only this row, as teams/acme.")
+@click.option(
+    "--after", type=click.IntRange(0), help="Only later revisions than this."
+)
+@click.option("--limit", default=50, help="Maximum number of entries.")
+@click.option(
+    "--row", default="", help="Only changes of this row, such as teams/acme."
+)
 @_context.pass_context
 def history(
     context: _context.CommandContext, after: int | None, limit: int, row: str
@@ -111,7 +138,9 @@
 
 @click.command()
 @click.argument("revision", type=click.IntRange(1))
-@click.option("--force", is_flag=True, help="Lose later changes of the row.")
+@click.option(
+    "--force", is_flag=True, help="Overwrite later changes of the row."
+)
 @_context.edit_options
 @_context.pass_context
 def undo(
@@ -120,7 +149,7 @@
     force: bool,
     edit_options: _context.EditOptions,
 ) -> None:
-    """Take a revision back by a new one."""
+    """Revert a revision by a new one."""
     result = context.client.post(
         "/v1/undo",
         {"revision": revision, "force": force},
@@ -131,14 +160,14 @@
 
 def _read_text(path: str) -> str:
     try:
-        if path == STANDARD:
+        if path == STANDARD_STREAM:
             return sys.stdin.read()
         return pathlib.Path(path).read_text(encoding="utf-8-sig")
     except (OSError, UnicodeDecodeError) as error:
-        raise _no_file(path, error) from error
+        raise _file_error(path, error) from error
 
 
-def _no_file(path: str, error: Exception) -> _exit_codes.CommandFailed:
+def _file_error(path: str, error: Exception) -> _exit_codes.CommandFailed:
     return _exit_codes.CommandFailed(
         f"{path}: {error}", _exit_codes.ExitCode.USAGE
     )
--- a/src/topazlug/cli/_values.py
+++ b/src/topazlug/cli/_values.py
@@ -1,4 +1,4 @@
-"""Turns cells of text into typed columns, and back."""
+"""Converts columns of rows from text and to text."""
 
 from typing import Any
 from typing import Iterable
@@ -11,32 +11,32 @@
 
 EMPTY_LIST = "[]"
 SEPARATOR = ","
-UNTYPED = frozenset(("keys",))
+EXCLUDED_COLUMNS = frozenset(("keys",))
 
 
 def columns_of(name: _table_snapshot.TableName) -> dict[str, Any]:
-    """Return a table's columns with their types, without the keys."""
+    """Return a table's columns and their types, except a team's keys."""
     row_type = _table_snapshot.ROW_TYPE_BY_TABLE[name]
     info = inspect.type_info(row_type)
     assert isinstance(info, inspect.StructType)
     return {
-        field.name: _bare(field.type)
+        field.name: _strip_metadata(field.type)
         for field in info.fields
-        if field.name not in UNTYPED
+        if field.name not in EXCLUDED_COLUMNS
     }
 
 
-def _bare(kind: inspect.Type) -> inspect.Type:
-    """Leave out the descriptions that the schema gives a column."""
+def _strip_metadata(kind: inspect.Type) -> inspect.Type:
+    """Return a type without the metadata that the schema adds to it."""
     while isinstance(kind, inspect.Metadata):
         kind = kind.type
     return kind
 
 
-def parsed_pairs(
+def parse_pairs(
     name: _table_snapshot.TableName, pairs: Iterable[str]
 ) -> dict[str, Any]:
-    """Read ``column=value`` pairs.
+    """Parse ``column=value`` pairs.
 
     Raises
     ------
@@ -47,13 +47,13 @@
     for pair in pairs:
         column, equals, text = pair.partition("=")
         if not equals:
-            raise _usage(f"{pair!r} is no column=value")
-        values[column] = parsed(name, column, text)
+            raise _usage_error(f"{pair!r} is not of the form column=value")
+        values[column] = parse_cell(name, column, text)
     return values
 
 
-def parsed(name: _table_snapshot.TableName, column: str, text: str) -> Any:
-    """Read one column's value.
+def parse_cell(name: _table_snapshot.TableName, column: str, text: str) -> Any:
+    """Parse the value of a column.
 
     Raises
     ------
@@ -62,8 +62,8 @@
     """
     columns = columns_of(name)
     if column not in columns:
-        raise _usage(
-            f"{name.value} have no column {column!r}; there are:"
+        raise _usage_error(
+            f"{name.value} have no column {column!r}; the columns are:"
             f" {', '.join(columns)}"
         )
     kind = columns[column]
@@ -72,14 +72,14 @@
             return []
         return [item.strip() for item in text.split(SEPARATOR)]
     try:
-        return _scalar(kind, text.strip())
+        return _parse_scalar(kind, text.strip())
     except (ValueError, msgspec.ValidationError) as error:
         raise _exit_codes.CommandFailed(
             f"{column}={text}: {error}", _exit_codes.ExitCode.INVALID
         ) from error
 
 
-def _scalar(kind: inspect.Type, text: str) -> Any:
+def _parse_scalar(kind: inspect.Type, text: str) -> Any:
     if isinstance(kind, inspect.BoolType):
         return msgspec.convert(text, bool, strict=False)
     if isinstance(kind, inspect.IntType):
@@ -89,8 +89,8 @@
     return text
 
 
-def as_text(value: Any) -> str:
-    """Return a column's value as a cell that `parsed` reads back."""
+def format_cell(value: Any) -> str:
+    """Return a column's value as text that `parse_cell` can parse."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, list):
@@ -100,5 +100,5 @@
     return str(value)
 
 
-def _usage(message: str) -> _exit_codes.CommandFailed:
+def _usage_error(message: str) -> _exit_codes.CommandFailed:
     return _exit_codes.CommandFailed(message, _exit_codes.ExitCode.USAGE)
--- a/tests/topazlug/administration_fakes.py
+++ b/tests/topazlug/administration_fakes.py
@@ -24,22 +24,22 @@
         self.other_revision = 10**6
 
     def status(self) -> _administration_status.FleetStatus:
-        status = _administration_status
+        status_types = _administration_status
         revision = self._node.holder.revision
-        return status.FleetStatus(
+        return status_types.FleetStatus(
             daemon=self._node.id,
             revision=revision,
             daemons=[
-                status.DaemonStatus(id=self._node.id, revision=revision),
-                status.DaemonStatus(
+                status_types.DaemonStatus(id=self._node.id, revision=revision),
+                status_types.DaemonStatus(
                     id="other", revision=min(revision, self.other_revision)
                 ),
-                status.DaemonStatus(id="gone", state="dead", revision=0),
+                status_types.DaemonStatus(id="gone", state="dead", revision=0),
             ],
             replicas=[
-                status.ReplicaStatus(id="r1", group="p", load=3, bound=4)
+                status_types.ReplicaStatus(id="r1", group="p", load=3, bound=4)
             ],
-            teams=[status.TeamStatus(name="acme", running=2)],
+            teams=[status_types.TeamStatus(name="acme", running=2)],
         )
 
     def explain(
@@ -47,9 +47,11 @@
     ) -> _administration_status.Explanation:
         if pool != "p":
             raise _errors.UnknownModel(f"no pool {pool!r}")
-        status = _administration_status
-        first = status.Candidate(rank=0, replica="r1", verdict="over_bound")
-        return status.Explanation(
+        status_types = _administration_status
+        first = status_types.Candidate(
+            rank=0, replica="r1", verdict="over_bound"
+        )
+        return status_types.Explanation(
             group=pool, chat=chat, chosen="r2", candidates=[first]
         )
 
--- a/tests/topazlug/cli/conftest.py
+++ b/tests/topazlug/cli/conftest.py
@@ -13,24 +13,24 @@
 from topazlug.store import _table_client
 
 
-class Commands:
-    """Runs ``topazlug`` against one daemon's administration."""
+class CommandRunner:
+    """Runs ``topazlug`` against the administration of one daemon."""
 
     def __init__(self, url, token):
         self._url = url
         self.token = token
 
     def __call__(self, *arguments, output="json", input=None):
-        before = ["--url", self._url, "--token", self.token]
+        global_options = ["--url", self._url, "--token", self.token]
         return testing.CliRunner().invoke(
             cli.main,
-            [*before, "--output", output, *arguments],
+            [*global_options, "--output", output, *arguments],
             input=input,
         )
 
     @property
     def environment(self):
-        """Return the variables by which another program finds the daemon."""
+        """Return the environment for a ``topazlug`` in its own process."""
         return {"TOPAZLUG_URL": self._url, "TOPAZLUG_TOKEN": self.token}
 
     def json(self, *arguments):
@@ -77,5 +77,5 @@
     server = pywsgi.WSGIServer(("127.0.0.1", 0), app, log=None)
     server.start()
     url = f"http://127.0.0.1:{server.server_port}"
-    yield Commands(url, administration_fakes.BOOTSTRAP)
+    yield CommandRunner(url, administration_fakes.BOOTSTRAP)
     server.stop()
--- a/tests/topazlug/cli/test_main.py
+++ b/tests/topazlug/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The whole command line against a daemon's administration over HTTP."""
+"""Tests of the command line against a daemon's administration over HTTP."""
 
 import json
 import os
@@ -28,7 +28,7 @@
         assert topazlug.json("team", "remove", "acme")["revision"] == 4
         assert topazlug.json("team", "list") == []
 
-    def test_table_for_people(self, topazlug):
+    def test_table(self, topazlug):
         topazlug.json("team", "add", "acme")
         lines = topazlug("team", "list", output="table").stdout.splitlines()
         assert lines[0].split()[:2] == ["NAME", "WEIGHT"]
@@ -46,10 +46,10 @@
 
 class TestConflicts:
     def test_two_operators_on_one_cell(self, topazlug):
-        """One of two operators' changes is gone and neither knows.
+        """The change of one of two operators must not be lost unnoticed.
 
-        Sequence: both read the team, both set its weight. Cause: the second
-        write replaces the first unseen.
+        Both read the team and both set its weight. The second write must not
+        replace the first.
         """
         topazlug.json("team", "add", "acme", "weight=1")
         etag = topazlug.json("team", "show", "acme")["etag"]
@@ -61,8 +61,8 @@
         assert topazlug.json("team", "show", "acme")["row"]["weight"] == 2
 
     @pytest.mark.processes
-    def test_two_programs_at_once(self, topazlug):
-        """As above, by two programs that run at the same time."""
+    def test_two_concurrent_programs(self, topazlug):
+        """As above, by two concurrent processes."""
         topazlug.json("team", "add", "acme", "weight=1")
         etag = topazlug.json("team", "show", "acme")["etag"]
         programs = [
@@ -77,11 +77,11 @@
         codes = [program.wait(30) for program in programs]
         assert sorted(codes) == [EXIT.OK, EXIT.CONFLICT]
         weights = (2.0, 3.0)
-        won, lost = (weights[codes.index(c)] for c in (0, 3))
-        said = programs[codes.index(EXIT.CONFLICT)].stderr.read().decode()
-        assert f"weight: yours {lost}, in force {won}" in said
+        winner, loser = (weights[codes.index(c)] for c in (0, 3))
+        output = programs[codes.index(EXIT.CONFLICT)].stderr.read().decode()
+        assert f"weight: yours {loser}, in force {winner}" in output
 
-    def test_add_of_a_row_that_is_there(self, topazlug):
+    def test_add_of_an_existing_row(self, topazlug):
         topazlug.json("team", "add", "acme")
         assert topazlug("team", "add", "acme").exit_code == EXIT.CONFLICT
 
@@ -101,7 +101,7 @@
             (["nonsense"], EXIT.USAGE),
         ],
     )
-    def test_users_errors(self, topazlug, arguments, code):
+    def test_user_errors(self, topazlug, arguments, code):
         result = topazlug(*arguments)
         assert result.exit_code == code
         assert isinstance(result.exception, SystemExit)
@@ -130,10 +130,10 @@
 
 class TestLostAnswers:
     def test_lost_answer_of_the_store(self, topazlug, platform):
-        """An accepted edit is reported as failed.
+        """An accepted edit must not be reported as failed.
 
-        Sequence: the store commits and its answer is lost. Cause: nobody
-        asks whether the edit took effect.
+        The store commits and its answer is lost. The daemon must then check
+        whether the edit was made.
         """
         platform.faults.lose_answers = 1
         result = topazlug.json("team", "add", "acme")
@@ -181,7 +181,7 @@
         topazlug("import", str(path))
         assert topazlug.json("team", "show", "acme")["row"]["weight"] == 3.5
 
-    def test_dry_run_for_people(self, topazlug):
+    def test_dry_run_as_table(self, topazlug):
         topazlug.json("team", "add", "acme")
         text = "teams: [{name: acme, weight: 4, pools: [none]}]"
         result = topazlug(
@@ -195,7 +195,7 @@
     @pytest.mark.parametrize(
         "text", ["teams: [", "[]", "teams: [{name: a, size: 1}]"]
     )
-    def test_wrong_files(self, topazlug, text):
+    def test_invalid_files(self, topazlug, text):
         result = topazlug("import", "-", input=text)
         assert result.exit_code == EXIT.INVALID
 
@@ -208,7 +208,7 @@
             ("table,name,size\nteams,a,1\n", EXIT.USAGE),
         ],
     )
-    def test_wrong_csv(self, topazlug, text, code):
+    def test_invalid_csv(self, topazlug, text, code):
         result = topazlug("import", "-", "--format", "csv", input=text)
         assert result.exit_code == code
 
@@ -274,7 +274,7 @@
         assert topazlug.json("release", "f1")["fingerprint"] == "f1"
         assert topazlug.json("blocked")["blocked"] == []
 
-    def test_release_of_what_is_not_blocked(self, topazlug):
+    def test_release_of_a_request_that_is_not_blocked(self, topazlug):
         result = topazlug("release", "f2")
         assert result.exit_code == EXIT.NOT_FOUND
         assert "'f2'" in result.stderr
--- a/tests/topazlug/cli/test_request_logs.py
+++ b/tests/topazlug/cli/test_request_logs.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, out of logs alone."""
+"""Tests of the commands that analyse log files."""
 
 import json
 
@@ -50,7 +50,7 @@
 
 
 @pytest.fixture
-def run():
+def run_command():
     def invoke(*arguments):
         text = "\n".join(["no record", *map(json.dumps, LINES)])
         return testing.CliRunner().invoke(
@@ -61,21 +61,21 @@
 
 
 class TestExplainRequest:
-    def test_lines_beliefs_and_stale_inputs(self, run):
-        shown = run("explain-request", "a1").output
+    def test_lines_state_changes_and_stale_inputs(self, run_command):
+        shown = run_command("explain-request", "a1").output
         assert "r1 is held out" in shown
         assert "stale: load report 3.5 s old" in shown
         assert "failed with target_failed" in shown
         assert "of another daemon" not in shown
         assert "is tried" not in shown
 
-    def test_unknown_request(self, run):
-        result = run("explain-request", "a2")
+    def test_unknown_request(self, run_command):
+        result = run_command("explain-request", "a2")
         assert result.exit_code == 1
-        assert "no line names request a2" in result.output
+        assert "no log line has request a2" in result.output
 
-    def test_json(self, run):
-        shown = run("--output", "json", "explain-request", "a1").stdout
+    def test_json(self, run_command):
+        shown = run_command("--output", "json", "explain-request", "a1").stdout
         assert [one["message"][:6] for one in json.loads(shown)] == [
             "r1 is ",
             "placed",
@@ -84,8 +84,8 @@
 
 
 class TestWhyFailed:
-    def test_causes_are_counted(self, run):
-        shown = run("--output", "json", "why-failed").stdout
+    def test_causes_are_counted(self, run_command):
+        shown = run_command("--output", "json", "why-failed").stdout
         (row,) = json.loads(shown)
         assert row == {
             "count": 1,
@@ -94,11 +94,11 @@
             "newest": "a1",
         }
 
-    def test_paths_don_t_part_one_cause(self):
-        """Symptom: the commonest cause stands below a hundred single ones.
+    def test_paths_are_not_counted_as_separate_causes(self):
+        """The most common cause must not be listed below many single ones.
 
-        Sequence: many requests fail for paths that no route begins. Cause:
-        each path was counted as a cause of its own.
+        Many requests fail because no route matches their path. If each path
+        were a separate cause, the common one would not stand out.
         """
         lines = [
             {
@@ -115,5 +115,5 @@
         (row,) = json.loads(shown.stdout)
         assert (row["count"], row["why"]) == (2, "no route for '…'")
 
-    def test_other_team(self, run):
-        assert "(none)" in run("why-failed", "--team", "x").output
+    def test_other_team(self, run_command):
+        assert "(none)" in run_command("why-failed", "--team", "x").output
