--- a/src/topazlug/administration/_administration.py
+++ b/src/topazlug/administration/_administration.py
@@ -41,7 +41,7 @@
     Parameters
     ----------
     holder : ConfigurationHolder
-        The table, which has the operators.
+        The table in force, with the rows of operators.
     bootstrap_token_hash : str
         SHA-256 of a token that has the role admin while the table has no
         operator; empty for none.
@@ -137,7 +137,7 @@
         status_resource = _administration_status.StatusResource(
             source=status, holder=holder
         )
-        # The first matching route is used, so that fixed paths must precede
+        # The first matching route is used, so fixed paths must precede
         # /v1/{table}.
         self._routes = [
             *self._public_routes(),
--- a/src/topazlug/administration/_administration_http.py
+++ b/src/topazlug/administration/_administration_http.py
@@ -123,7 +123,7 @@
         return value
 
     def reason(self) -> str:
-        """Return the operator's reason for the edit, cut to its maximum."""
+        """Return the reason of the edit, cut to `MAX_REASON_LENGTH`."""
         value = parse.unquote(self.header("X-Reason"))
         return value[:MAX_REASON_LENGTH]
 
@@ -187,10 +187,10 @@
 
     def matches(self, segments: Sequence[str]) -> bool:
         """Return whether the route matches the segments of a path."""
-        own = self.path.strip("/").split("/")
-        return len(own) == len(segments) and all(
-            mine == other or (mine.startswith("{") and other != "")
-            for mine, other in zip(own, segments)
+        pattern = self.path.strip("/").split("/")
+        return len(pattern) == len(segments) and all(
+            expected == actual or (expected.startswith("{") and actual != "")
+            for expected, actual in zip(pattern, segments)
         )
 
 
--- a/src/topazlug/cli/_documents.py
+++ b/src/topazlug/cli/_documents.py
@@ -28,7 +28,7 @@
 
 
 def choose_format(path: str, given: str | None) -> DocumentFormat:
-    """Return the format given, or else the one of the file's suffix."""
+    """Return the given format, or else CSV for ``.csv`` files or YAML."""
     if given is not None:
         return DocumentFormat(given)
     is_csv = pathlib.PurePath(path).suffix.lower() == ".csv"
--- a/src/topazlug/cli/_rows.py
+++ b/src/topazlug/cli/_rows.py
@@ -77,7 +77,7 @@
     @_name_argument
     @_pairs_argument
     @click.option(
-        "--etag", default="", help="Refuse unless the row is still at this."
+        "--etag", default="", help="Fail unless the row still has this ETag."
     )
     @_context.edit_options
     @_context.pass_context
@@ -129,7 +129,7 @@
     @group.command("remove", help="Remove a row.")
     @_name_argument
     @click.option(
-        "--etag", default="", help="Refuse unless the row is still at this."
+        "--etag", default="", help="Fail unless the row still has this ETag."
     )
     @_context.edit_options
     @_context.pass_context
--- a/src/topazlug/cli/_secrets.py
+++ b/src/topazlug/cli/_secrets.py
@@ -27,7 +27,7 @@
 
 @key.command("issue")
 @click.argument("team")
-@click.option("--label", default="", help="What the key is for.")
+@click.option("--label", default="", help="Purpose of the key.")
 @click.option("--expires", default="", help="Expiry as an RFC 3339 time.")
 @click.option(
     "--days", type=click.IntRange(1, 3650), help="Days until it expires."
--- a/src/topazlug/cli/_table.py
+++ b/src/topazlug/cli/_table.py
@@ -26,7 +26,7 @@
     "--format",
     "form",
     type=_FORMATS,
-    help="File format; by default that of the file's suffix.",
+    help="File format; by default CSV for .csv files, else YAML.",
 )
 @click.option(
     "--keys", is_flag=True, help="Include hashes of keys and tokens."
@@ -54,7 +54,7 @@
     "--format",
     "form",
     type=_FORMATS,
-    help="File format; by default that of the file's suffix.",
+    help="File format; by default CSV for .csv files, else YAML.",
 )
 @click.option(
     "--dry-run", is_flag=True, help="Show the differences without importing."
--- a/src/topazlug/configuration/_configuration.py
+++ b/src/topazlug/configuration/_configuration.py
@@ -73,7 +73,7 @@
         self._callbacks.append(callback)
 
     @property
-    def is_blocked(self) -> bool:
+    def is_newer_revision_rejected(self) -> bool:
         """Return whether a newer revision was rejected as undecodable."""
         return self.rejected_revision > self.revision
 
@@ -158,9 +158,9 @@
             try:
                 callback()
             except Exception:
-                # Without this, one failing callback would keep the later
-                # ones on the old revision, and they would go on applying
-                # limits that are no longer in force.
+                # Otherwise, one failing callback would prevent the later
+                # ones from running, and their components would go on
+                # applying limits that are no longer in force.
                 _LOG.exception("table change callback failed: {}", callback)
 
     def _reject(self, revision: int, error: _errors.TopazlugError) -> None:
--- a/src/topazlug/configuration/_configuration_follower.py
+++ b/src/topazlug/configuration/_configuration_follower.py
@@ -133,8 +133,8 @@
         self._greenlet: gevent.Greenlet | None = None
         self.stale_count = 0
         self.failure_count = 0
-        links.handle(messages.ConfigPush, self._on_push)
-        links.handle(messages.ConfigPull, self._on_pull)
+        links.handle(messages.ConfigPush, self._handle_push)
+        links.handle(messages.ConfigPull, self._handle_pull)
 
     def start(self) -> None:
         """Start polling."""
@@ -156,7 +156,7 @@
             return
         # A revision that can't be decoded would be pulled again with each
         # heartbeat. A later poll reads the newest table from the store.
-        if self._holder.is_blocked:
+        if self._holder.is_newer_revision_rejected:
             return
         gevent.spawn(self._pull, peer)
 
@@ -348,14 +348,14 @@
             self._apply(answer.changes, source=peer)
         return before < self._holder.revision < answer.revision
 
-    def _on_push(
+    def _handle_push(
         self, sender: _ids.DaemonId, push: messages.ConfigPush, reply: Reply
     ) -> None:
         result = self._apply(push.changes, source=sender)
         if result is _configuration.ApplyResult.GAP:
             gevent.spawn(self._pull, sender)
 
-    def _on_pull(
+    def _handle_pull(
         self, sender: _ids.DaemonId, pull: messages.ConfigPull, reply: Reply
     ) -> None:
         reply(self._build_answer(pull.after))
--- a/src/topazlug/configuration/_table_checks.py
+++ b/src/topazlug/configuration/_table_checks.py
@@ -164,7 +164,7 @@
     if not hashes:
         yield finding(
             kind=FindingKind.TEAM_WITHOUT_KEY,
-            message="no key, so nobody can use this team; issue one",
+            message="the team has no key and can't be used; issue one",
             severity=Severity.WARNING,
         )
     for key in row.keys:
--- a/src/topazlug/configuration/_table_draft.py
+++ b/src/topazlug/configuration/_table_draft.py
@@ -57,7 +57,7 @@
         RowInvalid
             The row can't be decoded; the draft is unchanged.
         """
-        name = _table_of(change)
+        name = _parse_table_name(change)
         if not isinstance(change.value, dict):
             self._remove(name, change.key)
             return
@@ -91,7 +91,7 @@
     return pool_by_model
 
 
-def _table_of(change: messages.RowChange) -> _table_snapshot.TableName:
+def _parse_table_name(change: messages.RowChange) -> _table_snapshot.TableName:
     try:
         return _table_snapshot.TableName(change.table)
     except ValueError as error:
--- a/src/topazlug/configuration/_table_edits.py
+++ b/src/topazlug/configuration/_table_edits.py
@@ -134,8 +134,8 @@
         StoreUnavailable
             The store does not answer; nothing was changed.
         StoreAmbiguous
-            It is unknown whether the edit was accepted. It is safe to repeat
-            it with the same id, which gives the result.
+            It is unknown whether the edit was accepted. Repeating it with
+            the same id is safe and returns the result.
         """
         normalized = [_edit_plan.normalize(edit) for edit in edits]
         if not 0 < len(normalized) <= MAX_ROWS:
@@ -143,9 +143,9 @@
                 f"{len(normalized)} rows in one edit; send 1 to {MAX_ROWS}"
             )
         fingerprint = fingerprint or _edit_plan.fingerprint_of(normalized)
-        find_result = self.find_result(stamp, fingerprint)
-        if find_result is not None:
-            return find_result
+        earlier_result = self.find_result(stamp, fingerprint)
+        if earlier_result is not None:
+            return earlier_result
         return self._edit_with_retries(
             normalized, stamp=stamp, fingerprint=fingerprint
         )
@@ -174,7 +174,7 @@
     ) -> EditResult:
         ambiguous: _errors.StoreAmbiguous | None = None
         try:
-            for number in range(MAX_ATTEMPTS):
+            for attempt in range(MAX_ATTEMPTS):
                 try:
                     result = self._edit_once(edits, stamp, fingerprint)
                 except _errors.StoreAmbiguous as error:
@@ -182,7 +182,7 @@
                     result = self.find_result(stamp, fingerprint)
                 if result is not None:
                     return result
-                self._back_off(number)
+                self._back_off(attempt)
         except _OUTAGE_ERRORS as error:
             # After a lost answer, reporting the store as unavailable would
             # imply that nothing was changed, although the write may have
@@ -197,8 +197,8 @@
             f" {MAX_ATTEMPTS} attempts; try again"
         )
 
-    def _back_off(self, number: int) -> None:
-        max_wait = min(INITIAL_BACKOFF * 2**number, MAX_BACKOFF)
+    def _back_off(self, attempt: int) -> None:
+        max_wait = min(INITIAL_BACKOFF * 2**attempt, MAX_BACKOFF)
         self._clock.sleep(max_wait * random.uniform(0.5, 1.0))
 
     def _edit_once(
@@ -240,7 +240,7 @@
         meta = _table_storage.read_meta(self._store)
         if meta.revision > self._holder.revision:
             self._publisher.catch_up()
-        if self._holder.is_blocked:
+        if self._holder.is_newer_revision_rejected:
             raise _errors.StoreUnavailable(
                 f"revision {self._holder.rejected_revision} can't be decoded"
                 " by this daemon; edit through a newer one"
--- a/tests/topazlug/administration/test_administration.py
+++ b/tests/topazlug/administration/test_administration.py
@@ -104,10 +104,10 @@
     def test_put_get_delete(self, call):
         put = call("PUT", "/v1/teams/acme", {"weight": 2})
         assert (put.status, put.body["revision"]) == (201, 1)
-        got = call("GET", "/v1/teams/acme")
-        assert got.body["row"]["weight"] == 2
-        tag = got.header_by_name["ETag"]
-        assert call("DELETE", "/v1/teams/acme", if_match=tag).status == 200
+        answer = call("GET", "/v1/teams/acme")
+        assert answer.body["row"]["weight"] == 2
+        etag = answer.header_by_name["ETag"]
+        assert call("DELETE", "/v1/teams/acme", if_match=etag).status == 200
         assert call("GET", "/v1/teams/acme").code == "row_not_found"
 
     def test_change_without_etag_is_rejected(self, call):
@@ -117,9 +117,9 @@
 
     def test_conflict_shows_both_values(self, call):
         call("PUT", "/v1/teams/acme", {"weight": 1})
-        tag = call("GET", "/v1/teams/acme").header_by_name["ETag"]
-        call("PUT", "/v1/teams/acme", {"weight": 2}, if_match=tag)
-        answer = call("PUT", "/v1/teams/acme", {"weight": 3}, if_match=tag)
+        etag = call("GET", "/v1/teams/acme").header_by_name["ETag"]
+        call("PUT", "/v1/teams/acme", {"weight": 2}, if_match=etag)
+        answer = call("PUT", "/v1/teams/acme", {"weight": 3}, if_match=etag)
         assert (answer.status, answer.code) == (409, "row_conflict")
         assert answer.body["error"]["mine"]["weight"] == 3
         assert answer.body["error"]["current"]["weight"] == 2
@@ -201,8 +201,8 @@
 
     def test_edit_without_keys_keeps_the_keys(self, call, node):
         self.issue(call)
-        tag = call("GET", "/v1/teams/acme").header_by_name["ETag"]
-        call("PUT", "/v1/teams/acme", {"weight": 2}, if_match=tag)
+        etag = call("GET", "/v1/teams/acme").header_by_name["ETag"]
+        call("PUT", "/v1/teams/acme", {"weight": 2}, if_match=etag)
         assert len(node.holder.current.teams_by_name["acme"].keys) == 1
 
     def test_unknown_key(self, call):
@@ -231,16 +231,16 @@
 
     def test_undo_is_a_new_revision(self, call, node):
         call("PUT", "/v1/teams/acme", {"weight": 1})
-        tag = call("GET", "/v1/teams/acme").header_by_name["ETag"]
-        call("PUT", "/v1/teams/acme", {"weight": 2}, if_match=tag)
+        etag = call("GET", "/v1/teams/acme").header_by_name["ETag"]
+        call("PUT", "/v1/teams/acme", {"weight": 2}, if_match=etag)
         answer = call("POST", "/v1/undo", {"revision": 2})
         assert answer.body["revision"] == 3
         assert node.weight("acme") == 1
 
     def test_undo_before_later_changes_is_a_conflict(self, call):
         call("PUT", "/v1/teams/acme", {"weight": 1})
-        tag = call("GET", "/v1/teams/acme").header_by_name["ETag"]
-        call("PUT", "/v1/teams/acme", {"weight": 2}, if_match=tag)
+        etag = call("GET", "/v1/teams/acme").header_by_name["ETag"]
+        call("PUT", "/v1/teams/acme", {"weight": 2}, if_match=etag)
         assert call("POST", "/v1/undo", {"revision": 1}).code == "row_conflict"
 
     def test_undo_of_an_unknown_revision(self, call):
--- a/tests/topazlug/cli/test_request_logs.py
+++ b/tests/topazlug/cli/test_request_logs.py
@@ -95,10 +95,10 @@
         }
 
     def test_paths_are_not_counted_as_separate_causes(self):
-        """The most common cause must not be listed below many single ones.
+        """The most common cause must not be listed below many rare ones.
 
         Many requests fail because no route matches their path. If each path
-        were a separate cause, the common one would not stand out.
+        were a separate cause, none of them would have a high count.
         """
         lines = [
             {
--- a/tests/topazlug/configuration/test_configuration.py
+++ b/tests/topazlug/configuration/test_configuration.py
@@ -77,7 +77,7 @@
         assert holder.apply([unreadable]) is RESULT.UNREADABLE
         assert (holder.revision, weight(holder)) == (3, 3)
         assert holder.rejected_count == 1
-        assert holder.is_blocked
+        assert holder.is_newer_revision_rejected
 
     def test_unknown_table_is_unreadable(self, holder):
         unknown = table_fakes.change(4, table="gateways")
--- a/tests/topazlug/configuration/test_configuration_follower.py
+++ b/tests/topazlug/configuration/test_configuration_follower.py
@@ -204,7 +204,7 @@
         table_fakes.write_unreadable_revision(store, 1)
         node.follower.catch_up()
         assert node.holder.revision == 0
-        assert node.holder.is_blocked
+        assert node.holder.is_newer_revision_rejected
         fixed = {"name": "acme", "weight": 3.0}
         put = _table_client.Put
         store.transact(
