--- a/src/topazlug/cli/_request_logs.py
+++ b/src/topazlug/cli/_request_logs.py
@@ -94,7 +94,7 @@
     files: tuple[TextIO, ...],
     around: float,
 ) -> None:
-    """Show the log lines of a request and the state changes before it.
+    """Show the log lines of a request and related state changes.
 
     FILES are logs of daemons; without any, standard input is read.
     """
--- a/src/topazlug/configuration/_table_difference.py
+++ b/src/topazlug/configuration/_table_difference.py
@@ -105,7 +105,7 @@
     if remove_absent:
         for name in reversed(PUT_ORDER):
             edits += list(_removals(name, document, snapshot))
-    changes = _as_changes(edits, snapshot)
+    changes = _edits_to_changes(edits, snapshot)
     return Comparison(
         differences=[_difference(edit, snapshot) for edit in edits],
         findings=_edit_plan.findings_of(changes, before=snapshot),
@@ -170,7 +170,7 @@
     )
 
 
-def _as_changes(
+def _edits_to_changes(
     edits: Sequence[_edit_plan.RowEdit],
     snapshot: _table_snapshot.TableSnapshot,
 ) -> list[messages.RowChange]:
--- a/tests/topazlug/administration/test_administration.py
+++ b/tests/topazlug/administration/test_administration.py
@@ -79,7 +79,7 @@
     @pytest.mark.parametrize(
         "role, status", [("read", 403), ("edit", 201), ("admin", 201)]
     )
-    def test_role_that_edits(self, call, role, status):
+    def test_roles_that_may_edit(self, call, role, status):
         admin = add_operator(call, "admin", "chief")
         call.token = admin
         call.token = add_operator(call, role)
@@ -163,7 +163,7 @@
             ("GET", "/v1/teams?limit=-1", "invalid_header"),
         ],
     )
-    def test_paths(self, call, method, path, code):
+    def test_errors_of_paths_and_methods(self, call, method, path, code):
         assert call(method, path).code == code
 
     def test_internal_error_exposes_no_details(self, call, node):
@@ -187,7 +187,7 @@
         assert key.hash == _tokens.hash_of(issued["key"]) == issued["hash"]
         assert issued["key"] not in call("GET", "/v1/teams/acme").text
 
-    def test_rotation_overlaps(self, call, node):
+    def test_revocation_keeps_the_other_keys(self, call, node):
         hashes = [self.issue(call).body["hash"] for _ in range(2)]
         call("DELETE", f"/v1/teams/acme/keys/{hashes[0][:12]}")
         keys = node.holder.current.teams_by_name["acme"].keys
--- a/tests/topazlug/configuration/test_table_edits.py
+++ b/tests/topazlug/configuration/test_table_edits.py
@@ -267,7 +267,7 @@
 
 
 class TestUnreadable:
-    def test_no_edit_beyond_an_unreadable_revision(self, node, store):
+    def test_no_edit_after_an_unreadable_revision(self, node, store):
         """An old daemon must not overwrite what a newer one wrote.
 
         A newer daemon writes an unknown column, and an operator edits through
