--- a/bench/capacity/capacity_routing.py
+++ b/bench/capacity/capacity_routing.py
@@ -212,7 +212,7 @@
 
     def ask_and_release() -> None:
         for ask in asks:
-            owner.ask(sender, ask, _ignore)
+            owner.handle_admission_request(sender, ask, _ignore)
             owner.release(sender, [ask.ask])
 
     asked = sizes.processor_micros(ask_and_release, count=_ASKS)
--- a/bench/experiments/overload.py
+++ b/bench/experiments/overload.py
@@ -188,7 +188,7 @@
     def __init__(self, slots: int = 64, *, with_returns: bool = True) -> None:
         self.room = _rank_limits.RankLimits(slots=slots)
         self._reservations = _reservations.Reservations(
-            chance=random.Random(slots).random
+            random_fraction=random.Random(slots).random
         )
         self._with_returns = with_returns
         self._interval = 0.02
@@ -197,7 +197,7 @@
     def decide(self, request: Request, load: int, now: float) -> float | None:
         """Ask the room; keep a place for who can still be on time."""
         rank = request.kind.rank
-        self.room.note_demand(rank, now=now)
+        self.room.record_request(rank, now=now)
         is_due = self._reservations.is_due(request.number, now=now)
         if self.room.has_capacity(
             rank,
@@ -209,23 +209,23 @@
             return None
         left = request.gives_up - now
         retry_after = self._reservations.retry_after(
-            rank, interval=self._interval, longest=left * 0.3, now=now
+            rank, interval=self._interval, max_delay=left * 0.3, now=now
         )
         in_time = request.arrived + request.kind.in_time
         if self._with_returns and now + retry_after <= in_time:
-            self._reservations.note(
+            self._reservations.add(
                 request.number, rank, seconds=retry_after, now=now
             )
         return retry_after
 
     def note_held(self, request: Request, now: float) -> None:
         """Count it."""
-        self.room.note_held(request.kind.rank)
+        self.room.add_held(request.kind.rank)
         self._reservations.remove(request.number)
 
     def note_released(self, request: Request, now: float) -> None:
         """Count it no more; learn how fast places are given back."""
-        self.room.note_released(request.kind.rank)
+        self.room.remove_held(request.kind.rank)
         self._interval += 0.1 * (now - self._released_at - self._interval)
         self._released_at = now
 
@@ -233,7 +233,7 @@
         self, running: int, waiting: int, *, slow: bool, now: float
     ) -> None:
         """Learn what the replica can do."""
-        self.room.take_report(running, waiting, slow=slow, now=now)
+        self.room.handle_report(running, waiting, slow=slow, now=now)
 
 
 class Result(NamedTuple):
--- a/src/topazlug/_daemon.py
+++ b/src/topazlug/_daemon.py
@@ -231,7 +231,7 @@
     def _watch_metrics(self) -> None:
         watch = self.metrics.watch
         owner = self.routing.owner
-        watch(_metrics.Gauge.QUEUED, owner.waiting)
+        watch(_metrics.Gauge.QUEUED, owner.queued_count)
         by_group = self.metrics.watch_by_group
         by_group(_metrics.Gauge.MEAN_LOAD, owner.group_limits.mean_by_group)
         by_group(_metrics.Gauge.SKEW, owner.group_limits.skew_by_group)
--- a/src/topazlug/capacity/_cold_rate.py
+++ b/src/topazlug/capacity/_cold_rate.py
@@ -42,7 +42,7 @@
         self._refilled_at = now
         return self._tokens >= 1.0
 
-    def note_admitted(self) -> None:
+    def record_admitted(self) -> None:
         """Count an admitted request."""
         self._tokens -= 1.0
 
--- a/src/topazlug/capacity/_context_reads.py
+++ b/src/topazlug/capacity/_context_reads.py
@@ -89,13 +89,13 @@
         self._active_read_by_chat[chat] = _ActiveRead(key, now)
         self._chat_by_key[key] = chat
 
-    def note_use(self, chat: _ids.ChatHash, *, now: float) -> None:
+    def record_use(self, chat: _ids.ChatHash, *, now: float) -> None:
         """Record another use of a context that the replica holds."""
         if chat in self._known_at_by_chat:
             self._known_at_by_chat[chat] = now
             self._known_at_by_chat.move_to_end(chat)
 
-    def note_read(self, chat: _ids.ChatHash, *, now: float) -> None:
+    def record_read(self, chat: _ids.ChatHash, *, now: float) -> None:
         """Record that a context has been read."""
         active = self._active_read_by_chat.pop(chat, None)
         if active is not None:
@@ -105,7 +105,7 @@
         if len(self._known_at_by_chat) > _MAX_CHATS:
             self._known_at_by_chat.popitem(last=False)
 
-    def note_ended(self, key: _slot_key.SlotKey) -> None:
+    def record_end(self, key: _slot_key.SlotKey) -> None:
         """Record the end of a request, and discard its unfinished read."""
         chat = self._chat_by_key.pop(key, None)
         if chat is not None:
--- a/src/topazlug/capacity/_rank_limits.py
+++ b/src/topazlug/capacity/_rank_limits.py
@@ -71,19 +71,19 @@
         """Return the number of requests that may wait on the replica."""
         return max(_MIN_QUEUE, int(self._slots * _QUEUE_FRACTION))
 
-    def note_held(self, rank: int) -> None:
+    def add_held(self, rank: int) -> None:
         """Count a request that holds a slot."""
         self._held_by_rank[rank] += 1
 
-    def note_released(self, rank: int) -> None:
+    def remove_held(self, rank: int) -> None:
         """Remove a request from the count."""
         self._held_by_rank[rank] -= 1
 
-    def note_demand(self, rank: int, *, now: float) -> None:
+    def record_request(self, rank: int, *, now: float) -> None:
         """Record that a rank has sent a request."""
         self._requested_at_by_rank[rank] = now
 
-    def take_report(
+    def handle_report(
         self, running: int, waiting: int, *, slow: bool, now: float
     ) -> None:
         """Adapt the limit to a report of the replica.
--- a/src/topazlug/capacity/_reservations.py
+++ b/src/topazlug/capacity/_reservations.py
@@ -39,17 +39,19 @@
 
     Parameters
     ----------
-    chance : callable
+    random_fraction : callable
         Returns random numbers from 0 to 1, for jitter.
     """
 
-    def __init__(self, *, chance: Callable[[], float] = random.random) -> None:
-        self._chance = chance
+    def __init__(
+        self, *, random_fraction: Callable[[], float] = random.random
+    ) -> None:
+        self._random_fraction = random_fraction
         self._reservation_by_prompt: collections.OrderedDict[int, _Reservation]
         self._reservation_by_prompt = collections.OrderedDict()
 
     def retry_after(
-        self, rank: int, *, interval: float, longest: float, now: float
+        self, rank: int, *, interval: float, max_delay: float, now: float
     ) -> float:
         """Return the seconds after which a request should be retried.
 
@@ -60,7 +62,7 @@
             before it.
         interval : float
             Seconds between two released slots.
-        longest : float
+        max_delay : float
             Maximum time that the caller would wait.
         now : float
             Monotonic seconds.
@@ -69,10 +71,10 @@
         reservations = self._reservation_by_prompt.values()
         before = sum(one.rank <= rank for one in reservations)
         wait = _MIN_DELAY_SECONDS + before * interval / _RETRY_FRACTION
-        wait *= 1.0 + _JITTER * self._chance()
-        return min(wait, longest)
+        wait *= 1.0 + _JITTER * self._random_fraction()
+        return min(wait, max_delay)
 
-    def note(
+    def add(
         self, prompt: int, rank: int, *, seconds: float, now: float
     ) -> None:
         """Reserve a slot for a rejected request, due after some seconds."""
--- a/src/topazlug/capacity/_shared_backoff.py
+++ b/src/topazlug/capacity/_shared_backoff.py
@@ -31,7 +31,7 @@
         self._admitted = 0
         self._rejected = 0
 
-    def note(
+    def record(
         self, daemon: _ids.DaemonId, *, seconds: float, now: float
     ) -> None:
         """Record that a daemon was asked for a backoff.
@@ -60,7 +60,7 @@
             if until > now
         }
 
-    def note_admitted(self) -> None:
+    def record_admitted(self) -> None:
         """Count a request that was admitted to the replica."""
         if self._until_by_daemon:
             self._admitted += 1
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -118,7 +118,7 @@
             unreachable=options.news.unreachable,
             clock=clock,
         )
-        self._admission = _owner_admission.OwnerAdmission(
+        self._admission = _owner_admission.OwnerOrViewAdmission(
             view_admission=_view_admission.ViewAdmission(
                 targets=self.targets, views=self.views
             ),
@@ -127,7 +127,7 @@
             clock=clock,
             disabled=options.disabled,
         )
-        self._owners: _owners.FleetOwners | None = None
+        self._owners: _owners.OwnerRole | None = None
         self._fleet = _fleet.Fleet(
             options=_fleet.FleetOptions(
                 daemon=options.daemon,
@@ -235,8 +235,8 @@
         _replica_list.log_changes(before, targets)
         self._end_starts(targets)
         self._crashes.guard.handle_list_change(before, targets)
-        self.views.take_list(targets)
-        self.contexts.take_list(targets)
+        self.views.update_targets(targets)
+        self.contexts.update_targets(targets)
         self.targets.take_list(targets)
         self._knows_replicas = True
         self._open_gate()
@@ -279,7 +279,7 @@
         )
 
     def _join_owners(self, links: _peers.PeerLinks) -> None:
-        self._owners = _owners.FleetOwners(
+        self._owners = _owners.OwnerRole(
             daemon=self.name,
             links=links,
             targets=self.targets,
@@ -289,8 +289,8 @@
         self._greenlets += self._owners.start()
         self._crashes.join(links)
         if _mechanisms.Mechanism.OWNERS not in self._options.disabled:
-            self._admission.asks = self._owners.asks
-            self.targets.on_report(self._owners.asks.report_backoff)
+            self._admission.owner_client = self._owners.owner_client
+            self.targets.on_report(self._owners.owner_client.report_backoff)
 
     def _take_size(self, daemons: int) -> None:
         if self._owners is not None:
--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -79,7 +79,7 @@
     def release(self, place: _placement.Placement, *, failed: bool) -> None:
         """Give a place back, with how its stream ended."""
         view = self._views.of_incarnation(place.target)
-        view.note_outcome(failed=failed)
+        view.record_outcome(failed=failed)
         self._admission.release(place)
 
     def resume(
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -21,7 +21,7 @@
     """Takes word of a replica that took no connection."""
 
     def __call__(
-        self, place: _placement.Placement, *, is_silent: bool
+        self, placement: _placement.Placement, *, timed_out: bool
     ) -> None:
         """Note it, and whether it did not refuse it either."""
 
@@ -127,16 +127,16 @@
                 deadline=call.deadline,
             )
         except _target_client.ConnectFailed as error:
-            view.note_outcome(failed=True)
-            self._note_unreached(place, is_silent=error.is_silent)
+            view.record_outcome(failed=True)
+            self._note_unreached(place, timed_out=error.is_silent)
             raise
         except _errors.RequestError:
-            view.note_outcome(failed=True)
+            view.record_outcome(failed=True)
             raise
         self._note(call, place, answer, sent_at)
         if self._wire.verdict(answer) is _wire.AnswerVerdict.NOT_GENUINE:
             answer.close()
-            view.note_outcome(failed=True)
+            view.record_outcome(failed=True)
             raise _errors.TargetFailed(
                 "the replica's answer is not genuine",
                 outcome=_errors.Outcome.UNKNOWN,
@@ -184,11 +184,11 @@
     ) -> None:
         view = self._views.of_incarnation(place.target)
         seconds = self._clock.monotonic() - sent_at
-        view.note_latency(seconds)
+        view.record_latency(seconds)
         self._targets.reachability.record_answer(place.target)
         load = self._wire.load(answer)
         if load is not None:
-            view.note_report(load.running + load.waiting)
+            view.record_report(load.running + load.waiting)
             self._note_head(place, load.running, load.waiting, seconds)
         if call.route.has_context:
-            self._contexts.note_read(call.chat, place.target)
+            self._contexts.record_read(call.chat, place.target)
--- a/src/topazlug/forwarding/_forwarder.py
+++ b/src/topazlug/forwarding/_forwarder.py
@@ -199,7 +199,7 @@
             if len(head) > _MAX_BUFFERED_BYTES:
                 return self._long(call, place, answer, bytes(head), chunks)
         failed = answer.status >= _SERVER_ERROR
-        self._views.of_incarnation(place.target).note_outcome(failed=failed)
+        self._views.of_incarnation(place.target).record_outcome(failed=failed)
         if failed and call.route.repeatable:
             raise _exchange.AnsweredWithFailure(answer, bytes(head))
         self._admission.release(place)
--- a/src/topazlug/forwarding/_forwarder_parts.py
+++ b/src/topazlug/forwarding/_forwarder_parts.py
@@ -31,7 +31,7 @@
 
     Attributes
     ----------
-    admission : OwnerAdmission
+    admission : OwnerOrViewAdmission
         Finds places.
     budget : RetryShare
         Retries of this daemon.
@@ -55,7 +55,7 @@
         What is switched off.
     """
 
-    admission: _owner_admission.OwnerAdmission
+    admission: _owner_admission.OwnerOrViewAdmission
     budget: _retry_share.RetryShare
     clock: _clock.Clock
     connections: _target_client.TargetConnections
@@ -90,8 +90,8 @@
             views=self.views,
             contexts=self.contexts,
             wire=self.wire,
-            note_unreached=self.admission.note_unreached,
-            note_head=self.admission.note_head,
+            note_unreached=self.admission.handle_connection_failure,
+            note_head=self.admission.handle_response_head,
             disabled=self.disabled,
             clock=self.clock,
         )
--- a/src/topazlug/placement/_context_locator.py
+++ b/src/topazlug/placement/_context_locator.py
@@ -65,7 +65,7 @@
         self._joined_by_replica: dict[_ids.ReplicaId, _Joined] = {}
         self._started_at = clock.monotonic()
 
-    def take_list(self, targets: Iterable[_targets.Target]) -> None:
+    def update_targets(self, targets: Iterable[_targets.Target]) -> None:
         """Update the known replicas; new ones count as joined now.
 
         A replica that restarted under the same id counts as new, as it lost
@@ -82,7 +82,9 @@
                 joined = _Joined(target.incarnation, joined_at)
             self._joined_by_replica[target.replica] = joined
 
-    def note_read(self, chat: _ids.ChatHash, target: _targets.Target) -> None:
+    def record_read(
+        self, chat: _ids.ChatHash, target: _targets.Target
+    ) -> None:
         """Record that a replica has read a chat's prompt."""
         last = _LastRead(
             target.replica, target.incarnation, self._clock.monotonic()
--- a/src/topazlug/placement/_owner_admission.py
+++ b/src/topazlug/placement/_owner_admission.py
@@ -35,7 +35,7 @@
 
 
 @final
-class OwnerAdmission:
+class OwnerOrViewAdmission:
     """Admits requests by asking the replicas' owners.
 
     Parameters
@@ -53,7 +53,7 @@
 
     Attributes
     ----------
-    asks : OwnerClient or None
+    owner_client : OwnerClient or None
         Sends admission requests to owners; None until this daemon has joined
         its fleet.
     """
@@ -79,7 +79,7 @@
             clock=clock,
             disabled=disabled,
         )
-        self.asks: _owner_client.OwnerClient | None = None
+        self.owner_client: _owner_client.OwnerClient | None = None
         # Replicas whose last answer reported waiting requests.
         self._queueing_replicas: set[_ids.ReplicaId] = set()
 
@@ -95,19 +95,23 @@
         Overloaded
             No replica has free capacity for the request's rank.
         """
-        asks = self.asks
-        if asks is None:
+        owner_client = self.owner_client
+        if owner_client is None:
             return self._view_admission.admit(request)
         if not request.keeps_context:
-            return self._place_by_latency(asks, request)
+            return self._place_by_latency(owner_client, request)
         if _mechanisms.Mechanism.RANK_LIMITS in self._disabled:
             request = msgspec.structs.replace(request, rank=-1)
-        place = self._ask_owners(asks, request)
-        return self._place_by_view(asks, request) if place is None else place
+        placement = self._ask_owners(owner_client, request)
+        return (
+            self._place_by_view(owner_client, request)
+            if placement is None
+            else placement
+        )
 
     def _place_by_latency(
         self,
-        asks: _owner_client.OwnerClient,
+        owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
     ) -> _placement.Placement:
         """Place a request of a group whose replicas keep no context.
@@ -117,12 +121,16 @@
         """
         if self._view_admission.warm(self._view_admission.candidates(request)):
             return self._view_admission.admit(request)
-        place = self._ask_owners(asks, request)
-        return self._view_admission.admit(request) if place is None else place
+        placement = self._ask_owners(owner_client, request)
+        return (
+            self._view_admission.admit(request)
+            if placement is None
+            else placement
+        )
 
     def _place_by_view(
         self,
-        asks: _owner_client.OwnerClient,
+        owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
     ) -> _placement.Placement:
         """Place a request without an owner's reply, and report it later.
@@ -131,14 +139,16 @@
         that recovers would count too little load, by all requests that were
         placed meanwhile, and admit as many again.
         """
-        place = self._view_admission.admit(request)
-        place.ask = asks.new_number()
-        asks.held_placements.placement_by_ask[place.ask] = place
-        return place
+        placement = self._view_admission.admit(request)
+        placement.ask = owner_client.new_number()
+        owner_client.held_placements.placement_by_ask[placement.ask] = (
+            placement
+        )
+        return placement
 
     def _ask_owners(
         self,
-        asks: _owner_client.OwnerClient,
+        owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
     ) -> _placement.Placement | None:
         """Ask owners, and once more if a reserved slot is due soon enough.
@@ -152,20 +162,20 @@
         if _mechanisms.Mechanism.ADMISSION_WAIT in self._disabled:
             max_wait = 0.0
         try:
-            return self._search.search(asks, request)
+            return self._search.search(owner_client, request)
         except _owner_search.Full as full:
             if full.seconds > max_wait:
-                raise self._rejection(asks, request, full) from full
-            self._reserve(asks, request, full.home, full.seconds)
+                raise self._rejection(owner_client, request, full) from full
+            self._reserve(owner_client, request, full.home, full.seconds)
             self._clock.sleep(full.seconds)
         try:
-            return self._search.search(asks, request)
+            return self._search.search(owner_client, request)
         except _owner_search.Full as full:
-            raise self._rejection(asks, request, full) from full
+            raise self._rejection(owner_client, request, full) from full
 
     def _rejection(
         self,
-        asks: _owner_client.OwnerClient,
+        owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
         full: _owner_search.Full,
     ) -> _errors.Overloaded:
@@ -177,7 +187,7 @@
         """
         seconds = max(_MIN_RETRY_AFTER_SECONDS, full.seconds)
         if seconds <= request.latency_objective:
-            self._reserve(asks, request, full.home, seconds)
+            self._reserve(owner_client, request, full.home, seconds)
         return _errors.Overloaded(
             f"no replica of {request.group} has free capacity for rank "
             f"{request.rank}",
@@ -186,16 +196,16 @@
 
     def _reserve(
         self,
-        asks: _owner_client.OwnerClient,
+        owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
         home: _ids.ReplicaId,
         seconds: float,
     ) -> None:
         if _mechanisms.Mechanism.RESERVATIONS not in self._disabled:
-            asks.report_rejection(request, home, seconds=seconds)
+            owner_client.report_rejection(request, home, seconds=seconds)
 
-    def note_unreached(
-        self, place: _placement.Placement, *, is_silent: bool
+    def handle_connection_failure(
+        self, placement: _placement.Placement, *, timed_out: bool
     ) -> None:
         """Handle a failed connection to a replica.
 
@@ -205,21 +215,23 @@
 
         Parameters
         ----------
-        place : Place
+        placement : Place
             Where the request was to run.
-        is_silent : bool
+        timed_out : bool
             Whether the connection timed out rather than being refused.
         """
-        target = place.target
-        if is_silent and self._targets.reachability.record_timeout(target):
+        target = placement.target
+        if timed_out and self._targets.reachability.record_timeout(target):
             _log.warning("zone {zone} is unreachable", zone=target.zone)
         self._targets.cold.presume_cold([target])
-        if self.asks is not None:
-            self.asks.report_unreached(place.target.replica)
+        if self.owner_client is not None:
+            self.owner_client.report_connection_failure(
+                placement.target.replica
+            )
 
-    def note_head(
+    def handle_response_head(
         self,
-        place: _placement.Placement,
+        placement: _placement.Placement,
         running: int,
         waiting: int,
         seconds: float,
@@ -233,41 +245,42 @@
 
         Parameters
         ----------
-        place : Place
+        placement : Place
             Where the answer comes from.
         running, waiting : int
             Requests that the replica reports as running and as waiting.
         seconds : float
             Time until the head arrived.
         """
-        if self.asks is None:
+        if self.owner_client is None:
             return
-        replica = place.target.replica
+        replica = placement.target.replica
         was_queueing = replica in self._queueing_replicas
         if waiting:
             self._queueing_replicas.add(replica)
         else:
             self._queueing_replicas.discard(replica)
-        if not (place.reads_context or waiting or was_queueing):
+        if not (placement.reads_context or waiting or was_queueing):
             return
         report = messages.EngineWord(
             replica=replica,
             running=running,
             waiting=waiting,
-            slow=seconds > place.request.latency_objective * _SLOW_FRACTION,
-            read=place.request.chat if place.reads_context else 0,
+            slow=seconds
+            > placement.request.latency_objective * _SLOW_FRACTION,
+            read=placement.request.chat if placement.reads_context else 0,
         )
-        place.reads_context = False
-        self.asks.report_response_head(replica, report)
+        placement.reads_context = False
+        self.owner_client.report_response_head(replica, report)
 
-    def release(self, place: _placement.Placement) -> None:
+    def release(self, placement: _placement.Placement) -> None:
         """Release a slot; further calls do nothing."""
-        if place.released:
+        if placement.released:
             return
         # Slots that no owner counts are numbered separately, so another
         # slot may be held under the same number.
-        if self.asks is not None:
-            held = self.asks.held_placements.placement_by_ask
-            if held.get(place.ask) is place:
-                self.asks.held_placements.release(place)
-        self._view_admission.release(place)
+        if self.owner_client is not None:
+            held = self.owner_client.held_placements.placement_by_ask
+            if held.get(placement.ask) is placement:
+                self.owner_client.held_placements.release(placement)
+        self._view_admission.release(placement)
--- a/src/topazlug/placement/_owner_search.py
+++ b/src/topazlug/placement/_owner_search.py
@@ -83,7 +83,7 @@
 
     def search(
         self,
-        asks: _owner_client.OwnerClient,
+        owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
     ) -> _placement.Placement | None:
         """Ask owners in the order of the chat's ranking.
@@ -110,7 +110,7 @@
         while pending:
             replica = pending.pop(0)
             answer = self._ask_one(
-                asks,
+                owner_client,
                 request,
                 replica,
                 home=replica == home and displaced_to is None,
@@ -123,12 +123,14 @@
                 ranked += others
                 pending += others
             elif verdict is messages.Verdict.granted:
-                place = self._hold_slot(asks, request, replica, answer, home)
-                if place is not None and not self._displacement_disabled:
-                    asks.report_displacement(
-                        place, home=home, displaced_to=displaced_to
+                placement = self._hold_slot(
+                    owner_client, request, replica, answer, home
+                )
+                if placement is not None and not self._displacement_disabled:
+                    owner_client.report_displacement(
+                        placement, home=home, displaced_to=displaced_to
                     )
-                return place
+                return placement
             elif verdict is messages.Verdict.elsewhere:
                 displaced_to = _ids.ReplicaId(answer.reply.replica)
                 others = [one for one in ranked if one != displaced_to]
@@ -145,7 +147,9 @@
             # All replicas that were asked for are in backoff.
             return None
         reserved_at = home if home in rejections else next(iter(rejections))
-        return self._resolve_rejections(asks, request, rejections, reserved_at)
+        return self._resolve_rejections(
+            owner_client, request, rejections, reserved_at
+        )
 
     def _warm_alternatives(
         self,
@@ -167,7 +171,7 @@
 
     def _ask_one(
         self,
-        asks: _owner_client.OwnerClient,
+        owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
         *,
@@ -184,7 +188,7 @@
             max_wait = 0.0
         while True:
             remaining = max_wait - (self._clock.monotonic() - started)
-            answer = asks.ask(
+            answer = owner_client.request_admission(
                 request,
                 replica,
                 home=home,
@@ -219,16 +223,16 @@
             return
         view = self._views.of(replica)
         if reply.verdict is messages.Verdict.granted:
-            view.note_report(reply.load - 1)
+            view.record_report(reply.load - 1)
         elif reply.verdict in _REJECTION_VERDICTS:
-            view.note_report(reply.load)
+            view.record_report(reply.load)
         is_full = reply.verdict is messages.Verdict.full
         if is_full and request.rank >= 0 and not reply.cold:
-            view.note_full(request.rank)
+            view.record_full(request.rank)
 
     def _resolve_rejections(
         self,
-        asks: _owner_client.OwnerClient,
+        owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
         rejections: dict[_ids.ReplicaId, _owner_client.OwnerReply],
         home: _ids.ReplicaId,
@@ -247,14 +251,16 @@
             and (answer.reply.verdict is is_over or request.rank < 0)
         }
         if placeable:
-            return self._place_on_least_loaded(asks, request, placeable, home)
+            return self._place_on_least_loaded(
+                owner_client, request, placeable, home
+            )
         if home not in rejections:
             return None
         raise Full(home, rejections[home].reply.retry_after)
 
     def _place_on_least_loaded(
         self,
-        asks: _owner_client.OwnerClient,
+        owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
         rejections: dict[_ids.ReplicaId, _owner_client.OwnerReply],
         home: _ids.ReplicaId,
@@ -265,12 +271,12 @@
         wait here. The owner counts the slot from the next renewal on.
         """
         replica = min(rejections, key=lambda one: rejections[one].reply.load)
-        answer = rejections[replica]._replace(ask=asks.new_number())
-        return self._hold_slot(asks, request, replica, answer, home)
+        answer = rejections[replica]._replace(ask=owner_client.new_number())
+        return self._hold_slot(owner_client, request, replica, answer, home)
 
     def _hold_slot(
         self,
-        asks: _owner_client.OwnerClient,
+        owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
         answer: _owner_client.OwnerReply,
@@ -284,7 +290,7 @@
         long as this daemon runs.
         """
         if not self._targets.is_usable(replica):
-            asks.held_placements.send_release(answer.owner, answer.ask)
+            owner_client.held_placements.send_release(answer.owner, answer.ask)
             return None
         _log.info(
             "placed at {replica}: its owner {owner} counts {load}",
@@ -296,7 +302,7 @@
         )
         target = self._targets.target_by_replica[replica]
         self._views.of_incarnation(target).in_flight += 1
-        place = _placement.Placement(
+        placement = _placement.Placement(
             target=target,
             ask=answer.ask,
             owner=answer.owner,
@@ -304,8 +310,10 @@
             home=replica == home,
             reads_context=answer.reply.reads,
         )
-        asks.held_placements.placement_by_ask[place.ask] = place
-        return place
+        owner_client.held_placements.placement_by_ask[placement.ask] = (
+            placement
+        )
+        return placement
 
 
 def _ranked(
--- a/src/topazlug/placement/_owners.py
+++ b/src/topazlug/placement/_owners.py
@@ -59,7 +59,7 @@
 
 
 @final
-class FleetOwners:
+class OwnerRole:
     """Counts the load of the replicas owned here, and asks other owners.
 
     Parameters
@@ -75,7 +75,7 @@
 
     Attributes
     ----------
-    asks : OwnerClient
+    owner_client : OwnerClient
         Sends admission requests to owners.
     """
 
@@ -105,7 +105,7 @@
             startup_fraction=_START_FRACTION,
         )
         self._owner = owner
-        self.asks = _owner_client.OwnerClient(
+        self.owner_client = _owner_client.OwnerClient(
             daemon=daemon,
             owner=owner,
             ownership=self._ownership,
@@ -116,7 +116,7 @@
         self._duties = _owner_endpoint.OwnerEndpoint(
             daemon=daemon,
             owner=owner,
-            held_placements=self.asks.held_placements,
+            held_placements=self.owner_client.held_placements,
             links=links,
             usable=lambda: self._daemons,
             routing=routing,
@@ -151,20 +151,20 @@
         self._duties.report()
 
     @property
-    def reporting(self) -> bool:
+    def is_reporting(self) -> bool:
         """Return whether a report is in progress."""
-        return self._duties.reporting
+        return self._duties.is_reporting
 
-    def drop_silent(self) -> None:
+    def drop_unresponsive(self) -> None:
         """Release the slots of daemons that stopped renewing them."""
         replicas = self._targets.target_by_replica
         owners = {self._ownership.owner_of(replica) for replica in replicas}
-        self._duties.drop_silent(len(owners))
+        self._duties.drop_unresponsive(len(owners))
 
     def _drop_silent_forever(self) -> None:
         while True:
             self._clock.sleep(_DROP_INTERVAL_SECONDS)
-            self.drop_silent()
+            self.drop_unresponsive()
 
     def start(self) -> list[Any]:
         """Start the periodic tasks and return their greenlets."""
--- a/src/topazlug/placement/_replica_list.py
+++ b/src/topazlug/placement/_replica_list.py
@@ -73,7 +73,7 @@
             _ids.ReplicaId, collections.deque[int]
         ] = {}
 
-    def note_store_reconnected(self, lost_since: float) -> None:
+    def handle_store_reconnected(self, lost_since: float) -> None:
         """Start the grace period after the connection to the store was lost.
 
         Parameters
@@ -85,7 +85,7 @@
         seconds = min(_GRACE_SECONDS, self._max_disconnected - lost_since)
         self._grace_until = self._clock.monotonic() + seconds
 
-    def take(self, targets: Iterable[_targets.Target]) -> None:
+    def update(self, targets: Iterable[_targets.Target]) -> None:
         """Apply the store's current list."""
         fresh = {target.replica: self._newest(target) for target in targets}
         now = self._clock.monotonic()
--- a/src/topazlug/placement/_replica_view.py
+++ b/src/topazlug/placement/_replica_view.py
@@ -97,7 +97,7 @@
             return None
         return round(self._clock.monotonic() - self._reported_at, 3)
 
-    def note_report(self, held: int) -> None:
+    def record_report(self, held: int) -> None:
         """Record the number of requests that the replica reports to hold."""
         self._others = max(0, held - self.in_flight)
         self._reported_at = self._clock.monotonic()
@@ -108,7 +108,7 @@
         age = self._clock.monotonic() - self._reported_at
         return age < self.report_seconds
 
-    def note_full(self, rank: int) -> None:
+    def record_full(self, rank: int) -> None:
         """Record that an owner had no free capacity for a rank."""
         until = self._clock.monotonic() + _FULL_SECONDS
         self._full_until_by_rank[rank] = until
@@ -122,7 +122,7 @@
             if other <= rank
         )
 
-    def note_latency(self, seconds: float) -> None:
+    def record_latency(self, seconds: float) -> None:
         """Record the time to the first byte of an answer."""
         if self.latency == 0.0:
             self.latency = seconds
@@ -132,7 +132,7 @@
         weight = 0.5 if seconds > self.latency else 0.2
         self.latency += weight * (seconds - self.latency)
 
-    def note_outcome(self, *, failed: bool) -> None:
+    def record_outcome(self, *, failed: bool) -> None:
         """Record the outcome of one request."""
         self._outcomes.append(_Outcome(self._clock.monotonic(), failed))
         if not failed and not self.is_ejected:
@@ -227,7 +227,7 @@
         for view in self._view_by_replica.values():
             view.report_seconds = seconds
 
-    def take_list(self, targets: Iterable[_targets.Target]) -> None:
+    def update_targets(self, targets: Iterable[_targets.Target]) -> None:
         """Reset the views of restarted replicas; remove those of gone ones.
 
         The view of a gone replica is kept while it holds requests.
--- a/src/topazlug/placement/_view_admission.py
+++ b/src/topazlug/placement/_view_admission.py
@@ -242,9 +242,9 @@
         near = [one for one in candidates if expected(one) <= 1.25 * best]
         return near[next(self._round_robin) % len(near)]
 
-    def release(self, place: _placement.Placement) -> None:
+    def release(self, placement: _placement.Placement) -> None:
         """Release a slot; further calls do nothing."""
-        if place.released:
+        if placement.released:
             return
-        place.released = True
-        self._views.of_incarnation(place.target).in_flight -= 1
+        placement.released = True
+        self._views.of_incarnation(placement.target).in_flight -= 1
--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -238,7 +238,7 @@
             return None
         is_home = replica == search.ranked[0]
         has_context = replica == (search.displaced_to or search.ranked[0])
-        owner_reply = self._client.ask(
+        owner_reply = self._client.request_admission(
             request,
             replica,
             home=is_home and redirects > 0,
@@ -306,7 +306,7 @@
                 "no slot was free before the deadline"
             )
         replicas = len(self._targets.in_service(request.group))
-        owner_reply = self._client.ask(
+        owner_reply = self._client.request_admission(
             request,
             replica,
             home=False,
--- a/src/topazlug/routing/_admission_control.py
+++ b/src/topazlug/routing/_admission_control.py
@@ -232,7 +232,7 @@
         self, ledger: _ledger.ReplicaLedger, ask: messages.AdmitAsk
     ) -> bool:
         now = self._clock.monotonic()
-        ledger.rank_limits.note_demand(ask.rank, now=now)
+        ledger.rank_limits.record_request(ask.rank, now=now)
         load = ledger.observed_load()
         is_due = ledger.reservations.is_due(ask.request, now=now)
         reserved = ledger.reservations.reserved(
@@ -251,7 +251,7 @@
         retry_after = ledger.reservations.retry_after(
             ask.rank,
             interval=ledger.release_interval,
-            longest=ask.longest,
+            max_delay=ask.longest,
             now=self._clock.monotonic(),
         )
         _log.info(
@@ -294,13 +294,13 @@
             return
         ledger.admit(key, entry)
         if self._tolerated_rate(ledger) is not None:
-            ledger.cold_rate.note_admitted()
+            ledger.cold_rate.record_admitted()
         ledger.reservations.remove(ask.request)
         is_first = state is _context_reads.ReadState.FIRST
         if is_first:
             ledger.context_reads.begin(entry.chat, key, now=now)
         else:
-            ledger.context_reads.note_use(entry.chat, now=now)
+            ledger.context_reads.record_use(entry.chat, now=now)
         self._replies.send(
             reply, messages.Verdict.granted, load=ledger.load, reads=is_first
         )
--- a/src/topazlug/routing/_ledger.py
+++ b/src/topazlug/routing/_ledger.py
@@ -223,7 +223,7 @@
             return
         self.entry_by_key[key] = entry
         self.load += entry.weight
-        self.rank_limits.note_held(entry.rank)
+        self.rank_limits.add_held(entry.rank)
         self._peak_load = max(self._peak_load, self.load)
         if entry.batch:
             self.batch_load += entry.weight
@@ -231,7 +231,7 @@
     def admit(self, key: _slot_key.SlotKey, entry: LedgerEntry) -> None:
         """Count a request that is granted now."""
         self.hold(key, entry)
-        self.backoff.note_admitted()
+        self.backoff.record_admitted()
 
     def holds_chat_once(self, chat: _ids.ChatHash) -> bool:
         """Return whether exactly one admitted request is this chat's.
@@ -260,10 +260,10 @@
         if entry is None:
             return False
         self.load -= entry.weight
-        self.rank_limits.note_released(entry.rank)
+        self.rank_limits.remove_held(entry.rank)
         if entry.batch:
             self.batch_load -= entry.weight
-        self.context_reads.note_ended(key)
+        self.context_reads.record_end(key)
         self._record_release(now)
         return True
 
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -135,7 +135,7 @@
         )
         self._last_received_at: dict[_ids.DaemonId, float] = {}
 
-    def ask(
+    def handle_admission_request(
         self,
         sender: _ids.DaemonId,
         ask: messages.AdmitAsk,
@@ -180,7 +180,7 @@
         )
         return True
 
-    def record_unreached(self, message: messages.Unreached) -> None:
+    def record_connection_failure(self, message: messages.Unreached) -> None:
         """Treat a replica as cold after a failed connection to it."""
         target = self._targets.target_by_replica.get(
             _ids.ReplicaId(message.replica)
@@ -194,7 +194,7 @@
         """Record that a replica requested a backoff from a daemon."""
         ledger = self.ledger_by_replica.get(_ids.ReplicaId(message.replica))
         if ledger is not None and ledger.incarnation == message.incarnation:
-            ledger.backoff.note(
+            ledger.backoff.record(
                 sender, seconds=message.seconds, now=self._clock.monotonic()
             )
 
@@ -202,7 +202,7 @@
         """Reserve a slot for a rejected request that may be sent again."""
         ledger = self.ledger_by_replica.get(_ids.ReplicaId(message.replica))
         if ledger is not None and message.request:
-            ledger.reservations.note(
+            ledger.reservations.add(
                 message.request,
                 message.rank,
                 seconds=message.seconds,
@@ -215,11 +215,11 @@
         if ledger is None:
             return
         now = self._clock.monotonic()
-        ledger.rank_limits.take_report(
+        ledger.rank_limits.handle_report(
             head.running, head.waiting, slow=head.slow, now=now
         )
         if head.read:
-            ledger.context_reads.note_read(_ids.ChatHash(head.read), now=now)
+            ledger.context_reads.record_read(_ids.ChatHash(head.read), now=now)
 
     def release(self, sender: _ids.DaemonId, asks: Iterable[int]) -> None:
         """Release placements and queued requests of an entry daemon."""
@@ -384,7 +384,7 @@
         for ledger in self.group_limits.ledgers_of(group):
             self._queue.grant_queued(ledger)
 
-    def waiting(self) -> int:
+    def queued_count(self) -> int:
         """Return the number of requests in this owner's queues."""
         ledgers = self.ledger_by_replica.values()
         return sum(len(ledger.queued_by_key) for ledger in ledgers)
--- a/src/topazlug/routing/_owner_client.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -99,7 +99,7 @@
         """Return the number for a new admission request."""
         return _ids.AskNumber(next(self._numbers))
 
-    def ask(
+    def request_admission(
         self,
         request: _placement.PlacementRequest,
         replica: _ids.ReplicaId,
@@ -187,7 +187,9 @@
     ) -> messages.AdmitReply | None:
         if owner == self._daemon:
             result = event.AsyncResult()
-            self._owner.ask(self._daemon, message, result.set)
+            self._owner.handle_admission_request(
+                self._daemon, message, result.set
+            )
             result.wait(timeout=timeout)
             if not result.ready():
                 return None
@@ -247,12 +249,12 @@
         elif owner is not None:
             self.held_placements.send(owner, head)
 
-    def report_unreached(self, replica: _ids.ReplicaId) -> None:
+    def report_connection_failure(self, replica: _ids.ReplicaId) -> None:
         """Report a failed connection to the replica's owner."""
         owner = self._ownership.owner_of(replica)
         message = messages.Unreached(replica=replica)
         if owner == self._daemon:
-            self._owner.record_unreached(message)
+            self._owner.record_connection_failure(message)
         elif owner is not None:
             self.held_placements.send(owner, message)
 
--- a/src/topazlug/routing/_owner_endpoint.py
+++ b/src/topazlug/routing/_owner_endpoint.py
@@ -96,7 +96,7 @@
     def _on_admit_ask(
         self, sender: _ids.DaemonId, ask: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.ask(sender, ask, reply)
+        self._owner.handle_admission_request(sender, ask, reply)
 
     def _on_engine_word(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
@@ -111,7 +111,7 @@
     def _on_unreached(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
-        self._owner.record_unreached(message)
+        self._owner.record_connection_failure(message)
 
     def _on_backoff(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
@@ -184,7 +184,7 @@
         min_interval = owners * _RENEW_BYTES / _RENEW_BYTES_PER_SECOND
         return max(self._routing.renew_interval, min_interval)
 
-    def drop_silent(self, owners: int) -> None:
+    def drop_unresponsive(self, owners: int) -> None:
         """Release the placements of daemons that missed their renewals.
 
         Parameters
@@ -203,7 +203,7 @@
             self._clock.sleep(self._routing.load_interval)
 
     @property
-    def reporting(self) -> bool:
+    def is_reporting(self) -> bool:
         """Whether a report awaits its reply."""
         return bool(self._reporting)
 
--- a/tests/topazlug/capacity/test_cold_rate.py
+++ b/tests/topazlug/capacity/test_cold_rate.py
@@ -16,7 +16,7 @@
     for number in range(int(seconds / step)):
         now = start + number * step
         if rate.has_capacity(tolerated, now=now):
-            rate.note_admitted()
+            rate.record_admitted()
             admitted_at.append(now)
     return admitted_at
 
@@ -60,7 +60,7 @@
     def test_wait_lasts_until_a_request_may_be_admitted(self):
         rate = _cold_rate.ColdRateLimiter()
         rate.has_capacity(14.0, now=0.0)
-        rate.note_admitted()
+        rate.record_admitted()
         assert not rate.has_capacity(14.0, now=0.0)
         wait = rate.wait(14.0)
         assert rate.has_capacity(14.0, now=wait + 1e-6)
--- a/tests/topazlug/capacity/test_context_reads.py
+++ b/tests/topazlug/capacity/test_context_reads.py
@@ -24,7 +24,7 @@
         reads.begin(CHAT, key(1), now=0.0)
         assert reads.state(CHAT, now=0.1) is STATE.WAIT
         assert 0.0 < reads.wait(CHAT, now=0.1) <= 0.1
-        reads.note_read(CHAT, now=0.2)
+        reads.record_read(CHAT, now=0.2)
         assert reads.state(CHAT, now=0.2) is STATE.KNOWN
 
     def test_other_chats_do_not_wait(self):
@@ -35,7 +35,7 @@
     def test_next_request_reads_if_the_first_ended(self):
         reads = _context_reads.ContextReads()
         reads.begin(CHAT, key(1), now=0.0)
-        reads.note_ended(key(1))
+        reads.record_end(key(1))
         assert reads.state(CHAT, now=0.1) is STATE.FIRST
 
     def test_lost_report_does_not_block_others(self):
@@ -43,12 +43,12 @@
         reads.begin(CHAT, key(1), now=0.0)
         assert reads.state(CHAT, now=3.0) is STATE.FIRST
         reads.begin(CHAT, key(2), now=3.0)
-        reads.note_ended(key(1))
+        reads.record_end(key(1))
         assert reads.state(CHAT, now=3.1) is STATE.WAIT
 
     def test_context_in_use_stays_known(self):
         reads = _context_reads.ContextReads()
-        reads.note_read(CHAT, now=0.0)
-        reads.note_use(CHAT, now=25.0)
+        reads.record_read(CHAT, now=0.0)
+        reads.record_use(CHAT, now=25.0)
         assert reads.state(CHAT, now=50.0) is STATE.KNOWN
         assert reads.state(CHAT, now=90.0) is STATE.FIRST
--- a/tests/topazlug/capacity/test_rank_limits.py
+++ b/tests/topazlug/capacity/test_rank_limits.py
@@ -20,7 +20,7 @@
 
 def hold(limits, rank, count):
     for _ in range(count):
-        limits.note_held(rank)
+        limits.add_held(rank)
 
 
 class TestRanks:
@@ -32,7 +32,7 @@
 
     def test_lower_ranks_leave_capacity_for_the_urgent(self, limits):
         for rank in range(3):
-            limits.note_demand(rank, now=0.0)
+            limits.record_request(rank, now=0.0)
         hold(limits, 1, 30)
         hold(limits, 2, 30)
         assert has_capacity(limits, 0, load=SLOTS - 1)
@@ -41,14 +41,14 @@
         assert not has_capacity(limits, 2, load=SLOTS - 10)
 
     def test_nothing_is_left_for_inactive_ranks(self, limits):
-        limits.note_demand(0, now=0.0)
+        limits.record_request(0, now=0.0)
         hold(limits, 2, 30)
         assert not has_capacity(limits, 2, load=SLOTS - 1, now=1.0)
         assert has_capacity(limits, 2, load=SLOTS - 1, now=3.0)
 
     def test_least_urgent_rank_is_served_too(self, limits):
         for rank in range(6):
-            limits.note_demand(rank, now=0.0)
+            limits.record_request(rank, now=0.0)
         hold(limits, 0, 50)
         assert has_capacity(limits, 5, load=50)
         hold(limits, 5, 6)
@@ -60,7 +60,7 @@
 
     def test_due_reservation_leaves_half_of_the_margin(self, limits):
         for rank in range(3):
-            limits.note_demand(rank, now=0.0)
+            limits.record_request(rank, now=0.0)
         hold(limits, 2, 30)
         # A quarter of the limit is 16 slots, and half of that 8.
         assert not has_capacity(limits, 2, load=SLOTS - 10)
@@ -80,32 +80,32 @@
 
     def test_limit_falls_to_running_requests_and_a_short_queue(self, limits):
         for step in range(100):
-            limits.take_report(24, 40, slow=True, now=step * 0.1)
+            limits.handle_report(24, 40, slow=True, now=step * 0.1)
         assert limits.limit == 24 + limits.queue
 
     def test_reports_of_one_moment_change_it_little(self, limits):
         for _ in range(50):
-            limits.take_report(5, 40, slow=True, now=1.0)
+            limits.handle_report(5, 40, slow=True, now=1.0)
         assert limits.limit > SLOTS * 0.8
 
     def test_queue_without_delays_changes_nothing(self, limits):
-        limits.take_report(5, 40, slow=False, now=1.0)
+        limits.handle_report(5, 40, slow=False, now=1.0)
         assert limits.limit == SLOTS
 
     def test_limit_rises_again(self, limits):
         for step in range(100):
-            limits.take_report(10, 40, slow=True, now=step * 0.1)
+            limits.handle_report(10, 40, slow=True, now=step * 0.1)
         for step in range(100, 140):
-            limits.take_report(14, 0, slow=False, now=step * 0.1)
+            limits.handle_report(14, 0, slow=False, now=step * 0.1)
         assert limits.limit == SLOTS
 
     def test_some_capacity_always_remains(self, limits):
         for step in range(200):
-            limits.take_report(0, 40, slow=True, now=step * 0.1)
+            limits.handle_report(0, 40, slow=True, now=step * 0.1)
         assert has_capacity(limits, 0, load=4)
 
     def test_few_slots(self):
         limits = _rank_limits.RankLimits(slots=1)
         for step in range(100):
-            limits.take_report(1, 9, slow=True, now=step * 0.1)
+            limits.handle_report(1, 9, slow=True, now=step * 0.1)
         assert has_capacity(limits, 3, load=0)
--- a/tests/topazlug/capacity/test_reservations.py
+++ b/tests/topazlug/capacity/test_reservations.py
@@ -5,15 +5,15 @@
 LONG_WAIT = 10.0
 
 
-def retry_after(reservations, rank, *, now=0.0, longest=LONG_WAIT):
+def retry_after(reservations, rank, *, now=0.0, max_delay=LONG_WAIT):
     return reservations.retry_after(
-        rank, interval=0.02, longest=longest, now=now
+        rank, interval=0.02, max_delay=max_delay, now=now
     )
 
 
 def reject(reservations, prompt, rank, *, now=0.0):
     seconds = retry_after(reservations, rank, now=now)
-    reservations.note(prompt, rank, seconds=seconds, now=now)
+    reservations.add(prompt, rank, seconds=seconds, now=now)
     return seconds
 
 
@@ -40,7 +40,7 @@
         reservations = _reservations.Reservations()
         for number in range(1, 200):
             reject(reservations, number, 0)
-        assert retry_after(reservations, 0, longest=0.7) == 0.7
+        assert retry_after(reservations, 0, max_delay=0.7) == 0.7
 
 
 class TestReservation:
--- a/tests/topazlug/fleet_fakes.py
+++ b/tests/topazlug/fleet_fakes.py
@@ -69,7 +69,9 @@
             if isinstance(message, messages.Renew):
                 owner.renew(self._sender, message)
                 return messages.Ack()
-            owner.ask(self._sender, message, replies.append)
+            owner.handle_admission_request(
+                self._sender, message, replies.append
+            )
         if not replies:
             self._fleet.clock.advance(timeout)
             raise _errors.PeerUnreachable(to)
--- a/tests/topazlug/placement/owner_fixtures.py
+++ b/tests/topazlug/placement/owner_fixtures.py
@@ -74,14 +74,14 @@
     def renew(self):
         """Let all daemons renew the slots that they hold at the owners."""
         for daemon in self.daemons:
-            daemon.owners.asks.held_placements.renew()
+            daemon.owners.owner_client.held_placements.renew()
 
     def report(self):
         """Let all daemons report the load of their replicas to collectors."""
         self.clock.advance(0.11)
         for daemon in self.daemons:
             daemon.owners.report()
-        while any(daemon.owners.reporting for daemon in self.daemons):
+        while any(daemon.owners.is_reporting for daemon in self.daemons):
             gevent.sleep(0)
 
     def owner_of(self, replica):
@@ -100,14 +100,14 @@
         )
         self.targets.take_list(fleet.targets)
         self.views = _replica_view.ReplicaViews(clock=fleet.clock)
-        self.views.take_list(fleet.targets)
-        self.owners = _owners.FleetOwners(
+        self.views.update_targets(fleet.targets)
+        self.owners = _owners.OwnerRole(
             daemon=_ids.DaemonId(name),
             links=self.links,
             targets=self.targets,
             clock=fleet.clock,
         )
-        self.admission = _owner_admission.OwnerAdmission(
+        self.admission = _owner_admission.OwnerOrViewAdmission(
             view_admission=_view_admission.ViewAdmission(
                 targets=self.targets, views=self.views
             ),
@@ -115,8 +115,8 @@
             views=self.views,
             clock=fleet.clock,
         )
-        self.admission.asks = self.owners.asks
-        self.targets.on_report(self.owners.asks.report_backoff)
+        self.admission.owner_client = self.owners.owner_client
+        self.targets.on_report(self.owners.owner_client.report_backoff)
 
     def admit(self, chat, **changes):
         """Place one request of a chat."""
--- a/tests/topazlug/placement/test_cold_placement.py
+++ b/tests/topazlug/placement/test_cold_placement.py
@@ -175,7 +175,9 @@
         replay = RestartReplay(count)
         replay.list_cold(cold=())
         place = replay.daemons[1].admit(replay.chats[0])
-        replay.daemons[1].admission.note_unreached(place, is_silent=False)
+        replay.daemons[1].admission.handle_connection_failure(
+            place, timed_out=False
+        )
         replay.daemons[1].admission.release(place)
         # The owner must be notified: other daemons still list it as warm.
         replay.run(1.5)
--- a/tests/topazlug/placement/test_context_locator.py
+++ b/tests/topazlug/placement/test_context_locator.py
@@ -32,10 +32,10 @@
                 for name in names
             ]
         )
-        self.locator.take_list(self.targets.target_by_replica.values())
+        self.locator.update_targets(self.targets.target_by_replica.values())
 
-    def note_read(self, chat, name):
-        self.locator.note_read(chat, self.targets.target_by_replica[name])
+    def record_read(self, chat, name):
+        self.locator.record_read(chat, self.targets.target_by_replica[name])
 
     def source(self, chat, chosen):
         found = self.locator.source(
@@ -88,7 +88,7 @@
         rig.list(NAMES)
         chat = _ranking.chat_hash("c")
         home, second, third = _ranking.rank(NAMES, chat, count=3)
-        rig.note_read(chat, second)
+        rig.record_read(chat, second)
         assert rig.source(chat, third) == second
         assert rig.source(chat, second) is None
 
@@ -97,7 +97,7 @@
         rig.list(NAMES)
         chat = _ranking.chat_hash("c")
         home, second = _ranking.rank(NAMES, chat, count=2)
-        rig.note_read(chat, home)
+        rig.record_read(chat, home)
         rig.list([name for name in NAMES if name != home])
         assert rig.source(chat, second) is None
 
@@ -112,7 +112,7 @@
         rig.list(NAMES)
         chat = _ranking.chat_hash("c")
         home, second = _ranking.rank(NAMES, chat, count=2)
-        rig.note_read(chat, home)
+        rig.record_read(chat, home)
         assert rig.source(chat, second) == home
         rig.targets.avoid(_ids.ReplicaId(home))
         assert rig.source(chat, second) is None
@@ -128,7 +128,7 @@
         rig.list(NAMES)
         chat = _ranking.chat_hash("c")
         home, second = _ranking.rank(NAMES, chat, count=2)
-        rig.note_read(chat, home)
+        rig.record_read(chat, home)
         rig.list(NAMES, incarnations={home: 2})
         assert rig.source(chat, second) is None
 
@@ -143,7 +143,7 @@
         rig.list(NAMES)
         chat = _ranking.chat_hash("c")
         home, second = _ranking.rank(NAMES, chat, count=2)
-        rig.note_read(chat, home)
+        rig.record_read(chat, home)
         rig.list(NAMES, incarnations={home: 2})
         assert rig.source(chat, home) == second
 
@@ -161,7 +161,7 @@
         chat = _ranking.chat_hash("c")
         home = _ranking.first(NAMES, chat)
         other = next(name for name in NAMES if name != home)
-        rig.note_read(chat, home)
+        rig.record_read(chat, home)
         rig.targets.set_drains(_targets.Drains(replicas=frozenset({home})))
         assert rig.source(chat, other) == home
 
@@ -171,7 +171,7 @@
         chat = _ranking.chat_hash("c")
         home = _ranking.first(NAMES, chat)
         other = next(name for name in NAMES if name != home)
-        rig.note_read(chat, home)
+        rig.record_read(chat, home)
         rig.targets.set_drains(_targets.Drains(replicas=frozenset({home})))
         rig.targets.avoid(_ids.ReplicaId(home))
         assert rig.source(chat, other) is None
--- a/tests/topazlug/placement/test_owner_admission.py
+++ b/tests/topazlug/placement/test_owner_admission.py
@@ -207,7 +207,7 @@
         chat, owner = chat_owned_by_another(fleet, "d0")
         daemon = fleet.daemon_by_name["d0"]
         view = daemon.views.of(home_of(chat))
-        view.note_full(1)
+        view.record_full(1)
         fleet.unresponsive.add(owner)
         assert daemon.admit(
             **ranked_request(chat, 0)
@@ -228,9 +228,9 @@
         empty, daemons kept sending requests to full replicas.
         """
         daemon = fleet.daemon_by_name["d0"]
-        daemon.admission.asks = None
+        daemon.admission.owner_client = None
         for replica in REPLICAS[1:]:
-            daemon.views.of(replica).note_report(90)
+            daemon.views.of(replica).record_report(90)
         with pytest.raises(_errors.Overloaded):
             daemon.admit(**ranked_request(next(chats()), 0))
 
@@ -256,7 +256,7 @@
 
     def test_views_decide_before_the_fleet_is_joined(self, fleet):
         daemon = fleet.daemon_by_name["d0"]
-        daemon.admission.asks = None
+        daemon.admission.owner_client = None
         chat = next(chats())
         place = daemon.admit(chat)
         assert place.target.replica == home_of(chat)
@@ -289,7 +289,7 @@
         daemon = fleet.daemon_by_name["d0"]
         chat = next(chats())
         for _ in range(5):
-            daemon.views.of(home_of(chat)).note_outcome(failed=True)
+            daemon.views.of(home_of(chat)).record_outcome(failed=True)
         assert daemon.admit(chat).target.replica != home_of(chat)
 
 
@@ -307,7 +307,7 @@
             for one in fleet.targets
         ]
         for daemon in fleet.daemons:
-            daemon.views.take_list(fleet.targets)
+            daemon.views.update_targets(fleet.targets)
             daemon.targets.take_list(fleet.targets)
 
     def test_owner_counts_nothing_of_the_old_process(self, fleet):
@@ -425,8 +425,8 @@
         daemon = fleet.daemon_by_name["d0"]
         fleet.unresponsive.update(name for name in DAEMONS if name != "d0")
         for replica in REPLICAS:
-            daemon.views.of(replica).note_report(40)
-        daemon.admission.asks = None
+            daemon.views.of(replica).record_report(40)
+        daemon.admission.owner_client = None
         with pytest.raises(_errors.Overloaded):
             daemon.admit(**ranked_request(next(chats()), 0))
 
@@ -448,7 +448,7 @@
 
         def report_head(seconds):
             slept.append(seconds)
-            first.admission.note_head(place, 1, 0, 0.1)
+            first.admission.handle_response_head(place, 1, 0, 0.1)
             fleet.clock.advance(seconds)
 
         fleet.clock.sleep = report_head
@@ -528,10 +528,10 @@
         owners = fleet.daemon_by_name[owner].owners
         ledger = owners.ledger_of(home_of(chat))
         fleet.clock.advance(1.5)
-        owners.drop_silent()
+        owners.drop_unresponsive()
         assert ledger.load == 1
         fleet.clock.advance(2.0)
-        owners.drop_silent()
+        owners.drop_unresponsive()
         assert ledger.load == 0
 
     def test_daemon_that_renews_keeps_its_slots(self, fleet):
@@ -541,5 +541,5 @@
         for _ in range(5):
             fleet.clock.advance(1.0)
             fleet.renew()
-            owners.drop_silent()
+            owners.drop_unresponsive()
         assert owners.ledger_of(home_of(chat)).load == 1
--- a/tests/topazlug/placement/test_replica_list.py
+++ b/tests/topazlug/placement/test_replica_list.py
@@ -20,7 +20,7 @@
         self.names = sorted(target.replica for target in targets)
 
     def take(self, *names, leaving=()):
-        self.list.take(
+        self.list.update(
             fixtures.target(name, leaving=name in leaving, port=ord(name))
             for name in names
         )
@@ -35,7 +35,7 @@
         """
         rig = Rig(monkeypatch, 60.0)
         rig.take("a", "b")
-        rig.list.note_store_reconnected(0.0)
+        rig.list.handle_store_reconnected(0.0)
         rig.take()
         assert rig.names == ["a", "b"]
         rig.take("a")
@@ -44,14 +44,14 @@
     def test_replica_that_does_not_renew_is_removed(self, monkeypatch):
         rig = Rig(monkeypatch, 0.05)
         rig.take("a", "b")
-        rig.list.note_store_reconnected(0.0)
+        rig.list.handle_store_reconnected(0.0)
         rig.take("a")
         routing_fixtures.wait_until(lambda: rig.names == ["a"])
 
     def test_leaving_replica_is_not_kept(self, monkeypatch):
         rig = Rig(monkeypatch, 60.0)
         rig.take("a", "b", leaving=["b"])
-        rig.list.note_store_reconnected(0.0)
+        rig.list.handle_store_reconnected(0.0)
         rig.take("a")
         assert rig.names == ["a"]
 
@@ -64,7 +64,7 @@
         """
         rig = Rig(monkeypatch, 60.0)
         rig.take("a", "b")
-        rig.list.note_store_reconnected(119.5)
+        rig.list.handle_store_reconnected(119.5)
         rig.take("a")
         assert rig.names == ["a"]
 
@@ -89,7 +89,7 @@
         seen = []
         rig.list._on_change = seen.append
         for entry in (old, new, old):
-            rig.list.take([entry])
+            rig.list.update([entry])
         assert seen[-1] == [new]
 
     def test_incarnation_may_be_lower_after_a_clock_step(self, monkeypatch):
@@ -97,7 +97,7 @@
         seen = []
         rig.list._on_change = seen.append
         for incarnation in (5, 3):
-            rig.list.take([fixtures.target("a", incarnation=incarnation)])
+            rig.list.update([fixtures.target("a", incarnation=incarnation)])
         assert seen[-1][0].incarnation == 3
 
     def test_entry_at_a_reused_address_is_ignored(self, monkeypatch):
@@ -119,7 +119,7 @@
             [other, new],
             [old, other, new],
         ):
-            rig.list.take(entries)
+            rig.list.update(entries)
         assert {target.replica for target in seen[-1]} == {"new", "other"}
 
     def test_replica_that_returns_to_its_address_is_used(self, monkeypatch):
@@ -128,7 +128,7 @@
         rig.list._on_change = seen.append
         old = fixtures.target("old", port=7)
         for entries in ([old], [], [old]):
-            rig.list.take(entries)
+            rig.list.update(entries)
         assert seen[-1] == [old]
 
     def test_replicas_first_seen_together_are_both_used(self, monkeypatch):
@@ -136,5 +136,5 @@
         rig = Rig(monkeypatch, 60.0)
         seen = []
         rig.list._on_change = seen.append
-        rig.list.take([fixtures.target(name, port=7) for name in "ab"])
+        rig.list.update([fixtures.target(name, port=7) for name in "ab"])
         assert len(seen[-1]) == 2
--- a/tests/topazlug/placement/test_replica_view.py
+++ b/tests/topazlug/placement/test_replica_view.py
@@ -12,9 +12,9 @@
 
 def note_outcomes(views, replica, *, failed, good):
     for _ in range(failed):
-        views.of(replica).note_outcome(failed=True)
+        views.of(replica).record_outcome(failed=True)
     for _ in range(good):
-        views.of(replica).note_outcome(failed=False)
+        views.of(replica).record_outcome(failed=False)
 
 
 class TestHealthy:
@@ -58,7 +58,7 @@
         clock = claim_fakes.FakeClock()
         view = _replica_view.ReplicaView(clock=clock)
         view.in_flight = 2
-        view.note_report(10)
+        view.record_report(10)
         assert view.load == 10
         clock.advance(1.0)
         assert view.load == 6
@@ -74,14 +74,14 @@
         """
         clock = claim_fakes.FakeClock()
         views = _replica_view.ReplicaViews(clock=clock)
-        views.of(ONE).note_report(12)
+        views.of(ONE).record_report(12)
         clock.advance(3.0)
         assert views.of(ONE).load == 0
         views.set_report_lifetime(
             _replica_view.LARGE_FLEET_REPORT_LIFETIME_SECONDS
         )
         assert views.of(ONE).load == 6
-        views.of(TWO).note_report(12)
+        views.of(TWO).record_report(12)
         clock.advance(3.0)
         assert views.of(TWO).load == 6
 
@@ -97,7 +97,7 @@
     @staticmethod
     def listed(views, incarnation):
         target = fixtures.target(ONE, incarnation=incarnation)
-        views.take_list([target])
+        views.update_targets([target])
         return target
 
     def test_load_latency_and_outcomes_are_reset(self):
@@ -105,8 +105,8 @@
         old = self.listed(views, 1)
         view = views.of_incarnation(old)
         view.in_flight = 3
-        view.note_latency(4.0)
-        view.note_report(60)
+        view.record_latency(4.0)
+        view.record_report(60)
         view.eject()
         new = self.listed(views, 2)
         fresh = views.of_incarnation(new)
@@ -119,7 +119,7 @@
         views.of_incarnation(old).in_flight += 1
         new = self.listed(views, 2)
         views.of_incarnation(old).in_flight -= 1
-        views.of_incarnation(old).note_outcome(failed=True)
+        views.of_incarnation(old).record_outcome(failed=True)
         assert views.of_incarnation(new).in_flight == 0
         assert views.of_incarnation(new).failures() == (0, 0)
 
@@ -127,7 +127,7 @@
         views = _replica_view.ReplicaViews(clock=claim_fakes.FakeClock())
         old = self.listed(views, 1)
         views.of_incarnation(old).in_flight += 1
-        views.take_list([])
+        views.update_targets([])
         new = self.listed(views, 2)
         assert views.of_incarnation(new).in_flight == 0
         views.of_incarnation(old).in_flight -= 1
--- a/tests/topazlug/placement/test_unreached_zone.py
+++ b/tests/topazlug/placement/test_unreached_zone.py
@@ -28,7 +28,7 @@
             for number, one in enumerate(self.fleet.targets)
         ]
         self.daemon.targets.take_list(targets)
-        self.daemon.views.take_list(targets)
+        self.daemon.views.update_targets(targets)
         self.unreachable = set()
         self._chats = itertools.count()
 
@@ -45,7 +45,9 @@
                 return waited
             waited += 1
             self.fleet.clock.advance(CONNECT_SECONDS)
-            self.daemon.admission.note_unreached(place, is_silent=True)
+            self.daemon.admission.handle_connection_failure(
+                place, timed_out=True
+            )
             self.daemon.targets.avoid(place.target.replica)
             excluded |= {place.target.replica}
 
--- a/tests/topazlug/routing/test_admission.py
+++ b/tests/topazlug/routing/test_admission.py
@@ -302,7 +302,7 @@
         entry = fleet.entry_by_name["d1"]
         blocking = admit(entry, 1)
         waiting = gevent.spawn(admit_or_error, entry, 1)
-        fixtures.wait_until(entry.owner.waiting)
+        fixtures.wait_until(entry.owner.queued_count)
         entry.targets.handle_report(blocking.target, status)
         entry.admission.release(blocking)
         assert isinstance(waiting.get(timeout=10), _errors.RequestError)
--- a/tests/topazlug/routing/test_owner.py
+++ b/tests/topazlug/routing/test_owner.py
@@ -51,7 +51,9 @@
             "home": False,
             **changes,
         }
-        self.owner.ask(PEER, messages.AdmitAsk(**fields), replies.append)
+        self.owner.handle_admission_request(
+            PEER, messages.AdmitAsk(**fields), replies.append
+        )
         return replies[0].verdict if replies else None
 
     def fill(self, count, **changes):
--- a/tests/topazlug_platform/crash_site.py
+++ b/tests/topazlug_platform/crash_site.py
@@ -158,7 +158,7 @@
         """Have all daemons read the platform's list of replicas."""
         targets = [one.target for one in self.replicas]
         for daemon in self.daemons:
-            daemon.replicas.take(targets)
+            daemon.replicas.update(targets)
 
     def replace_ended(self):
         """List a new replica for each that has ended."""
--- a/tests/topazlug_platform/platform_rig.py
+++ b/tests/topazlug_platform/platform_rig.py
@@ -110,7 +110,7 @@
                     f"i-{len(self._servers)}", port=one.server_port
                 )
             )
-        self.daemon.replicas.take(targets)
+        self.daemon.replicas.update(targets)
 
     def _recording(self, script):
         def serve(sock, address):
--- a/tests/topazlug_platform/test_forwarding.py
+++ b/tests/topazlug_platform/test_forwarding.py
@@ -189,7 +189,7 @@
         with running(route, scripts=[script]) as rig:
             known = list(rig.daemon.targets.target_by_replica.values())
             gone = [fixtures.target(f"gone-{n}", port=1) for n in range(3)]
-            rig.daemon.replicas.take([*known, *gone])
+            rig.daemon.replicas.update([*known, *gone])
             assert [rig.send()[0] for _ in range(8)] == [200] * 8
 
 
@@ -402,7 +402,7 @@
             daemon = rig.daemon
             cold = _cold_replicas.ColdStart(3.0, 14.0)
             daemon.targets.cold.set_cold_starts({fixtures.GROUP: cold})
-            daemon.replicas.take(
+            daemon.replicas.update(
                 [
                     fixtures.target("i-1"),
                     fixtures.target("i-2", zone="y"),
--- a/tests/topazlug_platform/test_words_of_replicas.py
+++ b/tests/topazlug_platform/test_words_of_replicas.py
@@ -123,7 +123,7 @@
             leaving.data = platform_rig.answer()
             (target,) = rig.daemon.targets.target_by_replica.values()
             again = msgspec.structs.replace(target, incarnation=2)
-            rig.daemon.replicas.take([again])
+            rig.daemon.replicas.update([again])
             assert rig.send()[0] == 200
 
 
