--- a/src/topazlug/capacity/_cold_rate.py
+++ b/src/topazlug/capacity/_cold_rate.py
@@ -7,9 +7,9 @@
 
 from typing import final
 
-# Fraction of the rate, and burst, that one owner admits. While daemons don't
-# agree on the owner two of them admit requests: together they stay below one
-# and a half times the rate plus five.
+# Fraction of the tolerated rate, and burst, that one owner admits. While
+# daemons disagree on the owner, two of them admit requests. Together they stay
+# below one and a half times the rate plus five.
 _RATE_FRACTION = 0.75
 _MAX_TOKENS = 2.0
 
@@ -18,8 +18,8 @@
 class ColdRateLimiter:
     """Token bucket for the requests to a cold replica.
 
-    It starts with a single token: a daemon that takes over from an owner which
-    has just admitted a full burst must not admit another one.
+    It starts with a single token, as the previous owner of the replica may
+    have just admitted a full burst.
     """
 
     def __init__(self) -> None:
--- a/src/topazlug/capacity/_rank_limits.py
+++ b/src/topazlug/capacity/_rank_limits.py
@@ -11,11 +11,11 @@
 from typing import final
 
 # A queue of this fraction of the slots keeps a replica busy. A shorter one is
-# refilled too late, as the owner learns of a released slot some milliseconds
-# later. At least two, for replicas with few slots.
+# refilled too late, as a release reaches the owner some milliseconds later.
+# At least two requests, for replicas with few slots.
 _QUEUE_FRACTION = 1 / 16
 _MIN_QUEUE = 2
-# The limit never falls below this fraction of the slots: otherwise reports
+# The limit never falls below this fraction of the slots. Otherwise reports
 # could never show that the replica can run more.
 _MIN_LIMIT_FRACTION = 1 / 8
 # Reports come with each answer. The limit changes at most once in this time,
@@ -67,7 +67,7 @@
         return int(self._limit)
 
     @property
-    def queue(self) -> int:
+    def max_queue(self) -> int:
         """Return the number of requests that may wait on the replica."""
         return max(_MIN_QUEUE, int(self._slots * _QUEUE_FRACTION))
 
@@ -106,12 +106,12 @@
         """
         if now - self._changed_at < _STEP_SECONDS:
             return
-        if waiting > self.queue and slow:
+        if waiting > self.max_queue and slow:
             min_limit = max(1.0, self._slots * _MIN_LIMIT_FRACTION)
-            sustainable = max(min_limit, float(running + self.queue))
+            sustainable = max(min_limit, float(running + self.max_queue))
             lower = max(sustainable, self._limit * _MAX_DECREASE)
             self._limit = min(self._limit, lower)
-        elif waiting <= self.queue / 2:
+        elif waiting <= self.max_queue / 2:
             step = max(1.0, self._slots * _INCREASE_FRACTION)
             self._limit = min(float(self._slots), self._limit + step)
         self._changed_at = now
--- a/src/topazlug/capacity/_reservations.py
+++ b/src/topazlug/capacity/_reservations.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-# Minimum delay of a retry: a busy replica releases some ten slots in this
+# Minimum delay of a retry. A busy replica releases some ten slots in that
 # time.
 _MIN_DELAY_SECONDS = 0.05
 # Jitter as a fraction of the delay, so that requests rejected at the same
@@ -69,8 +69,8 @@
         """
         self._remove_expired(now)
         reservations = self._reservation_by_prompt.values()
-        before = sum(one.rank <= rank for one in reservations)
-        wait = _MIN_DELAY_SECONDS + before * interval / _RETRY_FRACTION
+        ahead = sum(reservation.rank <= rank for reservation in reservations)
+        wait = _MIN_DELAY_SECONDS + ahead * interval / _RETRY_FRACTION
         wait *= 1.0 + _JITTER * self._random_fraction()
         return min(wait, max_delay)
 
@@ -109,11 +109,11 @@
         soon = now + _EXPIRY_SECONDS / 2
         least_urgent = rank - 1 if is_due else rank
         return sum(
-            one.rank <= least_urgent and one.due <= soon
-            for one in self._reservation_by_prompt.values()
+            reservation.rank <= least_urgent and reservation.due <= soon
+            for reservation in self._reservation_by_prompt.values()
         )
 
     def _remove_expired(self, now: float) -> None:
-        for prompt, one in list(self._reservation_by_prompt.items()):
-            if now > one.due + _EXPIRY_SECONDS:
+        for prompt, reservation in list(self._reservation_by_prompt.items()):
+            if now > reservation.due + _EXPIRY_SECONDS:
                 del self._reservation_by_prompt[prompt]
--- a/src/topazlug/capacity/_shared_backoff.py
+++ b/src/topazlug/capacity/_shared_backoff.py
@@ -1,14 +1,14 @@
-"""Backoffs that a replica has asked several daemons for.
+"""Backoffs that a replica has requested from several daemons.
 
-Load pattern: a replica rejects requests for seconds and asks each daemon that
-it answers for a backoff. A daemon sees only a small part of the requests, so
-each of 70 daemons would have a request rejected before it backs off, and
-another one after each backoff.
+Load pattern: a replica rejects requests for seconds, and each rejection
+requests a backoff from the daemon that sent the request. Without sharing, each
+of 70 daemons would have a request rejected before it backs off, and another
+one after each backoff, as each sees only a small part of the requests.
 
-A backoff that only one daemon was asked for may concern that daemon. One that
-several daemons were asked for concerns the replica, unless it serves most of
-its requests: a replica that is slightly over its limit rejects a few, and
-would idle if all daemons backed off.
+If only one daemon is in backoff, the cause may be that daemon. If several are,
+the backoff applies to all daemons, unless the replica serves most of its
+requests: one that is slightly over its limit rejects a few, and would idle if
+all daemons backed off.
 """
 
 from typing import final
@@ -24,7 +24,7 @@
 
 @final
 class SharedBackoff:
-    """Backoffs that a replica has asked daemons for."""
+    """Backoffs that one replica has requested, by daemon."""
 
     def __init__(self) -> None:
         self._until_by_daemon: dict[_ids.DaemonId, float] = {}
@@ -34,7 +34,7 @@
     def record(
         self, daemon: _ids.DaemonId, *, seconds: float, now: float
     ) -> None:
-        """Record that a daemon was asked for a backoff.
+        """Record that the replica requested a backoff from a daemon.
 
         Parameters
         ----------
@@ -47,7 +47,7 @@
         """
         self._remove_expired(now)
         if not self._until_by_daemon:
-            # The rejected request had been admitted before.
+            # The rejected request itself was admitted before.
             self._admitted = 1
             self._rejected = 0
         self._rejected += 1
@@ -66,7 +66,7 @@
             self._admitted += 1
 
     def remaining(self, *, now: float) -> float:
-        """Return the seconds for which no daemon should send it a request."""
+        """Return the remaining seconds of the backoff for all daemons."""
         if self._rejected < _MIN_REJECTED_FRACTION * self._admitted:
             return 0.0
         ends = sorted(self._until_by_daemon.values(), reverse=True)
--- a/src/topazlug/capacity/_slot_key.py
+++ b/src/topazlug/capacity/_slot_key.py
@@ -6,7 +6,7 @@
 
 
 class SlotKey(NamedTuple):
-    """The daemon that holds a slot, and the number it gave that slot."""
+    """Daemon that holds a slot, and the number of its admission request."""
 
     daemon: _ids.DaemonId
     ask: _ids.AskNumber
--- a/src/topazlug/capacity/_start_allowance.py
+++ b/src/topazlug/capacity/_start_allowance.py
@@ -1,9 +1,9 @@
 """What an owner admits just after its start, before it has the mean load.
 
 Load pattern: all daemons lose power, and all callers return at the same time.
-Owners count from zero: each first request makes its home the fullest replica,
-over any multiple of a mean near zero. Sent elsewhere, half of the chats would
-have their contexts read again by replicas that are nearly idle.
+Owners count from zero. The first request to a replica puts it over the bound,
+which is a multiple of a mean near zero. If these requests were sent elsewhere,
+half of the chats would have their contexts read again by nearly idle replicas.
 """
 
 from typing import final
@@ -20,9 +20,10 @@
     Parameters
     ----------
     fraction : float
-        Fraction of the replica's slots; 0 to admit none.
+        Fraction of a replica's slots up to which requests are admitted
+        regardless of the mean; 0 for no allowance.
     started_at : float
-        Monotonic seconds.
+        Monotonic time in seconds at which the owner started.
     """
 
     def __init__(self, *, fraction: float, started_at: float) -> None:
--- a/src/topazlug/limits/_fair_queue.py
+++ b/src/topazlug/limits/_fair_queue.py
@@ -2,7 +2,7 @@
 
 Start-time fair queueing [1]_: each team's requests have virtual start times
 that are spaced by size over weight, and the earliest is served first. A burst
-of one team queues up behind itself and does not delay other teams. When the
+of one team delays that team's own requests, not those of others. When the
 queue is full, the newest entry of the team with most entries is evicted, so
 that a burst can't keep the others out.
 
@@ -158,8 +158,9 @@
     def _keep_finish_time(self, team: _ids.TeamName, finish: float) -> None:
         """Keep an idle team's finish time while it lies in the future.
 
-        Otherwise a team of small weight that sends one request at a time would
-        start level with the others each time, and get as much service as they.
+        Otherwise each request of a team that sends one at a time would start
+        at the current virtual time, and a team of small weight would get as
+        much service as the others.
         """
         idle = self._finish_by_idle_team
         if finish > self._virtual_time:
@@ -167,7 +168,8 @@
         if len(idle) <= self._capacity:
             return
         # Bounds memory, as there may be 13,000 teams on each replica. Teams
-        # whose finish time has passed start level with the others anyway.
+        # whose finish time has passed would start at the current virtual time
+        # anyway.
         for name in [n for n, at in idle.items() if at <= self._virtual_time]:
             del idle[name]
         while len(idle) > self._capacity:
--- a/src/topazlug/limits/_quota_owner.py
+++ b/src/topazlug/limits/_quota_owner.py
@@ -1,10 +1,11 @@
 """The owner of a team's ceiling, which lends parts of it to other daemons.
 
-Of a rate it lends a number of requests that may start until the slice
-expires; of a ceiling on running requests it lends a number that may run, as a
-lease. Both are soft state: a new owner starts with an empty bucket and learns
-from the daemons' requests what runs, so a change of owner never lends the same
-part twice for longer than a slice lasts.
+A team may have a ceiling on its request rate and one on its running requests.
+Of the rate, the owner lends slices: numbers of requests that may start until
+the slice expires. Of the running requests it lends leases: numbers of requests
+that may run. Both are soft state. A new owner starts with an empty bucket, and
+daemons report what runs in their requests for slices. So after a change of
+owner, no part is lent twice for longer than a slice lasts.
 """
 
 from collections.abc import Callable
--- a/src/topazlug/limits/_quotas.py
+++ b/src/topazlug/limits/_quotas.py
@@ -82,8 +82,8 @@
     refused: int = 0
     even_share_at: float = 0.0
 
-    def note_demand(self, now: float) -> None:
-        """Update the smoothed rate of requests a second."""
+    def record_request(self, now: float) -> None:
+        """Count a request in the smoothed rate, in requests a second."""
         gap = max(1e-6, now - self.requested_at)
         weight = 1.0 - math.exp(-gap / _SMOOTHING_SECONDS)
         self.rate += weight * (1.0 / gap - self.rate)
@@ -154,11 +154,11 @@
         Raises
         ------
         TeamCeiling
-            The team uses all that its row allows; the error has the delay
-            after which a retry makes sense.
+            The team uses all that its row allows. The error has a suggested
+            retry delay.
         """
         usage = self._team_usage(_ids.TeamName(team.name))
-        usage.note_demand(self._clock.monotonic())
+        usage.record_request(self._clock.monotonic())
         if not team.ceiling_rate and not team.ceiling_running:
             return _Ticket(usage)
         if not self._has_capacity(team, usage):
@@ -338,10 +338,10 @@
     def renew(self) -> None:
         """Renew leases so that the owners' counts match what runs.
 
-        Called every half second. Renewed are leases that are larger than what
-        runs, that are about to expire, or that were lent by a daemon that no
-        longer owns the team: long answers request nothing by themselves, so a
-        new owner learns of them only in this way.
+        Called every half second. A lease is renewed if it is larger than what
+        runs, if it may no longer be used, or if the daemon that lent it no
+        longer owns the team. While a long answer runs, no slice is requested
+        for it, so a new owner is notified of it only by these renewals.
         """
         now = self._clock.monotonic()
         for team, usage in list(self._usage_by_team.items()):
@@ -373,8 +373,7 @@
     def _owner_of(self, team: _ids.TeamName) -> _ids.DaemonId | None:
         """Return a team's owner, cached while the daemons stay the same.
 
-        Ranking 880 daemons takes 135 us, half the cost of a request for a
-        slice.
+        Ranking 880 daemons takes 135 us, half the cost of requesting a slice.
         """
         daemons = self._daemons()
         if daemons is not self._ranked_daemons:
--- a/src/topazlug/limits/_retry_share.py
+++ b/src/topazlug/limits/_retry_share.py
@@ -3,7 +3,7 @@
 The limit applies to the whole fleet: in any window, retries of a service stay
 below a fraction of its requests plus a fixed number. Each daemon counts its
 own requests; the fixed number is split evenly. The shares add up to the limit
-without messages, as long as the number of daemons is not underestimated.
+without messages, as long as no daemon assumes fewer daemons than there are.
 """
 
 import collections
@@ -12,8 +12,8 @@
 from topazlug import _clock
 from topazlug import _ids
 
-# Events near the edge of a window may count in another window where the limit
-# is checked; a tenth is left as a margin for that.
+# An event near the edge of a window here may fall into another window where
+# the limit is checked. A tenth is left as a margin for that.
 _SAFETY_FACTOR = 0.9
 
 
--- a/src/topazlug/placement/_context_locator.py
+++ b/src/topazlug/placement/_context_locator.py
@@ -3,9 +3,9 @@
 The replica that read a prompt's shared parts last keeps them. When the chat
 moves (a replica joins, drains, fails or is over its bound), the new replica
 can copy the parts from there, for a tenth of the cost of reading them again.
-Each daemon sees only a part of the requests, so besides its own records it
-uses the ranking: before a replica joined, the chat's home was the first of
-the other replicas.
+Each daemon sees only a part of the requests, so it may have no record of the
+last read. The source is then the chat's previous home: the first replica in
+the ranking of those that have not joined recently.
 """
 
 import collections
@@ -21,8 +21,8 @@
 from topazlug.targets import _targets
 
 _MAX_CHATS = 20000
-# After this many seconds nearly all active chats have sent a request to their
-# new home, so that it holds the context itself.
+# This long after a replica has joined, nearly all of its active chats have
+# sent it a request, so that it holds their contexts itself.
 _SETTLE_SECONDS = 12.0
 # Maximum age of a recorded read that is still used as a source.
 _MAX_READ_AGE_SECONDS = 30.0
@@ -129,8 +129,8 @@
         target = self._targets.target_by_replica.get(replica)
         if target is None or target.group != chosen.group:
             return False
-        # A replica that is down or in an unreachable zone can't serve the
-        # copy either: the request would wait for it before it is read.
+        # A replica that is down or in an unreachable zone can't serve a copy.
+        # The request would wait for the copy before its prompt is read.
         if not self._targets.reachability.is_reachable(target.zone):
             return False
         return self._targets.is_answering(replica)
@@ -140,7 +140,7 @@
     ) -> _targets.Target | None:
         """Return the chat's home before replicas joined, if it changed."""
         known = self._targets.known(chosen.group)
-        before = [one for one in known if self._is_settled(one)]
+        before = [replica for replica in known if self._is_settled(replica)]
         home = _ranking.first(before, chat)
         if home is None or home == chosen.replica:
             return None
--- a/src/topazlug/placement/_owner_admission.py
+++ b/src/topazlug/placement/_owner_admission.py
@@ -1,9 +1,9 @@
-"""Places requests by the owners' counts, or by own views if no owner replies.
+"""Places requests by the owners' counts, or by views if no owner replies.
 
 Each replica's load is counted by one daemon, its owner. A daemon that sees
 only a small part of the requests would assume that a full replica is empty;
 the owner counts all of them. If the owner does not reply, the request does
-not wait for another one: this daemon's own view decides.
+not wait for another owner. It is placed by this daemon's own view.
 """
 
 from typing import final
@@ -36,12 +36,12 @@
 
 @final
 class OwnerOrViewAdmission:
-    """Admits requests by asking the replicas' owners.
+    """Admits requests through owners, or by views if no owner replies.
 
     Parameters
     ----------
     view_admission : ViewAdmission
-        Decides where no owner replies.
+        Admits requests if no owner replies.
     targets : TargetDirectory
         Replicas that may get new work.
     views : ReplicaViews
@@ -102,7 +102,7 @@
             return self._place_by_latency(owner_client, request)
         if _mechanisms.Mechanism.RANK_LIMITS in self._disabled:
             request = msgspec.structs.replace(request, rank=-1)
-        placement = self._ask_owners(owner_client, request)
+        placement = self._search_owners(owner_client, request)
         return (
             self._place_by_view(owner_client, request)
             if placement is None
@@ -116,12 +116,13 @@
     ) -> _placement.Placement:
         """Place a request of a group whose replicas keep no context.
 
-        Owners are asked only if all replicas have just started, as only they
-        count the requests that a cold replica got in the last second.
+        Admission requests are sent only if all replicas are cold, as only
+        the owners count the requests that a cold replica got in the last
+        second.
         """
         if self._view_admission.warm(self._view_admission.candidates(request)):
             return self._view_admission.admit(request)
-        placement = self._ask_owners(owner_client, request)
+        placement = self._search_owners(owner_client, request)
         return (
             self._view_admission.admit(request)
             if placement is None
@@ -136,8 +137,8 @@
         """Place a request without an owner's reply, and report it later.
 
         The next renewal reports the slot to the owner. Otherwise an owner
-        that recovers would count too little load, by all requests that were
-        placed meanwhile, and admit as many again.
+        that recovers would not count the requests that were placed meanwhile,
+        and would admit as many again.
         """
         placement = self._view_admission.admit(request)
         placement.ask = owner_client.new_number()
@@ -146,12 +147,12 @@
         )
         return placement
 
-    def _ask_owners(
+    def _search_owners(
         self,
         owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
     ) -> _placement.Placement | None:
-        """Ask owners, and once more if a reserved slot is due soon enough.
+        """Search among owners, again if a reserved slot is due soon enough.
 
         A slot is reserved for a rejected request. If it is due while the
         answer can still be on time, the request waits for it here instead
@@ -209,14 +210,14 @@
     ) -> None:
         """Handle a failed connection to a replica.
 
-        The replica may be restarting, which its entry shows only seconds
-        later. Its owner is notified, as it must not send a restarted replica
-        all of its chats at once.
+        The replica may be restarting, which its entry in the platform's list
+        shows only seconds later. Its owner is notified, as it must not admit
+        all of the replica's chats at once after a restart.
 
         Parameters
         ----------
-        placement : Place
-            Where the request was to run.
+        placement : Placement
+            Placement of the request that could not be sent.
         timed_out : bool
             Whether the connection timed out rather than being refused.
         """
@@ -238,19 +239,19 @@
     ) -> None:
         """Report the load in a response head to the replica's owner.
 
-        Reports only that a context was read, that requests wait on the
-        replica, and once that none waits any more. This includes requests that
-        were placed without the owner, as it could not keep those within its
-        limits.
+        A report is sent if a context was read or requests wait on the
+        replica, and once after the last of them has left its queue. Responses
+        to requests that were placed without the owner are reported too, as
+        the owner could not apply its limits to these.
 
         Parameters
         ----------
-        placement : Place
-            Where the answer comes from.
+        placement : Placement
+            Placement of the request that was answered.
         running, waiting : int
             Requests that the replica reports as running and as waiting.
         seconds : float
-            Time until the head arrived.
+            Seconds until the head arrived.
         """
         if self.owner_client is None:
             return
@@ -277,7 +278,7 @@
         """Release a slot; further calls do nothing."""
         if placement.released:
             return
-        # Slots that no owner counts are numbered separately, so another
+        # Slots that no owner counts have numbers of their own, so a counted
         # slot may be held under the same number.
         if self.owner_client is not None:
             held = self.owner_client.held_placements.placement_by_ask
--- a/src/topazlug/placement/_owner_search.py
+++ b/src/topazlug/placement/_owner_search.py
@@ -1,4 +1,4 @@
-"""Asks owners for a slot, one replica after the other in a chat's ranking."""
+"""Search for a slot through the owners of the replicas in a chat's ranking."""
 
 from typing import final
 
@@ -15,9 +15,10 @@
 from topazlug.targets import _targets
 
 _log = _logs.logger("forwarding")
-# Replicas whose owners are asked for one request. If the home is over its
-# bound, the next replica in the ranking nearly always has free capacity; each
-# admission request to another zone costs the caller some 2 ms.
+# Number of replicas whose owners are asked for one request. If the home is
+# over its bound, the next replica in the ranking nearly always has free
+# capacity. Each admission request to another zone delays the caller by some
+# 2 ms.
 _MAX_RANKED = 3
 # Fraction of the latency objective to wait for an owner's reply, and the
 # maximum: on a slow link the reply is queued behind whole bodies.
@@ -46,7 +47,7 @@
 
 @final
 class OwnerSearch:
-    """Asks owners in the order of a chat's ranking.
+    """Sends admission requests to owners in the order of a chat's ranking.
 
     Parameters
     ----------
@@ -86,14 +87,15 @@
         owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
     ) -> _placement.Placement | None:
-        """Ask owners in the order of the chat's ranking.
+        """Send admission requests in the order of the chat's ranking.
 
         Returns
         -------
         Placement or None
-            None if an owner does not reply or can't decide, if the granted
-            replica has left meanwhile, or if all replicas are in backoff:
-            the caller then decides by its own views.
+            None if an owner does not reply, replies that it does not own the
+            replica or can't use it, if the granted replica has left
+            meanwhile, or if all replicas are in backoff. The caller then
+            places the request by its own views.
 
         Raises
         ------
@@ -109,7 +111,7 @@
         rejections: dict[_ids.ReplicaId, _owner_client.OwnerReply] = {}
         while pending:
             replica = pending.pop(0)
-            answer = self._ask_one(
+            answer = self._request_admission(
                 owner_client,
                 request,
                 replica,
@@ -133,7 +135,7 @@
                 return placement
             elif verdict is messages.Verdict.elsewhere:
                 displaced_to = _ids.ReplicaId(answer.reply.replica)
-                others = [one for one in ranked if one != displaced_to]
+                others = [other for other in ranked if other != displaced_to]
                 pending = (
                     [displaced_to, *others]
                     if displaced_to in candidates
@@ -144,7 +146,7 @@
             else:
                 return None
         if not rejections:
-            # All replicas that were asked for are in backoff.
+            # All replicas whose owners were asked are in backoff.
             return None
         reserved_at = home if home in rejections else next(iter(rejections))
         return self._resolve_rejections(
@@ -167,9 +169,9 @@
         if len(warm) == len(candidates) or not set(ranked) - set(warm):
             return []
         found = _ranked(warm, request, count=_MAX_RANKED)
-        return [one for one in found if one not in ranked]
+        return [replica for replica in found if replica not in ranked]
 
-    def _ask_one(
+    def _request_admission(
         self,
         owner_client: _owner_client.OwnerClient,
         request: _placement.PlacementRequest,
@@ -177,7 +179,7 @@
         *,
         home: bool,
     ) -> _owner_client.OwnerReply | None:
-        """Ask one owner, repeatedly while the request's context is being read.
+        """Ask one owner, again while another request reads the same context.
 
         Without this wait, the engine would read the same prompt a second
         time in parallel. After the maximum wait the request proceeds anyway.
@@ -270,7 +272,7 @@
         Replicas queue requests by rank, which works better than letting them
         wait here. The owner counts the slot from the next renewal on.
         """
-        replica = min(rejections, key=lambda one: rejections[one].reply.load)
+        replica = min(rejections, key=lambda name: rejections[name].reply.load)
         answer = rejections[replica]._replace(ask=owner_client.new_number())
         return self._hold_slot(owner_client, request, replica, answer, home)
 
@@ -284,10 +286,10 @@
     ) -> _placement.Placement | None:
         """Hold a slot; return None if the replica has left meanwhile.
 
-        The list of replicas may have changed while owners were asked. Without
-        this check the request would go to a replica that is leaving or gone,
-        and if that raised an error here, the owner would count the slot for as
-        long as this daemon runs.
+        The list of replicas may have changed before the owner's reply. Without
+        this check, the request would go to a replica that is leaving or gone.
+        An error raised here for a replica that is gone would leave the slot
+        counted by the owner for as long as this daemon runs.
         """
         if not self._targets.is_usable(replica):
             owner_client.held_placements.send_release(answer.owner, answer.ask)
@@ -335,4 +337,4 @@
     """Return the next replica to ask in place of one in backoff, if any."""
     count = min(len(candidates), len(asked) + 1)
     found = _ranked(candidates, request, count=count)
-    return [one for one in found if one not in asked][:1]
+    return [replica for replica in found if replica not in asked][:1]
--- a/src/topazlug/placement/_owners.py
+++ b/src/topazlug/placement/_owners.py
@@ -1,4 +1,4 @@
-"""This daemon's role as an owner: it counts load of replicas for the fleet."""
+"""The owner role of a forwarding daemon, and its client of other owners."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -17,8 +17,8 @@
 from topazlug.targets import _targets
 
 # A replica may hold this multiple of its group's mean load plus the allowance.
-# No replica may get requests above 2 times the mean plus 3; the difference
-# covers the time until a change of the mean is reported.
+# The limit that must not be exceeded is 2 times the mean plus 3. The
+# difference covers the time until a change of the mean is reported.
 _BOUND_FACTOR = 2.0
 _ALLOWANCE = 2
 # An owner in another zone replies within some 3 ms; one that takes ten times
@@ -42,7 +42,7 @@
         return _BOUND_FACTOR
 
     def allowance_of(self, group: _ids.GroupName) -> int:
-        """Return the load units that a replica may hold beyond that."""
+        """Return the load units allowed on top of that multiple."""
         return _ALLOWANCE
 
     def slots_of(self, group: _ids.GroupName) -> int:
@@ -60,14 +60,14 @@
 
 @final
 class OwnerRole:
-    """Counts the load of the replicas owned here, and asks other owners.
+    """Counts the load of owned replicas, and sends requests to other owners.
 
     Parameters
     ----------
     daemon : DaemonId
         This daemon.
     links : PeerLinks
-        Streams to peers.
+        Connections to peers.
     targets : TargetDirectory
         Replicas.
     clock : Clock
@@ -113,7 +113,7 @@
             timeout=_OWNER_TIMEOUT_SECONDS,
             clock=clock,
         )
-        self._duties = _owner_endpoint.OwnerEndpoint(
+        self._endpoint = _owner_endpoint.OwnerEndpoint(
             daemon=daemon,
             owner=owner,
             held_placements=self.owner_client.held_placements,
@@ -122,8 +122,8 @@
             routing=routing,
             clock=clock,
         )
-        self._duties.register()
-        self._ownership.on_transfer(self._duties.on_transfer)
+        self._endpoint.register()
+        self._ownership.on_transfer(self._endpoint.on_transfer)
         targets.on_change(self._update)
 
     def update_daemons(self, daemons: Mapping[_ids.DaemonId, Any]) -> None:
@@ -148,29 +148,29 @@
 
     def report(self) -> None:
         """Report the load of the replicas owned here to collectors, if due."""
-        self._duties.report()
+        self._endpoint.report()
 
     @property
     def is_reporting(self) -> bool:
         """Return whether a report is in progress."""
-        return self._duties.is_reporting
+        return self._endpoint.is_reporting
 
     def drop_unresponsive(self) -> None:
         """Release the slots of daemons that stopped renewing them."""
         replicas = self._targets.target_by_replica
         owners = {self._ownership.owner_of(replica) for replica in replicas}
-        self._duties.drop_unresponsive(len(owners))
+        self._endpoint.drop_unresponsive(len(owners))
 
-    def _drop_silent_forever(self) -> None:
+    def _drop_unresponsive_forever(self) -> None:
         while True:
             self._clock.sleep(_DROP_INTERVAL_SECONDS)
             self.drop_unresponsive()
 
     def start(self) -> list[Any]:
         """Start the periodic tasks and return their greenlets."""
-        duties = (
-            self._duties.renew_forever,
-            self._duties.report_forever,
-            self._drop_silent_forever,
+        tasks = (
+            self._endpoint.renew_forever,
+            self._endpoint.report_forever,
+            self._drop_unresponsive_forever,
         )
-        return [_tasks.spawn(duty, clock=self._clock) for duty in duties]
+        return [_tasks.spawn(task, clock=self._clock) for task in tasks]
--- a/src/topazlug/placement/_replica_list.py
+++ b/src/topazlug/placement/_replica_list.py
@@ -42,8 +42,8 @@
     on_change : callable
         Called with all targets after each change.
     unreachable : float
-        Seconds from the loss of the store within which a daemon may still
-        use replicas that have left.
+        Seconds after the loss of the store during which a daemon may still
+        send requests to replicas that have left.
     clock : Clock
         Time.
     """
@@ -73,16 +73,18 @@
             _ids.ReplicaId, collections.deque[int]
         ] = {}
 
-    def handle_store_reconnected(self, lost_since: float) -> None:
-        """Start the grace period after the connection to the store was lost.
+    def handle_store_reconnected(self, seconds_since_failure: float) -> None:
+        """Start the grace period when the store is reachable again.
 
         Parameters
         ----------
-        lost_since : float
-            Seconds since the last failed call to the store began; it may
-            have been reachable again for this long.
+        seconds_since_failure : float
+            Seconds since the start of the last call to the store that failed.
+            The store may have been reachable again for this long.
         """
-        seconds = min(_GRACE_SECONDS, self._max_disconnected - lost_since)
+        seconds = min(
+            _GRACE_SECONDS, self._max_disconnected - seconds_since_failure
+        )
         self._grace_until = self._clock.monotonic() + seconds
 
     def update(self, targets: Iterable[_targets.Target]) -> None:
@@ -149,7 +151,11 @@
                 replica=replica,
             )
         self._superseded = frozenset(fresh.keys() - kept)
-        return {one: fresh[one] for one in fresh if one in kept}
+        return {
+            replica: target
+            for replica, target in fresh.items()
+            if replica in kept
+        }
 
     def _record_first_seen(self, replicas: Iterable[_ids.ReplicaId]) -> None:
         list_number = next(self._list_numbers)
--- a/src/topazlug/placement/_replica_view.py
+++ b/src/topazlug/placement/_replica_view.py
@@ -74,7 +74,7 @@
         self.report_seconds = report_seconds
         self.in_flight = 0
         self.latency = 0.0
-        self._others = 0
+        self._load_of_others = 0
         self._reported_at = -math.inf
         self._outcomes: collections.deque[_Outcome] = collections.deque(
             maxlen=_MAX_OUTCOMES
@@ -87,8 +87,8 @@
     def load(self) -> float:
         """Return the estimated requests that the replica holds in total."""
         age = self._clock.monotonic() - self._reported_at
-        fresh = max(0.0, 1.0 - age / self.report_seconds)
-        return self.in_flight + self._others * fresh
+        weight = max(0.0, 1.0 - age / self.report_seconds)
+        return self.in_flight + self._load_of_others * weight
 
     @property
     def report_age(self) -> float | None:
@@ -99,11 +99,11 @@
 
     def record_report(self, held: int) -> None:
         """Record the number of requests that the replica reports to hold."""
-        self._others = max(0, held - self.in_flight)
+        self._load_of_others = max(0, held - self.in_flight)
         self._reported_at = self._clock.monotonic()
 
     @property
-    def is_known(self) -> bool:
+    def has_current_report(self) -> bool:
         """Return whether a report of its load still counts."""
         age = self._clock.monotonic() - self._reported_at
         return age < self.report_seconds
@@ -143,7 +143,9 @@
         oldest = self._clock.monotonic() - _OUTCOME_SECONDS
         while self._outcomes and self._outcomes[0].at < oldest:
             self._outcomes.popleft()
-        return sum(one.failed for one in self._outcomes), len(self._outcomes)
+        return sum(outcome.failed for outcome in self._outcomes), len(
+            self._outcomes
+        )
 
     @property
     def is_ejected(self) -> bool:
@@ -232,7 +234,7 @@
 
         The view of a gone replica is kept while it holds requests.
         """
-        listed = {one.replica: one.incarnation for one in targets}
+        listed = {target.replica: target.incarnation for target in targets}
         for replica, view in list(self._view_by_replica.items()):
             incarnation = self._incarnation_by_replica.get(replica)
             restarted = incarnation is not None and incarnation != listed.get(
@@ -260,11 +262,15 @@
         if _mechanisms.Mechanism.OUTLIER_EJECTION in self._disabled:
             return candidates
         self._eject_outliers(candidates)
-        healthy = [one for one in candidates if not self.of(one).is_ejected]
+        healthy = [
+            replica
+            for replica in candidates
+            if not self.of(replica).is_ejected
+        ]
         return healthy if len(healthy) * 2 >= len(candidates) else candidates
 
     def _eject_outliers(self, replicas: list[_ids.ReplicaId]) -> None:
-        counts = {one: self.of(one).failures() for one in replicas}
+        counts = {replica: self.of(replica).failures() for replica in replicas}
         failed = sum(count[0] for count in counts.values())
         ended = sum(count[1] for count in counts.values())
         for replica, (own_failed, own_ended) in counts.items():
--- a/src/topazlug/placement/_view_admission.py
+++ b/src/topazlug/placement/_view_admission.py
@@ -114,12 +114,12 @@
         return self._views.healthy(self._reachable(usable))
 
     def _reachable(self, usable: list[_ids.ReplicaId]) -> list[_ids.ReplicaId]:
-        """Exclude replicas in unreachable zones, unless all are in such."""
-        zone_of = self._targets.target_by_replica
+        """Exclude replicas in unreachable zones, unless no other is left."""
+        targets = self._targets.target_by_replica
         found = [
-            one
-            for one in usable
-            if self._targets.reachability.is_reachable(zone_of[one].zone)
+            replica
+            for replica in usable
+            if self._targets.reachability.is_reachable(targets[replica].zone)
         ]
         return found or usable
 
@@ -130,7 +130,7 @@
 
     def warm(self, candidates: list[_ids.ReplicaId]) -> list[_ids.ReplicaId]:
         """Return the candidates that have not just started."""
-        return [one for one in candidates if not self.is_cold(one)]
+        return [replica for replica in candidates if not self.is_cold(replica)]
 
     def _without_cold(
         self,
@@ -177,9 +177,9 @@
         if request.rank < 0:
             return candidates
         found = [
-            one
-            for one in candidates
-            if not self._views.of(one).is_full(request.rank)
+            replica
+            for replica in candidates
+            if not self._views.of(replica).is_full(request.rank)
         ]
         if not found:
             raise _errors.Overloaded(
@@ -192,16 +192,20 @@
     def _loads(
         self, candidates: list[_ids.ReplicaId]
     ) -> dict[_ids.ReplicaId, float]:
-        """Return loads; a replica without a report is assumed at the mean.
+        """Return the loads; at least the mean if there is no current report.
 
-        Assumed empty, it would be the least loaded replica of all daemons.
+        Otherwise it would be the least loaded replica for every daemon.
         """
-        views = {one: self._views.of(one) for one in candidates}
-        known = [view.load for view in views.values() if view.is_known]
+        views = {replica: self._views.of(replica) for replica in candidates}
+        known = [
+            view.load for view in views.values() if view.has_current_report
+        ]
         mean = sum(known) / len(known) if known else 0.0
         return {
-            one: view.load if view.is_known else max(view.load, mean)
-            for one, view in views.items()
+            replica: (
+                view.load if view.has_current_report else max(view.load, mean)
+            )
+            for replica, view in views.items()
         }
 
     def _check_capacity(
@@ -226,20 +230,24 @@
         )
 
     def _mean(self, candidates: list[_ids.ReplicaId]) -> float:
-        total = sum(self._views.of(one).load for one in candidates)
+        total = sum(self._views.of(replica).load for replica in candidates)
         return total / len(candidates)
 
     def _fastest(self, candidates: list[_ids.ReplicaId]) -> _ids.ReplicaId:
         """Return a replica with about the least expected time to an answer."""
 
-        def expected(replica: _ids.ReplicaId) -> float:
+        def expected_seconds(replica: _ids.ReplicaId) -> float:
             view = self._views.of(replica)
             latency = max(view.latency, _DEFAULT_LATENCY_SECONDS)
             return latency * (view.load + 1.0)
 
-        best = min(map(expected, candidates))
+        best = min(map(expected_seconds, candidates))
         # Daemons with the same reports must not all choose the same replica.
-        near = [one for one in candidates if expected(one) <= 1.25 * best]
+        near = [
+            replica
+            for replica in candidates
+            if expected_seconds(replica) <= 1.25 * best
+        ]
         return near[next(self._round_robin) % len(near)]
 
     def release(self, placement: _placement.Placement) -> None:
--- a/src/topazlug/routing/_group_load.py
+++ b/src/topazlug/routing/_group_load.py
@@ -140,8 +140,8 @@
             # No recent total: extrapolate from the owner's own replicas.
             return own / max(1, own_replicas) * replicas
         others = max(0, self.total - self.own_reported)
-        reporting = max(1, self.replicas)
-        return (others + own) / reporting * max(reporting, replicas)
+        reported = max(1, self.replicas)
+        return (others + own) / reported * max(reported, replicas)
 
 
 def bound_limit(
--- a/src/topazlug/routing/_owner_client.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -1,7 +1,7 @@
 """Client of replica owners: admission requests and reports.
 
-An owner that does not reply in time is skipped for a short period. The caller
-then decides how to place the request without an owner.
+An owner that does not reply in time is skipped for a short period. Meanwhile
+the caller decides how to place requests without that owner.
 """
 
 import itertools
--- a/src/topazlug/routing/_owner_endpoint.py
+++ b/src/topazlug/routing/_owner_endpoint.py
@@ -76,7 +76,7 @@
         self._collector = _group_load.LoadCollector(
             clock=clock, interval=routing.load_interval
         )
-        self._reporting: set[str] = set()
+        self._groups_awaiting_reply: set[str] = set()
         self._skip_until: dict[_ids.DaemonId, float] = {}
 
     def register(self) -> None:
@@ -150,8 +150,8 @@
         handover = self._owner.apply_transfers(transfers)
         for after, entries in handover.items():
             self._hand_over(after, entries)
-        gained = {c.after for c in transfers if c.after is not None}
-        lost = {c.before for c in transfers if c.before is not None}
+        gained = {t.after for t in transfers if t.after is not None}
+        lost = {t.before for t in transfers if t.before is not None}
         self._held_placements.renew(gained | lost)
 
     def _hand_over(
@@ -205,13 +205,13 @@
     @property
     def is_reporting(self) -> bool:
         """Whether a report awaits its reply."""
-        return bool(self._reporting)
+        return bool(self._groups_awaiting_reply)
 
     def report(self) -> None:
         """Send the load reports that are due now."""
         for report in self._owner.group_limits.due_reports():
-            if report.group not in self._reporting:
-                self._reporting.add(report.group)
+            if report.group not in self._groups_awaiting_reply:
+                self._groups_awaiting_reply.add(report.group)
                 gevent.spawn(self._report, report)
 
     def _report(self, report: messages.LoadReport) -> None:
@@ -219,7 +219,7 @@
         try:
             summary = self._exchange(group, report)
         finally:
-            self._reporting.discard(report.group)
+            self._groups_awaiting_reply.discard(report.group)
         if summary is not None:
             self._owner.apply_summary(summary, report)
 
--- a/src/topazlug/routing/_ranking.py
+++ b/src/topazlug/routing/_ranking.py
@@ -17,12 +17,13 @@
 
 
 def chat_hash(*parts: str) -> _ids.ChatHash:
-    """Return the hash of the parts that identify a chat.
+    """Return the hash of the parts that identify a chat or another key.
 
     Parameters
     ----------
     *parts : str
-        Values that stay the same for all turns of the chat.
+        Values that stay the same for all turns of the chat. Keys of other
+        kinds start with the name of their kind.
 
     Returns
     -------
--- a/tests/topazlug/capacity/test_rank_limits.py
+++ b/tests/topazlug/capacity/test_rank_limits.py
@@ -26,8 +26,8 @@
 class TestRanks:
     """The most urgent rank must not wait as long as the least urgent.
 
-    More requests arrive than the replicas can run. Slots went to the first to
-    arrive, and none were left for urgent ranks.
+    More requests arrive than the replicas can run. Slots were granted in order
+    of arrival, and none were left for urgent ranks.
     """
 
     def test_lower_ranks_leave_capacity_for_the_urgent(self, limits):
@@ -74,16 +74,16 @@
 class TestAdaptation:
     """Requests must not wait for seconds on replicas with free slots.
 
-    Prompts are long, so that memory or reading them limits the engine: it runs
-    24 requests and queues 40. The number of slots alone was the limit.
+    Prompts are long, so memory or the reading of prompts limits the engine: it
+    runs 24 requests and queues 40. The limit was the number of slots alone.
     """
 
     def test_limit_falls_to_running_requests_and_a_short_queue(self, limits):
         for step in range(100):
             limits.handle_report(24, 40, slow=True, now=step * 0.1)
-        assert limits.limit == 24 + limits.queue
+        assert limits.limit == 24 + limits.max_queue
 
-    def test_reports_of_one_moment_change_it_little(self, limits):
+    def test_simultaneous_reports_lower_the_limit_once(self, limits):
         for _ in range(50):
             limits.handle_report(5, 40, slow=True, now=1.0)
         assert limits.limit > SLOTS * 0.8
--- a/tests/topazlug/capacity/test_reservations.py
+++ b/tests/topazlug/capacity/test_reservations.py
@@ -50,7 +50,7 @@
         assert reservations.is_due(7, now=seconds)
         assert not reservations.is_due(8, now=seconds)
 
-    def test_early_retry_has_no_claim(self):
+    def test_early_retry_is_not_due(self):
         """Callers that retry at once must not go before those that wait."""
         reservations = _reservations.Reservations()
         for number in range(1, 41):
--- a/tests/topazlug/capacity/test_shared_backoff.py
+++ b/tests/topazlug/capacity/test_shared_backoff.py
@@ -37,7 +37,7 @@
 
 
 class TestRejectedFraction:
-    """A replica that rejects few must not idle as all daemons back off."""
+    """A replica that rejects few requests must not idle in a shared backoff."""
 
     def admit(self, backoff, count):
         for _ in range(count):
--- a/tests/topazlug/limits/test_fair_queue.py
+++ b/tests/topazlug/limits/test_fair_queue.py
@@ -44,7 +44,7 @@
         fill(queue, "calm", 1.0, 2)
         assert served(queue, 5)["calm"] == 2
 
-    def test_light_team_with_one_request_at_a_time(self):
+    def test_team_of_small_weight_with_one_request_at_a_time(self):
         """A team must not get more than the share of its weight.
 
         A team with a tenth of the weight keeps one request in the queue and
--- a/tests/topazlug/placement/owner_fixtures.py
+++ b/tests/topazlug/placement/owner_fixtures.py
@@ -32,13 +32,13 @@
     unresponsive : set
         Daemons that accept messages and never reply.
     last_received_at : dict
-        When another message of such a daemon arrived, in monotonic seconds.
+        Monotonic time of the last message from such a daemon, by daemon.
     unreachable : set
         Daemons that accept no connection.
     sent : list
         Messages between daemons, in order.
     before_answer : callable
-        Called after a message was handled, before its reply arrives.
+        Called after a message was handled, before the sender gets the reply.
     """
 
     def __init__(self, *names, replicas, slots=64, is_starting=False):
@@ -65,19 +65,19 @@
 
     def load_by_replica(self):
         """Return the slots that all daemons together hold on each replica."""
-        loads = dict.fromkeys([one.replica for one in self.targets], 0)
+        loads = dict.fromkeys([target.replica for target in self.targets], 0)
         for daemon in self.daemons:
             for replica in loads:
                 loads[replica] += daemon.views.of(replica).in_flight
         return loads
 
     def renew(self):
-        """Let all daemons renew the slots that they hold at the owners."""
+        """Renew the slots that all daemons hold with owners."""
         for daemon in self.daemons:
             daemon.owners.owner_client.held_placements.renew()
 
     def report(self):
-        """Let all daemons report the load of their replicas to collectors."""
+        """Report the load of all replicas to collectors."""
         self.clock.advance(0.11)
         for daemon in self.daemons:
             daemon.owners.report()
@@ -91,7 +91,7 @@
 
 
 class Daemon:
-    """The parts of one daemon that place requests."""
+    """The objects of one daemon that place requests."""
 
     def __init__(self, fleet, name):
         self.links = _Links(fleet, name)
--- a/tests/topazlug/placement/test_cold_placement.py
+++ b/tests/topazlug/placement/test_cold_placement.py
@@ -62,7 +62,7 @@
         return self.fleet.owner_of(COLD)
 
     def list_cold(self, *, cold=(COLD,), cold_for=SECONDS, daemons=None):
-        """Let daemons read a list in which replicas are cold."""
+        """Update daemons with a list in which some replicas are cold."""
         targets = [
             msgspec.structs.replace(
                 one, cold_for=cold_for if one.replica in cold else 0.0
@@ -85,21 +85,21 @@
     def _send(self, request):
         daemon = self.random.choice(self.daemons)
         try:
-            place = daemon.admit(self.random.choice(self.chats), **request)
+            placement = daemon.admit(self.random.choice(self.chats), **request)
         except _errors.RequestError as error:
             assert error.retry_after
             self.rejected += 1
             return
         now = self.fleet.clock.monotonic()
-        self._held.append((now, daemon, place))
-        if place.target.replica == COLD:
+        self._held.append((now, daemon, placement))
+        if placement.target.replica == COLD:
             self.sent.append(now)
 
     def _release(self):
         now = self.fleet.clock.monotonic()
         while self._held and self._held[0][0] < now - 0.05:
-            _, daemon, place = self._held.pop(0)
-            daemon.admission.release(place)
+            _, daemon, placement = self._held.pop(0)
+            daemon.admission.release(placement)
 
     def max_in_a_second(self):
         return max(
@@ -156,7 +156,7 @@
 
     @pytest.mark.parametrize("count", FLEET_SIZES[:3])
     def test_only_some_daemons_list_it_as_cold(self, count):
-        """The owner learns of it from the admission requests."""
+        """The owner must be notified by the admission requests."""
         replay = RestartReplay(count)
         informed = [
             daemon
@@ -171,15 +171,15 @@
 
     @pytest.mark.parametrize("count", FLEET_SIZES[:3])
     def test_one_daemon_could_not_connect(self, count):
-        """No list shows it: the replica crashed and restarted at once."""
+        """The replica crashed and restarted before any list showed it."""
         replay = RestartReplay(count)
         replay.list_cold(cold=())
-        place = replay.daemons[1].admit(replay.chats[0])
+        placement = replay.daemons[1].admit(replay.chats[0])
         replay.daemons[1].admission.handle_connection_failure(
-            place, timed_out=False
+            placement, timed_out=False
         )
-        replay.daemons[1].admission.release(place)
-        # The owner must be notified: other daemons still list it as warm.
+        replay.daemons[1].admission.release(placement)
+        # All lists show the replica as warm, so the owner must be notified.
         replay.run(1.5)
         assert replay.max_in_a_second() <= MAX_IN_A_SECOND
 
--- a/tests/topazlug/placement/test_owner_admission.py
+++ b/tests/topazlug/placement/test_owner_admission.py
@@ -53,9 +53,9 @@
     def test_no_replica_is_overloaded_by_one_chat(self, fleet):
         """One replica must not hold most requests while others idle.
 
-        Most requests are of one chat and arrive through all daemons. None has
-        ended, so no replica has reported its load, and each daemon sees only a
-        ninth of the load of the chat's home.
+        Most requests are for one chat and arrive through all daemons. None has
+        ended, so no replica has reported its load, and each daemon sends only
+        a ninth of the requests that the chat's home holds.
         """
         hot = next(chats())
         for daemon, chat in zip(fleet.daemon_by_name.values(), chats()):
@@ -64,10 +64,10 @@
         for number, chat in zip(range(90), chats()):
             daemon = fleet.daemon_by_name[DAEMONS[number % len(DAEMONS)]]
             for requested in (hot, hot, chat):
-                place = daemon.admit(requested)
+                placement = daemon.admit(requested)
                 loads = fleet.load_by_replica()
                 mean = sum(loads.values()) / len(loads)
-                held = loads[place.target.replica]
+                held = loads[placement.target.replica]
                 assert held <= MULTIPLE * mean + ALLOWANCE
             fleet.report()
 
@@ -80,16 +80,16 @@
         """
         hot = next(chats())
         first = fleet.daemon_by_name["d0"]
-        places = [first.admit(hot)]
-        while places[-1].target.replica == home_of(hot):
-            places.append(first.admit(hot))
-        displaced_to = places[-1].target.replica
-        for place in places:
-            first.admission.release(place)
+        placements = [first.admit(hot)]
+        while placements[-1].target.replica == home_of(hot):
+            placements.append(first.admit(hot))
+        displaced_to = placements[-1].target.replica
+        for placement in placements:
+            first.admission.release(placement)
         for daemon in fleet.daemon_by_name.values():
-            place = daemon.admit(hot)
-            assert place.target.replica == displaced_to
-            daemon.admission.release(place)
+            placement = daemon.admit(hot)
+            assert placement.target.replica == displaced_to
+            daemon.admission.release(placement)
 
 
 class TestFull:
@@ -97,8 +97,8 @@
         """One replica's queue must not grow while those of others are short.
 
         All replicas are full and requests keep arriving through daemons that
-        each see a small part of them. A request that no owner admits was sent
-        to its home.
+        each receive a small part of them. Requests that no owner admitted were
+        all sent to their home.
         """
         fleet = owner_fixtures.Fleet(*DAEMONS, replicas=REPLICAS, slots=4)
         hot = next(chats())
@@ -117,19 +117,19 @@
         chat, owner = chat_owned_by_another(fleet, "d0")
         daemon = fleet.daemon_by_name["d0"]
         for _ in range(20):
-            place = daemon.admit(chat)
-            assert place.target.replica == home_of(chat)
-            assert place.owner == owner
-            daemon.admission.release(place)
-            daemon.admission.release(place)
+            placement = daemon.admit(chat)
+            assert placement.target.replica == home_of(chat)
+            assert placement.owner == owner
+            daemon.admission.release(placement)
+            daemon.admission.release(placement)
         assert set(fleet.load_by_replica().values()) == {0}
 
     def test_slot_without_owner_releases_no_other(self, fleet):
         """A slot that no owner counts must not release one that is counted.
 
-        Both were numbered separately. When a slot held without an owner had
-        the same number as a counted one and was released, the owner counted
-        less than the replica held.
+        Slots with and without an owner were numbered separately. The release
+        of a slot without an owner also released the counted slot of the same
+        number, so the owner counted less than the replica held.
         """
         chat, owner = chat_owned_by_another(fleet, "d0")
         daemon = fleet.daemon_by_name["d0"]
@@ -146,13 +146,13 @@
         """Prompts must not be read again when a daemon freezes.
 
         The owner of a chat's home freezes, while the home itself is healthy.
-        The chat went to a replica whose owner replied.
+        The chat was placed on another replica, whose owner replied.
         """
         chat, owner = chat_owned_by_another(fleet, "d0")
         fleet.unresponsive.add(owner)
-        place = fleet.daemon_by_name["d0"].admit(chat)
-        assert place.target.replica == home_of(chat)
-        assert place.owner is None
+        placement = fleet.daemon_by_name["d0"].admit(chat)
+        assert placement.target.replica == home_of(chat)
+        assert placement.owner is None
 
     def test_callers_wait_once_for_an_unresponsive_owner(self, fleet):
         chat, owner = chat_owned_by_another(fleet, "d0")
@@ -175,12 +175,16 @@
         fleet.unresponsive.add(owner)
         fleet.last_received_at[owner] = 1e9
         daemon = fleet.daemon_by_name["d0"]
-        asked = []
+        counts = []
         for _ in range(5):
             daemon.admit(chat)
-            asks = [m for m in fleet.sent if isinstance(m, messages.AdmitAsk)]
-            asked.append(len(asks))
-        assert asked == [1, 2, 3, 4, 5]
+            requests = [
+                message
+                for message in fleet.sent
+                if isinstance(message, messages.AdmitAsk)
+            ]
+            counts.append(len(requests))
+        assert counts == [1, 2, 3, 4, 5]
 
     def test_reply_timeout_depends_on_the_latency_objective(self, fleet):
         chat, owner = chat_owned_by_another(fleet, "d0")
@@ -213,8 +217,8 @@
             **ranked_request(chat, 0)
         ).target.replica == home_of(chat)
         for rank in (1, 2):
-            place = daemon.admit(**ranked_request(chat, rank))
-            assert place.target.replica != home_of(chat)
+            placement = daemon.admit(**ranked_request(chat, rank))
+            assert placement.target.replica != home_of(chat)
         fleet.clock.advance(0.3)
         assert daemon.admit(
             **ranked_request(chat, 1)
@@ -240,27 +244,28 @@
         daemon = fleet.daemon_by_name["d0"]
         daemon.admission.release(daemon.admit(chat))
         view = daemon.views.of(home_of(chat))
-        assert view.is_known and view.load == pytest.approx(1.0)
+        assert view.has_current_report and view.load == pytest.approx(1.0)
 
     def test_daemons_that_disagree_on_the_owner(self, fleet):
         """Requests must not be rejected while a daemon joins.
 
-        One daemon has learned of a new daemon; the one that it assumes to be
-        the owner has not. The verdict "not the owner" was handled like "full".
+        One daemon has been notified of a new daemon. The one that it assumes
+        to be the owner has not. The verdict "not the owner" was handled like
+        "full".
         """
         chat, owner = chat_owned_by_another(fleet, "d0")
         others = {name: None for name in DAEMONS if name != owner}
         fleet.daemon_by_name[owner].owners.update_daemons(others)
-        place = fleet.daemon_by_name["d0"].admit(chat)
-        assert place.target.replica == home_of(chat)
+        placement = fleet.daemon_by_name["d0"].admit(chat)
+        assert placement.target.replica == home_of(chat)
 
     def test_views_decide_before_the_fleet_is_joined(self, fleet):
         daemon = fleet.daemon_by_name["d0"]
         daemon.admission.owner_client = None
         chat = next(chats())
-        place = daemon.admit(chat)
-        assert place.target.replica == home_of(chat)
-        daemon.admission.release(place)
+        placement = daemon.admit(chat)
+        assert placement.target.replica == home_of(chat)
+        daemon.admission.release(placement)
         assert fleet.sent == []
 
 
@@ -278,14 +283,14 @@
             one for one in fleet.targets if one.replica != home_of(chat)
         ]
         fleet.before_answer = lambda: daemon.targets.take_list(remaining)
-        place = daemon.admit(chat)
-        assert place.target.replica != home_of(chat)
+        placement = daemon.admit(chat)
+        assert placement.target.replica != home_of(chat)
         released = [m for m in fleet.sent if isinstance(m, messages.Release)]
         assert len(released) == 1
 
 
 class TestFailingReplica:
-    def test_gets_nothing_though_its_owner_would_admit(self, fleet):
+    def test_gets_no_requests_although_its_owner_would_admit_them(self, fleet):
         daemon = fleet.daemon_by_name["d0"]
         chat = next(chats())
         for _ in range(5):
@@ -314,11 +319,11 @@
         chat, owner = chat_owned_by_another(fleet, "d0")
         daemon = fleet.daemon_by_name["d0"]
         home = home_of(chat)
-        places = [daemon.admit(chat) for _ in range(3)]
-        assert {place.target.replica for place in places} == {home}
+        placements = [daemon.admit(chat) for _ in range(3)]
+        assert {placement.target.replica for placement in placements} == {home}
         self.restart(fleet, home)
-        for place in places:
-            daemon.admission.release(place)
+        for placement in placements:
+            daemon.admission.release(placement)
         ledger = fleet.daemon_by_name[owner].owners.ledger_of(home)
         assert ledger.load == 0
         assert fleet.load_by_replica()[home] == 0
@@ -326,12 +331,12 @@
     def test_displaced_chat_goes_home_after_the_restart(self, fleet):
         hot = next(chats())
         first = fleet.daemon_by_name["d0"]
-        places = [first.admit(hot)]
-        while places[-1].target.replica == home_of(hot):
-            places.append(first.admit(hot))
-        displaced_to = places[-1].target.replica
-        for place in places:
-            first.admission.release(place)
+        placements = [first.admit(hot)]
+        while placements[-1].target.replica == home_of(hot):
+            placements.append(first.admit(hot))
+        displaced_to = placements[-1].target.replica
+        for placement in placements:
+            first.admission.release(placement)
         self.restart(fleet, displaced_to)
         assert first.admit(hot).target.replica == home_of(hot)
 
@@ -360,17 +365,17 @@
         return owner_fixtures.Fleet(*DAEMONS, replicas=REPLICAS, slots=16)
 
     def fill(self, fleet, *, rank):
-        places = []
+        placements = []
         for number, chat in zip(range(1000), chats()):
             daemon = fleet.daemon_by_name[DAEMONS[number % len(DAEMONS)]]
             with contextlib.suppress(_errors.Overloaded):
-                places.append(daemon.admit(**ranked_request(chat, rank)))
+                placements.append(daemon.admit(**ranked_request(chat, rank)))
             # Keeps the urgent rank active.
             with contextlib.suppress(_errors.Overloaded):
-                place = daemon.admit(**ranked_request(chat, 0))
-                daemon.admission.release(place)
+                placement = daemon.admit(**ranked_request(chat, 0))
+                daemon.admission.release(placement)
             fleet.report()
-        return places
+        return placements
 
     def test_rejection_has_a_retry_after(self, fleet):
         self.fill(fleet, rank=1)
@@ -391,8 +396,8 @@
         for chat, _ in zip(chats(), range(30)):
             for rank in admitted:
                 with contextlib.suppress(_errors.Overloaded):
-                    place = daemon.admit(**ranked_request(chat, rank))
-                    daemon.admission.release(place)
+                    placement = daemon.admit(**ranked_request(chat, rank))
+                    daemon.admission.release(placement)
                     admitted[rank] += 1
         assert admitted[0] >= 25
         assert admitted[1] <= 5
@@ -403,7 +408,7 @@
         assert daemon.admit(next(chats()), rank=-1)
 
     def test_waiting_request_gets_a_released_slot(self, fleet):
-        places = self.fill(fleet, rank=1)
+        placements = self.fill(fleet, rank=1)
         # Lets the reservations of requests that were rejected above expire:
         # by chance there may be one or two on this replica.
         fleet.clock.advance(2.0)
@@ -412,9 +417,9 @@
 
         def release_all(seconds):
             slept.append(seconds)
-            for place in places:
+            for placement in placements:
                 for other in fleet.daemons:
-                    other.admission.release(place)
+                    other.admission.release(placement)
             fleet.clock.advance(seconds)
 
         fleet.clock.sleep = release_all
@@ -442,19 +447,19 @@
         first = fleet.daemon_by_name["d0"]
         second = fleet.daemon_by_name["d1"]
         fields = ranked_request(chat, 0, shared_tokens=8000)
-        place = first.admit(**fields)
-        assert place.reads_context
+        placement = first.admit(**fields)
+        assert placement.reads_context
         slept = []
 
         def report_head(seconds):
             slept.append(seconds)
-            first.admission.handle_response_head(place, 1, 0, 0.1)
+            first.admission.handle_response_head(placement, 1, 0, 0.1)
             fleet.clock.advance(seconds)
 
         fleet.clock.sleep = report_head
         other = second.admit(**fields)
         assert len(slept) == 1
-        assert other.target.replica == place.target.replica
+        assert other.target.replica == placement.target.replica
         assert not other.reads_context
 
     def test_wait_for_a_read_is_bounded(self, fleet):
@@ -472,10 +477,10 @@
     def test_bound_holds_while_the_collector_is_unreachable(self, fleet):
         """One replica must not hold three times the mean while others idle.
 
-        The daemon that adds up the load loses power and stays listed; three
-        seconds later most requests are of one chat. Without a total, an owner
-        computes the mean over its own replicas only. With one replica, the
-        mean is that replica's load, so no load exceeds a multiple of it.
+        The daemon that adds up the load loses power and stays listed. Three
+        seconds later most requests are for one chat. Without a total, an owner
+        computes the mean over its own replicas only. If it owns one replica,
+        the mean is the load of that replica, which never exceeds the bound.
         """
         collector = _group_load.collector_of(fixtures.GROUP, DAEMONS)
         hot = next(
@@ -512,14 +517,14 @@
         chat, owner = chat_owned_by_another(fleet, "d0")
         daemon = fleet.daemon_by_name["d0"]
         fleet.unresponsive.add(owner)
-        places = [daemon.admit(chat) for _ in range(3)]
-        at_home = [p for p in places if p.target.replica == home_of(chat)]
+        placements = [daemon.admit(chat) for _ in range(3)]
+        at_home = [p for p in placements if p.target.replica == home_of(chat)]
         fleet.unresponsive.clear()
         fleet.renew()
         ledger = fleet.daemon_by_name[owner].owners.ledger_of(home_of(chat))
         assert ledger.load == len(at_home) >= 1
-        for place in places:
-            daemon.admission.release(place)
+        for placement in placements:
+            daemon.admission.release(placement)
         assert ledger.load == 0
 
     def test_slots_of_a_daemon_that_is_gone_are_released(self, fleet):
--- a/tests/topazlug/placement/test_replica_list.py
+++ b/tests/topazlug/placement/test_replica_list.py
@@ -11,15 +11,15 @@
         monkeypatch.setattr(_replica_list, "_GRACE_SECONDS", seconds)
         self.names = []
         self.list = _replica_list.ReplicaList(
-            on_change=self._take,
+            on_change=self._record_names,
             unreachable=120.0,
             clock=_clock.SystemClock(),
         )
 
-    def _take(self, targets):
+    def _record_names(self, targets):
         self.names = sorted(target.replica for target in targets)
 
-    def take(self, *names, leaving=()):
+    def update(self, *names, leaving=()):
         self.list.update(
             fixtures.target(name, leaving=name in leaving, port=ord(name))
             for name in names
@@ -34,44 +34,44 @@
         empty list, and the replicas write their entries a second later.
         """
         rig = Rig(monkeypatch, 60.0)
-        rig.take("a", "b")
+        rig.update("a", "b")
         rig.list.handle_store_reconnected(0.0)
-        rig.take()
+        rig.update()
         assert rig.names == ["a", "b"]
-        rig.take("a")
+        rig.update("a")
         assert rig.names == ["a", "b"]
 
     def test_replica_that_does_not_renew_is_removed(self, monkeypatch):
         rig = Rig(monkeypatch, 0.05)
-        rig.take("a", "b")
+        rig.update("a", "b")
         rig.list.handle_store_reconnected(0.0)
-        rig.take("a")
+        rig.update("a")
         routing_fixtures.wait_until(lambda: rig.names == ["a"])
 
     def test_leaving_replica_is_not_kept(self, monkeypatch):
         rig = Rig(monkeypatch, 60.0)
-        rig.take("a", "b", leaving=["b"])
+        rig.update("a", "b", leaving=["b"])
         rig.list.handle_store_reconnected(0.0)
-        rig.take("a")
+        rig.update("a")
         assert rig.names == ["a"]
 
     def test_slow_failing_call_shortens_the_grace_period(self, monkeypatch):
         """Replicas that left must not get requests beyond the allowed time.
 
-        A call to the store gets no answer; the store is reachable again at
-        once and a replica leaves, but the call fails only seconds later. The
-        grace period was counted from then, as if the store had just recovered.
+        A call to the store gets no answer. The store is reachable again at
+        once, and a replica leaves. The call fails only seconds later. The
+        grace period started then, as if the store had just recovered.
         """
         rig = Rig(monkeypatch, 60.0)
-        rig.take("a", "b")
+        rig.update("a", "b")
         rig.list.handle_store_reconnected(119.5)
-        rig.take("a")
+        rig.update("a")
         assert rig.names == ["a"]
 
     def test_removed_at_once_without_an_outage(self, monkeypatch):
         rig = Rig(monkeypatch, 60.0)
-        rig.take("a", "b")
-        rig.take("a")
+        rig.update("a", "b")
+        rig.update("a")
         assert rig.names == ["a"]
 
 
@@ -79,9 +79,9 @@
     def test_entry_of_an_ended_process_is_ignored(self, monkeypatch):
         """A restarted replica must not be listed as leaving.
 
-        It writes that it drains, restarts under its id, and writes that it
-        serves; the store then applies the first write, late. The latest write
-        was used without regard to the process that wrote it.
+        A replica writes that it drains, restarts under its id, and writes that
+        it serves. The store applies the first write late, after the second.
+        The last applied write was used, whichever process wrote it.
         """
         rig = Rig(monkeypatch, 60.0)
         old = fixtures.target("a", leaving=True, incarnation=1)
--- a/tests/topazlug/placement/test_replica_view.py
+++ b/tests/topazlug/placement/test_replica_view.py
@@ -10,7 +10,7 @@
 THREE = _ids.ReplicaId("three")
 
 
-def note_outcomes(views, replica, *, failed, good):
+def record_outcomes(views, replica, *, failed, good):
     for _ in range(failed):
         views.of(replica).record_outcome(failed=True)
     for _ in range(good):
@@ -25,9 +25,9 @@
         """
         clock = claim_fakes.FakeClock()
         views = _replica_view.ReplicaViews(clock=clock)
-        note_outcomes(views, ONE, failed=5, good=5)
-        note_outcomes(views, TWO, failed=0, good=20)
-        note_outcomes(views, THREE, failed=1, good=20)
+        record_outcomes(views, ONE, failed=5, good=5)
+        record_outcomes(views, TWO, failed=0, good=20)
+        record_outcomes(views, THREE, failed=1, good=20)
         assert views.healthy([ONE, TWO, THREE]) == [TWO, THREE]
         clock.advance(1.1)
         assert views.healthy([ONE, TWO, THREE]) == [ONE, TWO, THREE]
@@ -39,7 +39,7 @@
         """
         views = _replica_view.ReplicaViews(clock=claim_fakes.FakeClock())
         for replica in (ONE, TWO, THREE):
-            note_outcomes(views, replica, failed=5, good=5)
+            record_outcomes(views, replica, failed=5, good=5)
         assert views.healthy([ONE, TWO, THREE]) == [ONE, TWO, THREE]
 
     def test_each_ejection_is_longer(self):
--- a/tests/topazlug/placement/test_replicas_in_backoff.py
+++ b/tests/topazlug/placement/test_replicas_in_backoff.py
@@ -53,16 +53,16 @@
         name = str(self.random.randrange(CHATS))
         chat = _ids.ChatHash(_ranking.chat_hash("chat", name))
         try:
-            place = daemon.admit(chat, rank=1)
+            placement = daemon.admit(chat, rank=1)
         except _errors.RequestError as error:
             self.rejected.append(error)
             return
-        if place.target.replica in self.shedding:
+        if placement.target.replica in self.shedding:
             self.sent += 1
             if self.random.random() < self.fraction:
                 self.shed += 1
-                daemon.targets.handle_report(place.target, BACKOFF)
-        daemon.admission.release(place)
+                daemon.targets.handle_report(placement.target, BACKOFF)
+        daemon.admission.release(placement)
 
 
 class TestManyDaemons:
@@ -71,8 +71,8 @@
     def test_few_requests_are_shed_in_any_fleet_size(self, daemons, count):
         """Few requests may be rejected before all daemons back off.
 
-        Each of 70 daemons used to have requests rejected to learn of the same
-        backoff.
+        Each of 70 daemons had a request rejected before it backed off from the
+        same replica.
         """
         replay = Replay(daemons=daemons, shedding=REPLICAS[:count])
         backoffs = 3
@@ -123,5 +123,8 @@
         )
         home = fixtures.target(_ranking.first(REPLICAS, chat), slots=64)
         fleet.daemon_by_name["d1"].targets.handle_report(home, BACKOFF)
-        place = fleet.daemon_by_name["d0"].admit(chat, rank=1)
-        assert (place.target.replica, place.owner) == (home.replica, "d1")
+        placement = fleet.daemon_by_name["d0"].admit(chat, rank=1)
+        assert (placement.target.replica, placement.owner) == (
+            home.replica,
+            "d1",
+        )
--- a/tests/topazlug/placement/test_start_of_all.py
+++ b/tests/topazlug/placement/test_simultaneous_start.py
@@ -27,8 +27,8 @@
     for number, chat in enumerate(itertools.islice(chats(), count)):
         if number % REPORT_EVERY == 0:
             fleet.report()
-        place = next(daemons).admit(chat)
-        displaced += place.target.replica != _ranking.first(REPLICAS, chat)
+        placement = next(daemons).admit(chat)
+        displaced += placement.target.replica != _ranking.first(REPLICAS, chat)
     return displaced
 
 
@@ -44,9 +44,9 @@
         """Idle replicas must not displace chats after all daemons restart.
 
         All daemons lose power, callers return in the same second, and owners
-        count from zero. As the bound is a multiple of a mean near zero,
-        owners rejected 733 requests in one outage, at loads of 2 with a
-        limit of 2 on replicas of 16 slots, and contexts were read again.
+        count from zero. The bound is a multiple of a mean near zero. In one
+        outage owners rejected 733 requests, at a load of 2 and a limit of 2 on
+        replicas of 16 slots, and contexts were read again.
         """
         fleet = owner_fixtures.Fleet(
             *DAEMONS, replicas=REPLICAS, slots=SLOTS, is_starting=True
--- a/tests/topazlug/placement/test_unreached_zone.py
+++ b/tests/topazlug/placement/test_unreached_zone.py
@@ -38,18 +38,20 @@
         excluded = frozenset()
         waited = 0
         while True:
-            place = self.daemon.admit(chat, excluded=excluded, **request)
-            self.daemon.admission.release(place)
-            if place.target.zone not in self.unreachable:
-                self.daemon.targets.reachability.record_answer(place.target)
+            placement = self.daemon.admit(chat, excluded=excluded, **request)
+            self.daemon.admission.release(placement)
+            if placement.target.zone not in self.unreachable:
+                self.daemon.targets.reachability.record_answer(
+                    placement.target
+                )
                 return waited
             waited += 1
             self.fleet.clock.advance(CONNECT_SECONDS)
             self.daemon.admission.handle_connection_failure(
-                place, timed_out=True
+                placement, timed_out=True
             )
-            self.daemon.targets.avoid(place.target.replica)
-            excluded |= {place.target.replica}
+            self.daemon.targets.avoid(placement.target.replica)
+            excluded |= {placement.target.replica}
 
     def run(self, seconds, **request):
         """Send requests for some seconds; return how many were delayed."""
@@ -65,8 +67,8 @@
 
     Each replica of the zone delayed a request by the connection timeout, one
     replica a second, as a failed connection counted against the replica
-    and not against its zone. With two zones cut off a sixth of all requests
-    was late.
+    and not against its zone. With two zones unreachable, a sixth of all
+    requests was late.
     """
 
     @pytest.mark.parametrize("keeps_context", [True, False])
@@ -75,7 +77,8 @@
         rig.run(1.0, keeps_context=keeps_context)
         rig.unreachable = {"b"}
         late = rig.run(6.0, keeps_context=keeps_context)
-        # Two until the zone counts as unreachable, and one for each new try.
+        # Two until the zone counts as unreachable, and one for each new try of
+        # the zone.
         assert late <= 2 + 3
 
     def test_zone_is_used_again(self):
@@ -87,9 +90,9 @@
         used = set()
         for number in range(60):
             chat = _ids.ChatHash(_ranking.chat_hash("u", str(number)))
-            place = rig.daemon.admit(chat)
-            rig.daemon.admission.release(place)
-            used.add(place.target.zone)
+            placement = rig.daemon.admit(chat)
+            rig.daemon.admission.release(placement)
+            used.add(placement.target.zone)
         assert used == set(ZONES)
 
     def test_zones_are_tried_if_all_are_unreachable(self):
--- a/tests/topazlug/placement/test_view_admission.py
+++ b/tests/topazlug/placement/test_view_admission.py
@@ -33,7 +33,7 @@
         )
         counts = collections.Counter()
         for _ in range(REQUESTS):
-            place = view_admission.admit(request)
-            view_admission.release(place)
-            counts[place.target.replica] += 1
+            placement = view_admission.admit(request)
+            view_admission.release(placement)
+            counts[placement.target.replica] += 1
         assert set(counts.values()) == {REQUESTS // replicas}
