--- a/src/topazlug/placement/_replica_list.py
+++ b/src/topazlug/placement/_replica_list.py
@@ -152,9 +152,7 @@
             )
         self._superseded = frozenset(fresh.keys() - kept)
         return {
-            replica: target
-            for replica, target in fresh.items()
-            if replica in kept
+            replica: fresh[replica] for replica in fresh if replica in kept
         }
 
     def _record_first_seen(self, replicas: Iterable[_ids.ReplicaId]) -> None:
--- a/src/topazlug/routing/_admission.py
+++ b/src/topazlug/routing/_admission.py
@@ -38,11 +38,13 @@
 _FULL_CACHE_SECONDS = 0.25
 _NO_TARGET_RETRY_SECONDS = 1.0
 _MAX_SEARCHES = 4
-_OWNERSHIP_CHANGED = (messages.Verdict.not_owner, messages.Verdict.expired)
+# After these verdicts another search, with updated ownership and targets, may
+# find a slot.
+_REPEATABLE_VERDICTS = (messages.Verdict.not_owner, messages.Verdict.expired)
 
 
 class _Full(NamedTuple):
-    """A replica's load when it was full, and when that record expires."""
+    """Load of a replica that was full, and expiry time of this record."""
 
     load: int
     until: float
@@ -286,9 +288,10 @@
     def _is_known_full(self, replica: _ids.ReplicaId) -> bool:
         """Return whether a replica was full within `_FULL_CACHE_SECONDS`.
 
-        Under overload, every request would otherwise be sent to every owner
-        and rejected: five times the messages, when there are most requests.
-        A slot that is released meanwhile goes to the replica's queue.
+        Otherwise, under overload, each request would be sent to every owner
+        and rejected. That would be five times the messages while there are
+        most requests. A slot that is released meanwhile is granted to a
+        request in the replica's queue.
         """
         full = self._full_by_replica.get(replica)
         return full is not None and self._clock.monotonic() < full.until
@@ -326,7 +329,7 @@
             )
             search.should_retry = placement is None
             return placement
-        search.should_retry = reply.verdict in _OWNERSHIP_CHANGED
+        search.should_retry = reply.verdict in _REPEATABLE_VERDICTS
         search.record_rejection(replica, reply)
         return None
 
@@ -378,7 +381,7 @@
     def report_backoff(
         self, target: _targets.Target, status: _target_report.TargetReport
     ) -> None:
-        """Report a backoff requested of this daemon to the target's owner."""
+        """Notify a target's owner of a backoff that the target requested."""
         self._client.report_backoff(target, status)
 
     def release(self, placement: _placement.Placement) -> None:
--- a/src/topazlug/routing/_admission_control.py
+++ b/src/topazlug/routing/_admission_control.py
@@ -190,7 +190,7 @@
             fit = self._recheck_returning_chat(ledger, entry, fit)
         if ask.rank != _ledger.UNRANKED:
             if not self._has_rank_capacity(ledger, ask):
-                self._reject(ledger, ask, reply)
+                self._reject_by_rank(ledger, ask, reply)
                 return
             if fit is _ledger.Fit.FULL:
                 fit = _ledger.Fit.FREE
@@ -242,7 +242,7 @@
             ask.rank, load=load, reserved=reserved, is_due=is_due, now=now
         )
 
-    def _reject(
+    def _reject_by_rank(
         self,
         ledger: _ledger.ReplicaLedger,
         ask: messages.AdmitAsk,
--- a/src/topazlug/routing/_group_load.py
+++ b/src/topazlug/routing/_group_load.py
@@ -45,7 +45,7 @@
 class _Report(msgspec.Struct):
     load: int
     reporter: _ids.DaemonId
-    at: float
+    received_at: float
 
 
 @final
@@ -73,10 +73,10 @@
         max_age = max(_STALE_SECONDS, _STALE_INTERVALS * interval)
         for entry in report.loads:
             by_replica[_ids.ReplicaId(entry.replica)] = _Report(
-                load=entry.load, reporter=sender, at=now
+                load=entry.load, reporter=sender, received_at=now
             )
         for replica, stored in list(by_replica.items()):
-            if now - stored.at > max_age:
+            if now - stored.received_at > max_age:
                 del by_replica[replica]
         return messages.LoadSummary(
             group=group,
@@ -104,7 +104,7 @@
     total: int = 0
     replicas: int = 0
     own_reported: int = 0
-    at: float = -math.inf
+    received_at: float = -math.inf
     interval: float = 0.0
     next_report: float = 0.0
 
@@ -115,7 +115,7 @@
         self.total = summary.total
         self.replicas = summary.replicas
         self.own_reported = own
-        self.at = now
+        self.received_at = now
         self.interval = summary.interval
         self.next_report = now + summary.interval
 
@@ -136,7 +136,7 @@
             Monotonic seconds.
         """
         max_age = max(_STALE_SECONDS, _STALE_INTERVALS * self.interval)
-        if now - self.at > max_age or not self.replicas:
+        if now - self.received_at > max_age or not self.replicas:
             # No recent total: extrapolate from the owner's own replicas.
             return own / max(1, own_replicas) * replicas
         others = max(0, self.total - self.own_reported)
--- a/src/topazlug/routing/_held_placements.py
+++ b/src/topazlug/routing/_held_placements.py
@@ -99,7 +99,7 @@
             self.send_release(placement.owner, placement.ask)
 
     def send_release(self, owner: _ids.DaemonId, ask: _ids.AskNumber) -> None:
-        """Tell an owner that an admitted or queued request has ended."""
+        """Notify an owner that an admitted or queued request has ended."""
         if owner == self._daemon:
             self._owner.release(self._daemon, [ask])
             return
@@ -128,10 +128,10 @@
             return
 
     def renew(self, owners: set[_ids.DaemonId] | None = None) -> int:
-        """Send each owner all that this daemon holds with it.
+        """Send each owner a list of all that this daemon holds with it.
 
-        Owners that were sent a release and have not confirmed since are
-        included even if nothing is held with them any more.
+        An owner that was sent a release and has not confirmed a renewal since
+        is included even if nothing is held with it any more.
 
         Parameters
         ----------
--- a/src/topazlug/routing/_ledger.py
+++ b/src/topazlug/routing/_ledger.py
@@ -301,8 +301,8 @@
     def has_queued_ahead(self, *, batch: bool) -> bool:
         """Return whether a queued request precedes a new one.
 
-        Interactive work does not wait behind queued batch work, which may be
-        queued only because of the reserve while slots are free.
+        Interactive work does not wait behind queued batch work. The latter may
+        be queued while slots are free, as batch work may not use all slots.
         """
         return bool(len(self._interactive) or (batch and len(self._batch)))
 
@@ -344,8 +344,8 @@
         """
         batch_fits = self._fits(batch=True, limit=limit, now=now, mean=mean)
         batch_waits = len(self._batch) > 0 and batch_fits
-        due = self._turns_since_batch >= _BATCH_TURN_INTERVAL - 1
-        if batch_waits and (due or not len(self._interactive)):
+        batch_is_due = self._turns_since_batch >= _BATCH_TURN_INTERVAL - 1
+        if batch_waits and (batch_is_due or not len(self._interactive)):
             self._turns_since_batch = 0
             return self._batch
         if not len(self._interactive):
--- a/src/topazlug/routing/_owner_client.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -261,12 +261,12 @@
     def report_backoff(
         self, target: _targets.Target, status: _target_report.TargetReport
     ) -> None:
-        """Report a backoff requested of this daemon to the target's owner.
+        """Notify a target's owner of a backoff that the target requested.
 
         Parameters
         ----------
         target : Target
-            Target that requested it.
+            Target that requested it of this daemon.
         status : TargetReport
             Status that the target reported.
         """
@@ -290,7 +290,7 @@
         *,
         seconds: float,
     ) -> None:
-        """Report to the home's owner that a rejected request may return."""
+        """Report to the home's owner that a rejected request may be resent."""
         message = messages.TurnedAway(
             replica=home,
             request=request.prompt,
--- a/tests/topazlug/capacity/test_shared_backoff.py
+++ b/tests/topazlug/capacity/test_shared_backoff.py
@@ -37,7 +37,7 @@
 
 
 class TestRejectedFraction:
-    """A replica that rejects few requests must not idle in a shared backoff."""
+    """A replica must not idle because it rejects a few requests."""
 
     def admit(self, backoff, count):
         for _ in range(count):
--- a/tests/topazlug/routing/test_admission.py
+++ b/tests/topazlug/routing/test_admission.py
@@ -125,7 +125,7 @@
     never replies.
     """
 
-    def test_next_of_the_ranking_after_one_timeout(self, fleet):
+    def test_next_replica_is_used_after_one_timeout(self, fleet):
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
         fleet.unresponsive.add("d2")
@@ -136,7 +136,7 @@
         admit(entry, number)
         assert fleet.clock.seconds == pytest.approx(0.15)
 
-    def test_is_skipped_for_longer_each_time(self, fleet):
+    def test_owner_is_skipped_for_longer_each_time(self, fleet):
         """One slow reply must not move chats off their context for 1 s."""
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
@@ -152,7 +152,7 @@
             )
             fleet.clock.advance(0.02)
 
-    def test_is_requested_again_after_a_second(self, fleet):
+    def test_owner_gets_requests_again_after_a_second(self, fleet):
         entry = fleet.entry_by_name["d1"]
         number = chat_owned_by(entry, "d2")
         fleet.unresponsive.add("d2")
@@ -208,9 +208,9 @@
         assert not moved.home
         for placement in (blocking, moved):
             entry.admission.release(placement)
-        again = admit(fleet.entry_by_name["d2"], 1)
-        assert again.target.replica == displaced_to
-        assert not again.home
+        next_turn = admit(fleet.entry_by_name["d2"], 1)
+        assert next_turn.target.replica == displaced_to
+        assert not next_turn.home
 
     def test_replica_that_it_was_displaced_to_is_leaving(self):
         fleet = fleet_fakes.FakeFleet(*NAMES, targets=some_targets(slots=1))
@@ -233,7 +233,7 @@
 
 
 class TestBackoff:
-    def test_next_of_the_ranking_is_used(self, fleet):
+    def test_next_replica_of_the_ranking_is_used(self, fleet):
         entry = fleet.entry_by_name["d1"]
         home = admit(entry, 1).target
         entry.targets.handle_report(home, BACKOFF)
@@ -269,17 +269,17 @@
     def test_backoff_of_an_earlier_incarnation_is_not_shared(self, fleet):
         d1, d2, d3 = fleet.entry_by_name.values()
         home = admit(d1, 1).target
-        again = msgspec.structs.replace(home, incarnation=2)
+        restarted = msgspec.structs.replace(home, incarnation=2)
         for entry in fleet.entry_by_name.values():
-            others = entry.targets.target_by_replica.values()
+            listed = entry.targets.target_by_replica.values()
             entry.targets.take_list(
-                [again if one == home else one for one in others]
+                [restarted if target == home else target for target in listed]
             )
             entry.owner.reset_restarted_replicas()
         for entry in (d1, d2):
             entry.targets.on_report(entry.admission.report_backoff)
             entry.targets.handle_report(home, BACKOFF)
-        assert admit(d3, 1).target == again
+        assert admit(d3, 1).target == restarted
 
     def test_all_in_backoff(self, fleet):
         entry = fleet.entry_by_name["d1"]
@@ -378,13 +378,13 @@
 class TestReturnWhileHomeIsDown:
     """A chat must not move repeatedly while its home is intermittently down.
 
-    The home is dead; its owner has been notified, the entry daemon has not.
-    The chat has run on the second replica of its ranking, whose owner has not
-    received the release of that turn. At low load that turn alone reaches the
-    bound, so it must be exempt there as it is at a home.
+    The home is dead. Its owner has been notified, the entry daemon has not.
+    The chat's last turn ran on the second replica of its ranking, whose owner
+    has not received the release. At low load that turn alone reaches the
+    bound, so the next turn must be exempt there, as it is at a home.
     """
 
-    def test_chat_stays_at_the_second_of_its_ranking(self, fleet_of_low_bound):
+    def test_chat_stays_at_the_second_replica(self, fleet_of_low_bound):
         fleet = fleet_of_low_bound
         entry, owner = (fleet.entry_by_name[name] for name in ("d1", "d2"))
         number, home = chat_with_owners(entry, home="d2", second="d3")
@@ -503,7 +503,7 @@
 
 
 class TestOverload:
-    def test_full_replicas_are_not_requested_again_at_once(self):
+    def test_owners_of_full_replicas_get_no_further_requests_at_once(self):
         """Control traffic must not grow with overload.
 
         All slots are taken and requests keep arriving. When each of them was
--- a/tests/topazlug/routing/test_displaced_chats.py
+++ b/tests/topazlug/routing/test_displaced_chats.py
@@ -37,7 +37,7 @@
         A chat is displaced from its home. The home dies, and the next
         replica of its ranking, which has the same owner, becomes its home.
         The owner must not redirect requests for the new home to the replica
-        recorded for the old one.
+        recorded for the old home.
         """
         chats = with_chats(0)
         chats.record(displaced(7, home="r1", replica="r2"))
--- a/tests/topazlug/routing/test_group_load.py
+++ b/tests/topazlug/routing/test_group_load.py
@@ -91,9 +91,9 @@
     ):
         """Engines must not exceed the bound while the load falls.
 
-        The total that owners use is a tenth of a second old and then higher
-        than the true one. A request admitted at the limit of the old mean
-        would exceed the limit of the true one.
+        The total that owners use is a tenth of a second old, and higher than
+        the true one while the load falls. A request admitted at the limit of
+        the old mean would exceed the limit of the true mean.
         """
         assert limit == _group_load.bound_limit(
             bound=bound, total=total, replicas=replicas
--- a/tests/topazlug/routing/test_ledger.py
+++ b/tests/topazlug/routing/test_ledger.py
@@ -77,9 +77,9 @@
 
     def test_full_queue_evicts_from_the_team_with_most_requests(self):
         ledger = make_ledger(capacity=2)
-        surge = [Waiter(ledger, ask, team="surge") for ask in range(2)]
+        burst = [Waiter(ledger, ask, team="burst") for ask in range(2)]
         calm = Waiter(ledger, 9, team="calm")
-        assert [w.outcome for w in surge] == [None, "full"]
+        assert [w.outcome for w in burst] == [None, "full"]
         assert calm.outcome is None
 
     def test_every_eighth_grant_is_batch_work(self):
@@ -134,10 +134,11 @@
     @settings(max_examples=300)
     @given(strategies.lists(STEP, max_size=40))
     def test_load_is_the_sum_of_the_entries(self, steps):
-        """A wrong count makes an idle replica reject all, or overloads it.
+        """Each request must be counted exactly once.
 
-        Any order of holds, releases, renewals and deaths of daemons, also
-        repeated ones, must be counted exactly once.
+        Holds, releases, renewals and deaths of daemons may come in any order
+        and repeatedly. A wrong count makes an idle replica reject all
+        requests, or overloads it.
         """
         ledger, model = make_ledger(), {}
         for step in steps:
--- a/tests/topazlug/routing/test_policies.py
+++ b/tests/topazlug/routing/test_policies.py
@@ -25,7 +25,7 @@
         clock=claim_fakes.FakeClock(),
         links=fixtures.NoLinks(),
     )
-    parts = types.SimpleNamespace(
+    dependencies = types.SimpleNamespace(
         owners_admission=entry.admission,
         targets=entry.targets,
         rules=_rules.TableRules(
@@ -33,7 +33,7 @@
             routing=settings.RoutingSettings(),
         ),
     )
-    return lambda name: _policies.make_admission(name, parts)
+    return lambda name: _policies.make_admission(name, dependencies)
 
 
 def replicas(admission, count, **changes):
@@ -52,15 +52,15 @@
         assert replicas(make(POLICY.hash), 20) == [home] * 20
 
     def test_sliver_spreads_the_load_of_one_daemon(self, make):
-        rows = replicas(make(POLICY.sliver), 40)
-        assert len(set(rows)) == 4
+        chosen = replicas(make(POLICY.sliver), 40)
+        assert len(set(chosen)) == 4
 
     def test_two_choices_prefers_the_less_loaded(self, make):
         admission = make(POLICY.two_choices)
         for replica in ("r0", "r1", "r2"):
             admission.record_engine_report(replica, 10)
-        rows = replicas(admission, 100)
-        assert rows.count("r3") > 25
+        chosen = replicas(admission, 100)
+        assert chosen.count("r3") > 25
 
     def test_random_uses_all_replicas(self, make):
         assert len(set(replicas(make(POLICY.random), 200))) == 4
