--- a/src/topazlug/capacity/_start_allowance.py
+++ b/src/topazlug/capacity/_startup_allowance.py
@@ -10,11 +10,11 @@
 
 # After this time the reports of all owners have been added up, and the
 # callers that returned at the same time are served or gone.
-_STARTING_SECONDS = 2.5
+_STARTUP_SECONDS = 2.5
 
 
 @final
-class StartAllowance:
+class StartupAllowance:
     """Admits requests up to a fixed load while an owner has just started.
 
     Parameters
@@ -28,7 +28,7 @@
 
     def __init__(self, *, fraction: float, started_at: float) -> None:
         self._fraction = fraction
-        self._until = started_at + _STARTING_SECONDS
+        self._until = started_at + _STARTUP_SECONDS
 
     def limit(self, slots: int, *, now: float) -> int:
         """Return the load that is admitted regardless of the mean."""
--- a/src/topazlug/forwarding/_app.py
+++ b/src/topazlug/forwarding/_app.py
@@ -197,7 +197,9 @@
         except _errors.RequestError as error:
             if error.retry_after is not None:
                 left = call.deadline - self._clock.monotonic()
-                longest = max(0.0, _owner_client.MAX_RETURN_FRACTION * left)
+                longest = max(
+                    0.0, _owner_client.MAX_RETRY_DELAY_FRACTION * left
+                )
                 error.retry_after = max(
                     min(error.retry_after, longest), error.refused_for
                 )
--- a/src/topazlug/placement/_owners.py
+++ b/src/topazlug/placement/_owners.py
@@ -29,7 +29,7 @@
 _REPORT_INTERVAL_SECONDS = 0.1
 _UNLIMITED_SLOTS = 1 << 20
 # Fraction of a replica's slots that an owner admits just after its start.
-_START_FRACTION = 0.5
+_STARTUP_FRACTION = 0.5
 # Interval of checks for daemons that stopped renewing.
 _DROP_INTERVAL_SECONDS = 0.5
 
@@ -102,7 +102,7 @@
             rules=_UniformRules(),
             routing=routing,
             clock=clock,
-            startup_fraction=_START_FRACTION,
+            startup_fraction=_STARTUP_FRACTION,
         )
         self._owner = owner
         self.owner_client = _owner_client.OwnerClient(
--- a/src/topazlug/routing/_admission_control.py
+++ b/src/topazlug/routing/_admission_control.py
@@ -12,7 +12,7 @@
 from topazlug._generated import messages
 from topazlug.capacity import _context_reads
 from topazlug.capacity import _slot_key
-from topazlug.capacity import _start_allowance
+from topazlug.capacity import _startup_allowance
 from topazlug.routing import _group_limits
 from topazlug.routing import _ledger
 from topazlug.routing import _owner_queue
@@ -36,7 +36,7 @@
         Queues the requests that may wait.
     targets : TargetDirectory
         Replicas, and which of them are cold.
-    startup_limit : StartAllowance
+    startup_allowance : StartupAllowance
         Load allowed on a replica just after this owner has started.
     clock : Clock
         Source of time.
@@ -49,14 +49,14 @@
         replies: _owner_replies.OwnerReplies,
         queue: _owner_queue.OwnerQueue,
         targets: _targets.TargetDirectory,
-        startup_limit: _start_allowance.StartAllowance,
+        startup_allowance: _startup_allowance.StartupAllowance,
         clock: _clock.Clock,
     ) -> None:
         self._group_limits = group_limits
         self._replies = replies
         self._queue = queue
         self._targets = targets
-        self._startup_limit = startup_limit
+        self._startup_allowance = startup_allowance
         self._clock = clock
 
     def decide(
@@ -175,7 +175,7 @@
             total = total._replace(load=ask.total)
         limit = max(
             self._group_limits.limit(ledger.group, total),
-            self._startup_limit.limit(
+            self._startup_allowance.limit(
                 ledger.slots, now=self._clock.monotonic()
             ),
         )
--- a/src/topazlug/routing/_owner.py
+++ b/src/topazlug/routing/_owner.py
@@ -16,7 +16,7 @@
 from topazlug._generated import messages
 from topazlug._generated import settings as _settings_types
 from topazlug.capacity import _slot_key
-from topazlug.capacity import _start_allowance
+from topazlug.capacity import _startup_allowance
 from topazlug.routing import _admission_control
 from topazlug.routing import _displaced_chats
 from topazlug.routing import _group_limits
@@ -128,7 +128,7 @@
             replies=self._replies,
             queue=self._queue,
             targets=targets,
-            startup_limit=_start_allowance.StartAllowance(
+            startup_allowance=_startup_allowance.StartupAllowance(
                 fraction=startup_fraction, started_at=clock.monotonic()
             ),
             clock=clock,
--- a/src/topazlug/routing/_owner_client.py
+++ b/src/topazlug/routing/_owner_client.py
@@ -27,7 +27,7 @@
 _INITIAL_SKIP_SECONDS = 0.1
 # A rejected caller is asked to retry within this fraction of the time until
 # its deadline. The rest is for the response to the retry.
-MAX_RETURN_FRACTION = 0.3
+MAX_RETRY_DELAY_FRACTION = 0.3
 
 
 class OwnerReply(NamedTuple):
@@ -160,7 +160,8 @@
             total=total,
             rank=request.rank,
             request=request.prompt,
-            longest=max(0.0, request.deadline - now) * MAX_RETURN_FRACTION,
+            longest=max(0.0, request.deadline - now)
+            * MAX_RETRY_DELAY_FRACTION,
             shared=request.shared_tokens,
             may_wait=may_wait,
             cold=cold,
--- a/src/topazlug/routing/_owner_endpoint.py
+++ b/src/topazlug/routing/_owner_endpoint.py
@@ -91,7 +91,7 @@
         links.handle(messages.Renew, self._on_renew)
         links.handle(messages.Displaced, self._on_displaced)
         links.handle(messages.DisplacedBatch, self._on_displaced_batch)
-        links.handle(messages.LoadReport, self._on_report)
+        links.handle(messages.LoadReport, self._on_load_report)
 
     def _on_admit_ask(
         self, sender: _ids.DaemonId, ask: Any, reply: _peers.Reply
@@ -140,7 +140,7 @@
         for entry in message.entries:
             self._owner.displaced.record(entry)
 
-    def _on_report(
+    def _on_load_report(
         self, sender: _ids.DaemonId, message: Any, reply: _peers.Reply
     ) -> None:
         reply(self._collector.add_report(sender, message))
