--- a/src/topazlug/capacity/_shared_backoff.py
+++ b/src/topazlug/capacity/_shared_backoff.py
@@ -3,7 +3,7 @@
 Load pattern: a replica rejects requests for seconds, and each rejection
 requests a backoff from the daemon that sent the request. Without sharing, each
 of 70 daemons would have a request rejected before it backs off, and another
-one after each backoff, as each sees only a small part of the requests.
+one after each backoff, as each gets only a small part of the requests.
 
 If only one daemon is in backoff, the cause may be that daemon. If several are,
 the backoff applies to all daemons, unless the replica serves most of its
--- a/src/topazlug/placement/_context_locator.py
+++ b/src/topazlug/placement/_context_locator.py
@@ -3,7 +3,7 @@
 The replica that read a prompt's shared parts last keeps them. When the chat
 moves (a replica joins, drains, fails or is over its bound), the new replica
 can copy the parts from there, for a tenth of the cost of reading them again.
-Each daemon sees only a part of the requests, so it may have no record of the
+Each daemon gets only a part of the requests, so it may have no record of the
 last read. The source is then the chat's previous home: the first replica in
 the ranking of those that have not joined recently.
 """
--- a/src/topazlug/placement/_owner_search.py
+++ b/src/topazlug/placement/_owner_search.py
@@ -216,7 +216,7 @@
     ) -> None:
         """Record an owner's reply for decisions that are made without one.
 
-        This daemon sees only a small part of the requests: at four times the
+        This daemon gets only a small part of the requests. At four times the
         usual load, half of the requests that it placed by its own view went
         to replicas that it had no report of, and those were full.
         """
--- a/src/topazlug/routing/_group_limits.py
+++ b/src/topazlug/routing/_group_limits.py
@@ -1,4 +1,4 @@
-"""Load, mean and load limit of whole groups, as an owner sees them.
+"""Load, mean and load limit of whole groups, as estimated by an owner.
 
 The owner counts its own replicas exactly and receives the load of the others
 from the group's collector.
--- a/tests/topazlug/placement/test_cold_placement.py
+++ b/tests/topazlug/placement/test_cold_placement.py
@@ -114,7 +114,7 @@
 class TestColdReplica:
     """A restarted replica must not crash under the load of all daemons.
 
-    All of its chats return to it through daemons that each see only a small
+    All of its chats return to it through daemons that each get only a small
     part of them. The replica crashed when no daemon counted the requests of
     all daemons together.
     """
--- a/tests/topazlug/placement/test_replica_list.py
+++ b/tests/topazlug/placement/test_replica_list.py
@@ -86,19 +86,19 @@
         rig = Rig(monkeypatch, 60.0)
         old = fixtures.target("a", leaving=True, incarnation=1)
         new = fixtures.target("a", incarnation=2)
-        seen = []
-        rig.list._on_change = seen.append
+        received = []
+        rig.list._on_change = received.append
         for entry in (old, new, old):
             rig.list.update([entry])
-        assert seen[-1] == [new]
+        assert received[-1] == [new]
 
     def test_incarnation_may_be_lower_after_a_clock_step(self, monkeypatch):
         rig = Rig(monkeypatch, 60.0)
-        seen = []
-        rig.list._on_change = seen.append
+        received = []
+        rig.list._on_change = received.append
         for incarnation in (5, 3):
             rig.list.update([fixtures.target("a", incarnation=incarnation)])
-        assert seen[-1][0].incarnation == 3
+        assert received[-1][0].incarnation == 3
 
     def test_entry_at_a_reused_address_is_ignored(self, monkeypatch):
         """Only the newer replica at an address may get requests.
@@ -111,8 +111,8 @@
         old = fixtures.target("old", port=7)
         new = fixtures.target("new", port=7)
         other = fixtures.target("other", port=8)
-        seen = []
-        rig.list._on_change = seen.append
+        received = []
+        rig.list._on_change = received.append
         for entries in (
             [old, other],
             [other],
@@ -120,21 +120,21 @@
             [old, other, new],
         ):
             rig.list.update(entries)
-        assert {target.replica for target in seen[-1]} == {"new", "other"}
+        assert {target.replica for target in received[-1]} == {"new", "other"}
 
     def test_replica_that_returns_to_its_address_is_used(self, monkeypatch):
         rig = Rig(monkeypatch, 60.0)
-        seen = []
-        rig.list._on_change = seen.append
+        received = []
+        rig.list._on_change = received.append
         old = fixtures.target("old", port=7)
         for entries in ([old], [], [old]):
             rig.list.update(entries)
-        assert seen[-1] == [old]
+        assert received[-1] == [old]
 
     def test_replicas_first_seen_together_are_both_used(self, monkeypatch):
         """A daemon that has just started must not ignore a running replica."""
         rig = Rig(monkeypatch, 60.0)
-        seen = []
-        rig.list._on_change = seen.append
+        received = []
+        rig.list._on_change = received.append
         rig.list.update([fixtures.target(name, port=7) for name in "ab"])
-        assert len(seen[-1]) == 2
+        assert len(received[-1]) == 2
--- a/tests/topazlug/routing/test_ledger.py
+++ b/tests/topazlug/routing/test_ledger.py
@@ -112,20 +112,23 @@
         assert {w.outcome for w in waiters} == {"not_owner"}
 
 
-ASKS = strategies.integers(0, 5)
+ASK_NUMBERS = strategies.integers(0, 5)
 DAEMON_NAMES = strategies.sampled_from(DAEMONS)
 STEP = strategies.one_of(
     strategies.tuples(
-        strategies.just("hold"), DAEMON_NAMES, ASKS, strategies.integers(1, 3)
+        strategies.just("hold"),
+        DAEMON_NAMES,
+        ASK_NUMBERS,
+        strategies.integers(1, 3),
     ),
-    strategies.tuples(strategies.just("release"), DAEMON_NAMES, ASKS),
+    strategies.tuples(strategies.just("release"), DAEMON_NAMES, ASK_NUMBERS),
     strategies.tuples(
         strategies.just("renew"),
         DAEMON_NAMES,
-        strategies.sets(ASKS, max_size=4),
+        strategies.sets(ASK_NUMBERS, max_size=4),
     ),
     strategies.tuples(strategies.just("drop"), DAEMON_NAMES),
-    strategies.tuples(strategies.just("queue"), DAEMON_NAMES, ASKS),
+    strategies.tuples(strategies.just("queue"), DAEMON_NAMES, ASK_NUMBERS),
     strategies.tuples(strategies.just("grant")),
 )
 
--- a/tests/topazlug/routing/test_ownership.py
+++ b/tests/topazlug/routing/test_ownership.py
@@ -30,14 +30,14 @@
     @given(strategies.lists(strategies.tuples(DAEMONS, REPLICAS), max_size=6))
     def test_equals_a_full_ranking(self, steps):
         ownership = _ownership.Ownership()
-        seen = {}
+        owner_by_replica = {}
         for daemons, replicas in steps:
             for change in ownership.update(daemons=daemons, replicas=replicas):
-                assert seen.get(change.replica) == change.before
-                seen[change.replica] = change.after
+                assert owner_by_replica.get(change.replica) == change.before
+                owner_by_replica[change.replica] = change.after
             expected = full_ranking(daemons, replicas)
             assert owners(ownership, replicas) == expected
-            assert {r: d for r, d in seen.items() if d} == {
+            assert {r: d for r, d in owner_by_replica.items() if d} == {
                 r: d for r, d in expected.items() if d
             }
 
