--- a/src/topazlug/placement/_owner_admission.py
+++ b/src/topazlug/placement/_owner_admission.py
@@ -1,9 +1,9 @@
 """Places requests by the owners' counts, or by views if no owner replies.
 
-Each replica's load is counted by one daemon, its owner. The others
-each receive only a small part of the requests, and would assume that a full
-replica is empty. The owner counts all of them. If the owner does not reply, the request does
-not wait for another owner. It is placed by this daemon's own view.
+Each replica's load is counted by one daemon, its owner. The others each
+receive only a small part of the requests, and would assume that a full replica
+is empty. The owner counts all of them. If the owner does not reply, the
+request does not wait for another owner. It is placed by this daemon's own view.
 """
 
 from typing import final
