--- a/src/topazlug/placement/_owner_admission.py
+++ b/src/topazlug/placement/_owner_admission.py
@@ -3,7 +3,8 @@
 Each replica's load is counted by one daemon, its owner. The others each
 receive only a small part of the requests, and would assume that a full replica
 is empty. The owner counts all of them. If the owner does not reply, the
-request does not wait for another owner. It is placed by this daemon's own view.
+request does not wait for another owner. This daemon's own view decides where
+it is placed.
 """
 
 from typing import final
