--- a/bench/capacity/capacity_messages.py
+++ b/bench/capacity/capacity_messages.py
@@ -273,7 +273,7 @@
     listed: list[_targets.Target],
 ) -> tuple[_target_poller.TargetPoller, _target_client.TargetConnections]:
     directory = _targets.TargetDirectory(clock=_CLOCK, flap_window=60.0)
-    directory.take_list(listed)
+    directory.set_list(listed)
     connections = _target_client.TargetConnections(
         connect_timeout=2.0, clock=_CLOCK
     )
--- a/bench/capacity/capacity_routing.py
+++ b/bench/capacity/capacity_routing.py
@@ -110,7 +110,7 @@
     directory_ = _targets.TargetDirectory(
         clock=_clock.SystemClock(), flap_window=60.0
     )
-    taken = sizes.once_millis(lambda: directory_.take_list(listed))
+    taken = sizes.once_millis(lambda: directory_.set_list(listed))
     told = [_listed_targets.fact_from_target(target) for target in listed[:50]]
     bare = [_fact_of(target) for target in listed[50:100]]
     with_address = sizes.processor_micros(
@@ -168,7 +168,7 @@
 def _owner_with_places() -> tuple[_owner.Owner, list[_ids.ReplicaId]]:
     clock = _clock.SystemClock()
     directory_ = _targets.TargetDirectory(clock=clock, flap_window=60.0)
-    directory_.take_list(sizes.targets())
+    directory_.set_list(sizes.targets())
     owners = _ownership.Ownership()
     me = sizes.daemon_ids()[0]
     owners.update(
--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -164,7 +164,7 @@
 
     def directory() -> _targets.TargetDirectory:
         made = _targets.TargetDirectory(clock=_CLOCK, flap_window=60.0)
-        made.take_list(_listed_targets.targets_from_instances(instances))
+        made.set_list(_listed_targets.targets_from_instances(instances))
         return made
 
     targets = sizes.held_bytes(directory)
@@ -363,7 +363,7 @@
     after_table = sizes.resident_bytes()
     instances = _instances.decode(data)
     directory = _targets.TargetDirectory(clock=_CLOCK, flap_window=60.0)
-    directory.take_list(_listed_targets.targets_from_instances(instances))
+    directory.set_list(_listed_targets.targets_from_instances(instances))
     owners = _ownership.Ownership()
     owners.update(
         daemons=sizes.daemon_ids(), replicas=directory.target_by_replica
--- a/bench/experiments/crashing_requests.py
+++ b/bench/experiments/crashing_requests.py
@@ -195,7 +195,7 @@
         self.targets = _targets.TargetDirectory(
             clock=self.clock, flap_window=1.0
         )
-        self.targets.take_list(
+        self.targets.set_list(
             [_target(f"listed-{number}") for number in range(load.replicas)]
         )
         self._random = random.Random(seed)
@@ -359,7 +359,9 @@
             replica = self._replica_by_run[run]
             if replica in self._running:
                 del self._running[replica][run]
-                daemon.runs.finish(run, _target_runs.RunEnd.WHOLE, status=200)
+                daemon.runs.finish(
+                    run, _target_runs.RunEnd.COMPLETE, status=200
+                )
                 return
             daemon.read()
             may = daemon.guard.may_repeat(run.fingerprint, run.target)
--- a/src/topazlug/calls/_chat_calls.py
+++ b/src/topazlug/calls/_chat_calls.py
@@ -224,7 +224,7 @@
             raise
         self._observe_first_token(call, answer)
         watch = _caller_watch.CallerWatch(
-            call.request.socket, left=stream.caller_left
+            call.request.socket, left=stream.handle_caller_left
         )
         body = self._relay(
             call, placement, ticket, stream, watch, first, pieces
--- a/src/topazlug/calls/_chat_stream.py
+++ b/src/topazlug/calls/_chat_stream.py
@@ -73,7 +73,7 @@
         """Return the number of events relayed."""
         return self._reader.count
 
-    def caller_left(self) -> None:
+    def handle_caller_left(self) -> None:
         """Abort the answer as its caller left; may be called from the hub."""
         self._has_caller_left = True
         self.answer.abort()
--- a/src/topazlug/crashes/_crash_detector.py
+++ b/src/topazlug/crashes/_crash_detector.py
@@ -55,7 +55,7 @@
 
     Attributes
     ----------
-    TAKEN
+    ACCEPTED
         The connection was accepted and stayed open.
     REFUSED
         The connection was refused, or accepted and closed by a relay.
@@ -63,7 +63,7 @@
         There was no response.
     """
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     REFUSED = "refused"
     NONE = "none"
 
@@ -255,7 +255,7 @@
             other.host == target.host and other.port == target.port
             for other in self._listed().values()
         )
-        if is_replaced or _connect(target) is not _ConnectResult.TAKEN:
+        if is_replaced or _connect(target) is not _ConnectResult.ACCEPTED:
             self._report(target, broken)
 
     def _report(
@@ -280,7 +280,7 @@
 
 def _was_interrupted(run: _target_runs.Run) -> bool:
     ends = _target_runs.RunEnd
-    return run.end in (ends.LOST, ends.SILENT)
+    return run.end in (ends.LOST, ends.TIMED_OUT)
 
 
 def _connect(target: _targets.Target) -> _ConnectResult:
@@ -299,7 +299,7 @@
         return _ConnectResult.NONE
     try:
         return (
-            _ConnectResult.TAKEN
+            _ConnectResult.ACCEPTED
             if _stays_open(connection)
             else _ConnectResult.REFUSED
         )
--- a/src/topazlug/fleet/_fleet.py
+++ b/src/topazlug/fleet/_fleet.py
@@ -42,7 +42,7 @@
     daemon: _ids.DaemonId
     address: _settings_types.AddressSettings
     relays: bool
-    news: _staleness_bounds.StalenessBounds
+    staleness_bounds: _staleness_bounds.StalenessBounds
     first_start: bool
 
 
@@ -108,7 +108,7 @@
             listener,
             self._feed_wait,
             pace=pace,
-            validity=self._options.news.validity,
+            validity=self._options.staleness_bounds.validity,
         )
 
     def _feed(
@@ -141,8 +141,8 @@
 
     def _feed_wait(self) -> float:
         if self.directory.is_small:
-            return self._options.news.direct_wait
-        return self._options.news.reader_wait
+            return self._options.staleness_bounds.direct_wait
+        return self._options.staleness_bounds.reader_wait
 
     def wait_for_size(self) -> None:
         """Wait until the size of the fleet is known, on the first start.
--- a/src/topazlug/fleet/_staleness_bounds.py
+++ b/src/topazlug/fleet/_staleness_bounds.py
@@ -32,15 +32,15 @@
 
     Attributes
     ----------
-    in_force : float
+    propagation : float
         Seconds within which each daemon must apply a change.
-    unreachable : float
-        Seconds after the end of a connection loss during which `in_force`
+    recovery : float
+        Seconds after the end of a connection loss during which `propagation`
         does not apply yet.
     """
 
-    in_force: float
-    unreachable: float
+    propagation: float
+    recovery: float
 
     @property
     def direct_wait(self) -> float:
@@ -50,15 +50,17 @@
         must time out, and the next call be answered, before all accepted
         changes must be in force again.
         """
-        wait = self.unreachable - _table_source.ANSWER_SLACK_SECONDS
+        wait = self.recovery - _table_source.ANSWER_SLACK_SECONDS
         return max(_MIN_WAIT_SECONDS, wait - _DIRECT_MARGIN_SECONDS)
 
     @property
     def reader_wait(self) -> float:
         """Return the maximum wait of a call that serves other daemons too."""
-        return max(_MIN_WAIT_SECONDS, self.in_force * _READER_WAIT_FRACTION)
+        return max(_MIN_WAIT_SECONDS, self.propagation * _READER_WAIT_FRACTION)
 
     @property
     def validity(self) -> float:
         """Return for how long the last answer of the store is valid."""
-        return max(2 * _MIN_WAIT_SECONDS, self.in_force * _VALIDITY_FRACTION)
+        return max(
+            2 * _MIN_WAIT_SECONDS, self.propagation * _VALIDITY_FRACTION
+        )
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -115,7 +115,7 @@
         )
         self.replicas = _replica_list.ReplicaList(
             on_change=self._take_replicas,
-            unreachable=options.news.unreachable,
+            unreachable=options.news.recovery,
             clock=clock,
         )
         self._admission = _owner_admission.OwnerAdmission(
@@ -133,7 +133,7 @@
                 daemon=options.daemon,
                 address=options.peers,
                 relays=options.relays,
-                news=options.news,
+                staleness_bounds=options.news,
                 first_start=options.first_start,
             ),
             new_store=new_store,
@@ -237,7 +237,7 @@
         self._crashes.guard.handle_list_change(before, targets)
         self.views.take_list(targets)
         self.contexts.take_list(targets)
-        self.targets.take_list(targets)
+        self.targets.set_list(targets)
         self._knows_replicas = True
         self._open_gate()
 
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -128,7 +128,7 @@
             )
         except _target_client.ConnectFailed as error:
             view.note_outcome(failed=True)
-            self._note_unreached(place, is_silent=error.is_silent)
+            self._note_unreached(place, is_silent=error.is_timeout)
             raise
         except _errors.RequestError:
             view.note_outcome(failed=True)
--- a/src/topazlug/routing/_routing_assembly.py
+++ b/src/topazlug/routing/_routing_assembly.py
@@ -223,7 +223,7 @@
                     _listed_targets.fact_from_target(target)
                 )
         before = self.targets.target_by_replica
-        self.targets.take_list(listed)
+        self.targets.set_list(listed)
         for callback in self._list_callbacks:
             callback(before, self.targets.target_by_replica.values())
         self.owner.refresh_slots()
--- a/src/topazlug/targets/_cold_replicas.py
+++ b/src/topazlug/targets/_cold_replicas.py
@@ -69,7 +69,7 @@
         """Set the limits of groups, as configured in the table."""
         self._cold_start_by_group = cold_start_by_group
 
-    def take_list(self, targets: Iterable[_target.Target]) -> None:
+    def update_reported(self, targets: Iterable[_target.Target]) -> None:
         """Update the reported cold periods from the list.
 
         A period begins when an entry first shows it. Reading the same entry
--- a/src/topazlug/targets/_target_answer.py
+++ b/src/topazlug/targets/_target_answer.py
@@ -155,7 +155,7 @@
                 self._on_receive()
             self._parser.feed(data)
         except (TimeoutError, BlockingIOError) as error:
-            self.close(_target_runs.RunEnd.SILENT)
+            self.close(_target_runs.RunEnd.TIMED_OUT)
             if remaining <= receive_timeout:
                 raise deadline_error() from error
             raise _errors.TargetSilent(
@@ -173,13 +173,13 @@
     def _lost_end(self) -> _target_runs.RunEnd:
         """Return how the run ended, depending on who ended its connection."""
         ends = _target_runs.RunEnd
-        return ends.LEFT if self.aborted else ends.LOST
+        return ends.ABANDONED if self.aborted else ends.LOST
 
     def _finish(self) -> None:
         if self._closed:
             return
         ends = _target_runs.RunEnd
-        self._record_end(ends.WHOLE if self._is_framed else ends.LEFT)
+        self._record_end(ends.COMPLETE if self._is_framed else ends.ABANDONED)
         if self._parser.should_close() or not self._all_sent():
             self._close_connection()
         else:
@@ -225,7 +225,7 @@
         shut_down(self._connection)
 
     def close(
-        self, end: _target_runs.RunEnd = _target_runs.RunEnd.LEFT
+        self, end: _target_runs.RunEnd = _target_runs.RunEnd.ABANDONED
     ) -> None:
         """Close the connection, unless the answer was read completely.
 
--- a/src/topazlug/targets/_target_client.py
+++ b/src/topazlug/targets/_target_client.py
@@ -90,15 +90,15 @@
 
     Attributes
     ----------
-    is_silent : bool
+    is_timeout : bool
         Whether it timed out rather than being refused.
     """
 
     code = _errors.Code.NO_TARGET
 
-    def __init__(self, message: str, *, is_silent: bool = False) -> None:
+    def __init__(self, message: str, *, is_timeout: bool = False) -> None:
         super().__init__(message)
-        self.is_silent = is_silent
+        self.is_timeout = is_timeout
 
 
 @final
@@ -297,7 +297,7 @@
         except OSError as error:
             raise ConnectFailed(
                 f"no connection to {target.replica}: {error}",
-                is_silent=isinstance(error, TimeoutError),
+                is_timeout=isinstance(error, TimeoutError),
             ) from error
         _set_options(connection)
         return connection
@@ -389,8 +389,8 @@
         if error.outcome is _errors.Outcome.NOT_RUN:
             return ends.NOT_RUN
         is_failed = isinstance(error, _errors.TargetFailed)
-        return ends.LOST if is_failed else ends.SILENT
-    return ends.LEFT
+        return ends.LOST if is_failed else ends.TIMED_OUT
+    return ends.ABANDONED
 
 
 def _set_options(connection: socket.socket) -> None:
--- a/src/topazlug/targets/_target_runs.py
+++ b/src/topazlug/targets/_target_runs.py
@@ -29,24 +29,24 @@
 
     Attributes
     ----------
-    WHOLE
+    COMPLETE
         The answer was read completely; its framing marked its end.
     NOT_RUN
         The target rejected the request, or nothing of it was sent.
     LOST
         The connection ended before the answer was complete.
-    SILENT
+    TIMED_OUT
         The target sent nothing until the timeout.
-    LEFT
+    ABANDONED
         The daemon stopped waiting, or can't tell whether the answer is
         complete.
     """
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     NOT_RUN = "not-run"
     LOST = "lost"
-    SILENT = "silent"
-    LEFT = "left"
+    TIMED_OUT = "silent"
+    ABANDONED = "left"
 
 
 @final
@@ -87,7 +87,7 @@
     @property
     def is_success(self) -> bool:
         """Return whether it ended with a complete 2xx answer."""
-        return self.end is RunEnd.WHOLE and 200 <= self.status < 300
+        return self.end is RunEnd.COMPLETE and 200 <= self.status < 300
 
 
 @final
@@ -149,7 +149,7 @@
         running.discard(run)
         if not running:
             self._running_by_process.pop(process, None)
-        if end not in (RunEnd.WHOLE, RunEnd.NOT_RUN):
+        if end not in (RunEnd.COMPLETE, RunEnd.NOT_RUN):
             self._add_broken(process, run)
         for callback in self._ended_callbacks:
             callback(run)
--- a/src/topazlug/targets/_targets.py
+++ b/src/topazlug/targets/_targets.py
@@ -117,7 +117,7 @@
         """Register a callback for reports that change a target's state."""
         self._report_callbacks.append(callback)
 
-    def take_list(self, targets: Iterable[Target]) -> None:
+    def set_list(self, targets: Iterable[Target]) -> None:
         """Replace the platform's list of targets.
 
         Parameters
@@ -128,7 +128,7 @@
         self._listed_by_replica = {
             target.replica: target for target in targets
         }
-        self.cold.take_list(self._listed_by_replica.values())
+        self.cold.update_reported(self._listed_by_replica.values())
         self._merge()
 
     def _merge(self) -> None:
--- a/tests/topazlug/crashes/test_crash_detector.py
+++ b/tests/topazlug/crashes/test_crash_detector.py
@@ -158,7 +158,7 @@
     def test_request_abandoned_just_before_is_reported_too(self, rig):
         target = rig.start("i-1")
         left = rig.run(target, "left")
-        rig.book.finish(left, ENDS.LEFT)
+        rig.book.finish(left, ENDS.ABANDONED)
         rig.end(target)
         rig.book.finish(rig.run(target, "f"), ENDS.LOST)
         rig.wait_for_check(target)
@@ -184,7 +184,9 @@
         settle()
         assert rig.crashed() == []
 
-    @pytest.mark.parametrize("end", [ENDS.SILENT, ENDS.LEFT, ENDS.NOT_RUN])
+    @pytest.mark.parametrize(
+        "end", [ENDS.TIMED_OUT, ENDS.ABANDONED, ENDS.NOT_RUN]
+    )
     def test_other_run_ends_trigger_no_check(self, rig, end):
         target = rig.start("i-1")
         run = rig.run(target)
@@ -226,7 +228,7 @@
         target = rig.start("i-1")
         run = rig.run(target)
         rig.end(target)
-        rig.book.finish(run, ENDS.SILENT)
+        rig.book.finish(run, ENDS.TIMED_OUT)
         rig.unlist(target)
         routing_fixtures.wait_until(lambda: rig.crashes)
         assert rig.crashes[0][1] == [run]
@@ -246,7 +248,7 @@
 
     def test_new_incarnation_under_the_same_id(self, rig):
         target = rig.start("i-1")
-        rig.book.finish(rig.run(target), ENDS.SILENT)
+        rig.book.finish(rig.run(target), ENDS.TIMED_OUT)
         before = dict(rig.listed)
         new = msgspec.structs.replace(target, incarnation=2)
         rig.listed = {"i-1": new}
--- a/tests/topazlug/crashes/test_crash_guard.py
+++ b/tests/topazlug/crashes/test_crash_guard.py
@@ -81,7 +81,7 @@
             fingerprint=_ids.Fingerprint(name),
             attempt="r",
         )
-        self.book.finish(run, _target_runs.RunEnd.WHOLE, status=200)
+        self.book.finish(run, _target_runs.RunEnd.COMPLETE, status=200)
 
     def is_rejected(self, name=F):
         try:
@@ -141,7 +141,7 @@
             fixtures.target(f"i-{n}", port=processes.free_port())
             for n in range(2)
         ]
-        rig.guard._targets.take_list(targets)
+        rig.guard._targets.set_list(targets)
         may_repeat = []
         for target in targets:
             run = rig.book.begin(target, fingerprint=F, attempt="a")
--- a/tests/topazlug/fleet/read_simulation.py
+++ b/tests/topazlug/fleet/read_simulation.py
@@ -27,7 +27,7 @@
 PEER_TIMEOUT_SECONDS = PEER_WAIT_SECONDS + PEER_SLACK_SECONDS
 TABLE = "servers"
 MIN_AGE_GAIN_SECONDS = 0.5
-BOUNDS = _staleness_bounds.StalenessBounds(in_force=4.0, unreachable=5.0)
+BOUNDS = _staleness_bounds.StalenessBounds(propagation=4.0, recovery=5.0)
 MIN_INTERVAL_SECONDS = 0.2
 
 Outcome = _reading_plan.Outcome
--- a/tests/topazlug/fleet/test_store_recovery.py
+++ b/tests/topazlug/fleet/test_store_recovery.py
@@ -16,9 +16,9 @@
 
 # Reserved for what is not simulated: processing, links and the request itself.
 MARGIN_SECONDS = 0.5
-SMALL = _staleness_bounds.StalenessBounds(in_force=2.0, unreachable=3.0)
-MIDDLE = _staleness_bounds.StalenessBounds(in_force=3.0, unreachable=4.0)
-LARGE = _staleness_bounds.StalenessBounds(in_force=4.0, unreachable=5.0)
+SMALL = _staleness_bounds.StalenessBounds(propagation=2.0, recovery=3.0)
+MIDDLE = _staleness_bounds.StalenessBounds(propagation=3.0, recovery=4.0)
+LARGE = _staleness_bounds.StalenessBounds(propagation=4.0, recovery=5.0)
 BOUNDS_BY_COUNT = {
     2: SMALL,
     8: SMALL,
@@ -81,13 +81,13 @@
 
     def due(self, number, changed_at):
         """Return by when a daemon must have received a change."""
-        due = changed_at + self.bounds.in_force
+        due = changed_at + self.bounds.propagation
         for begin, end, is_affected in sorted([*self.stalls, *self.resets]):
             if (
                 is_affected(number)
-                and begin <= due < end + self.bounds.unreachable
+                and begin <= due < end + self.bounds.recovery
             ):
-                due = end + self.bounds.unreachable
+                due = end + self.bounds.recovery
         return due
 
     def simulate(self, count, seed, **options):
@@ -275,7 +275,7 @@
         for tenth in range(20, 80):
             begin = tenth / 10
             end = begin + 0.3
-            due = end + SMALL.unreachable - MARGIN_SECONDS
+            due = end + SMALL.recovery - MARGIN_SECONDS
             log = run_feed(stall=(begin, end), changed_at=end + 0.1, end=20.0)
             if log.known_at > due:
                 delay_by_begin[begin] = log.known_at - due
--- a/tests/topazlug/placement/owner_fixtures.py
+++ b/tests/topazlug/placement/owner_fixtures.py
@@ -98,7 +98,7 @@
         self.targets = _targets.TargetDirectory(
             clock=fleet.clock, flap_window=10.0
         )
-        self.targets.take_list(fleet.targets)
+        self.targets.set_list(fleet.targets)
         self.views = _replica_view.ReplicaViews(clock=fleet.clock)
         self.views.take_list(fleet.targets)
         self.owners = _owners.FleetOwners(
--- a/tests/topazlug/placement/test_cold_placement.py
+++ b/tests/topazlug/placement/test_cold_placement.py
@@ -70,7 +70,7 @@
             for one in self.fleet.targets
         ]
         for daemon in daemons or self.daemons:
-            daemon.targets.take_list(targets)
+            daemon.targets.set_list(targets)
 
     def run(self, seconds, *, each_step=lambda: None, **request):
         """Send two requests in each step for a number of seconds."""
--- a/tests/topazlug/placement/test_context_locator.py
+++ b/tests/topazlug/placement/test_context_locator.py
@@ -22,7 +22,7 @@
         )
 
     def list(self, names, *, leaving=(), incarnations=None):
-        self.targets.take_list(
+        self.targets.set_list(
             [
                 fixtures.target(
                     name,
--- a/tests/topazlug/placement/test_owner_admission.py
+++ b/tests/topazlug/placement/test_owner_admission.py
@@ -277,7 +277,7 @@
         remaining = [
             one for one in fleet.targets if one.replica != home_of(chat)
         ]
-        fleet.before_answer = lambda: daemon.targets.take_list(remaining)
+        fleet.before_answer = lambda: daemon.targets.set_list(remaining)
         place = daemon.admit(chat)
         assert place.target.replica != home_of(chat)
         released = [m for m in fleet.sent if isinstance(m, messages.Release)]
@@ -308,7 +308,7 @@
         ]
         for daemon in fleet.daemons:
             daemon.views.take_list(fleet.targets)
-            daemon.targets.take_list(fleet.targets)
+            daemon.targets.set_list(fleet.targets)
 
     def test_owner_counts_nothing_of_the_old_process(self, fleet):
         chat, owner = chat_owned_by_another(fleet, "d0")
--- a/tests/topazlug/placement/test_unreached_zone.py
+++ b/tests/topazlug/placement/test_unreached_zone.py
@@ -27,7 +27,7 @@
             msgspec.structs.replace(one, zone=ZONES[number % len(ZONES)])
             for number, one in enumerate(self.fleet.targets)
         ]
-        self.daemon.targets.take_list(targets)
+        self.daemon.targets.set_list(targets)
         self.daemon.views.take_list(targets)
         self.unreachable = set()
         self._chats = itertools.count()
--- a/tests/topazlug/placement/test_view_admission.py
+++ b/tests/topazlug/placement/test_view_admission.py
@@ -17,7 +17,7 @@
 def admission(replicas):
     clock = claim_fakes.FakeClock()
     targets = _targets.TargetDirectory(clock=clock, flap_window=10.0)
-    targets.take_list([fixtures.target(f"i-{n}") for n in range(replicas)])
+    targets.set_list([fixtures.target(f"i-{n}") for n in range(replicas)])
     return _view_admission.ViewAdmission(
         targets=targets, views=_replica_view.ReplicaViews(clock=clock)
     )
--- a/tests/topazlug/routing/test_admission.py
+++ b/tests/topazlug/routing/test_admission.py
@@ -272,7 +272,7 @@
         again = msgspec.structs.replace(home, incarnation=2)
         for entry in fleet.entry_by_name.values():
             others = entry.targets.target_by_replica.values()
-            entry.targets.take_list(
+            entry.targets.set_list(
                 [again if one == home else one for one in others]
             )
             entry.owner.reset_restarted_replicas()
--- a/tests/topazlug/routing_fixtures.py
+++ b/tests/topazlug/routing_fixtures.py
@@ -218,7 +218,7 @@
         self.daemon = _ids.DaemonId(name)
         routing = routing or _settings_types.RoutingSettings()
         self.targets = _targets.TargetDirectory(clock=clock, flap_window=60)
-        self.targets.take_list(targets)
+        self.targets.set_list(targets)
         self.ownership = _ownership.Ownership()
         self.owner = _owner.Owner(
             daemon=self.daemon,
@@ -333,7 +333,7 @@
     def list_target(self, replica: str, port: int, **changes: Any) -> None:
         """Add a target to the list of targets."""
         self.listed.append(target(replica, port=port, **changes))
-        self.entry.targets.take_list(self.listed)
+        self.entry.targets.set_list(self.listed)
         self.entry.ownership.update(
             daemons=[DAEMON], replicas=self.entry.targets.target_by_replica
         )
--- a/tests/topazlug/targets/test_cold_replicas.py
+++ b/tests/topazlug/targets/test_cold_replicas.py
@@ -38,45 +38,45 @@
 
 class TestListed:
     def test_not_cold_by_default(self, directory):
-        directory.take_list([target()])
+        directory.set_list([target()])
         assert max_request_rate(directory) is None
 
     def test_cold_for_the_reported_time(self, directory, clock):
-        directory.take_list([target(2.5)])
+        directory.set_list([target(2.5)])
         assert max_request_rate(directory) == MAX_RATE
         clock.advance(2.4)
-        directory.take_list([target(2.5)])
+        directory.set_list([target(2.5)])
         assert max_request_rate(directory) == MAX_RATE
         clock.advance(0.2)
         assert max_request_rate(directory) is None
 
     def test_not_cold_once_reported_so(self, directory):
-        directory.take_list([target(2.5)])
-        directory.take_list([target(0.0)])
+        directory.set_list([target(2.5)])
+        directory.set_list([target(0.0)])
         assert max_request_rate(directory) is None
 
     def test_cold_again_without_a_restart(self, directory):
-        directory.take_list([target()])
-        directory.take_list([target(2.9)])
+        directory.set_list([target()])
+        directory.set_list([target(2.9)])
         assert max_request_rate(directory) == MAX_RATE
 
     def test_restart_with_the_same_report(self, directory, clock):
-        directory.take_list([target(2.5)])
+        directory.set_list([target(2.5)])
         clock.advance(10.0)
         assert max_request_rate(directory) is None
-        directory.take_list([target(2.5, incarnation=2)])
+        directory.set_list([target(2.5, incarnation=2)])
         assert max_request_rate(directory) == MAX_RATE
 
     @pytest.mark.parametrize("per_second", [0.0, -1.0])
     def test_group_without_a_limit(self, directory, per_second):
         start = _cold_replicas.ColdStart(COLD_SECONDS, per_second)
         directory.cold.set_cold_starts({fixtures.GROUP: start})
-        directory.take_list([target(2.5)])
+        directory.set_list([target(2.5)])
         assert max_request_rate(directory) is None
 
     def test_unconfigured_group_is_never_cold(self, directory):
         directory.cold.set_cold_starts({})
-        directory.take_list([target(2.5)])
+        directory.set_list([target(2.5)])
         directory.cold.presume_cold([target()])
         assert max_request_rate(directory) is None
 
@@ -90,7 +90,7 @@
     """
 
     def test_replica_that_refused_a_connection(self, directory, clock):
-        directory.take_list([target()])
+        directory.set_list([target()])
         directory.cold.presume_cold([target()])
         assert max_request_rate(directory) == MAX_RATE
         clock.advance(COLD_SECONDS)
@@ -99,22 +99,22 @@
         assert max_request_rate(directory) is None
 
     def test_unchanged_entry_has_no_effect(self, directory):
-        directory.take_list([target()])
+        directory.set_list([target()])
         directory.cold.presume_cold([target()])
-        directory.take_list([target()])
+        directory.set_list([target()])
         assert max_request_rate(directory) == MAX_RATE
 
     def test_zone_that_is_no_longer_drained(self, directory):
-        directory.take_list([target()])
+        directory.set_list([target()])
         directory.set_drains(_targets.Drains(zones=frozenset({"z"})))
         assert max_request_rate(directory) is None
         directory.set_drains(_targets.Drains())
         assert max_request_rate(directory) == MAX_RATE
 
     def test_removed_replicas_are_discarded(self, directory):
-        directory.take_list([target(2.5)])
+        directory.set_list([target(2.5)])
         directory.cold.presume_cold([target()])
-        directory.take_list([])
+        directory.set_list([])
         directory.cold.presume_cold([target()])
         assert not directory.cold._reported_until
         assert not directory.cold._presumed_until
--- a/tests/topazlug/targets/test_target_poller.py
+++ b/tests/topazlug/targets/test_target_poller.py
@@ -24,7 +24,7 @@
         self.directory = _targets.TargetDirectory(
             clock=_clock.SystemClock(), flap_window=60
         )
-        self.directory.take_list(
+        self.directory.set_list(
             [fixtures.target(R1, port=self.server.server_port)]
         )
         self.loads = []
@@ -106,6 +106,6 @@
         assert polled.published == [STATE.dead, STATE.live]
 
     def test_target_that_is_no_longer_listed(self, polled):
-        polled.directory.take_list([])
+        polled.directory.set_list([])
         polled.poll()
         assert polled.loads == []
--- a/tests/topazlug/targets/test_target_runs.py
+++ b/tests/topazlug/targets/test_target_runs.py
@@ -37,13 +37,15 @@
         assert tracker.running(PROCESS) == [run]
         assert tracker.broken(PROCESS, seconds=1.0) == []
 
-    @pytest.mark.parametrize("end", [ENDS.WHOLE, ENDS.NOT_RUN])
+    @pytest.mark.parametrize("end", [ENDS.COMPLETE, ENDS.NOT_RUN])
     def test_run_that_did_not_break_is_discarded(self, tracker, end):
         tracker.finish(begin(tracker), end, status=200)
         assert tracker.running(PROCESS) == []
         assert tracker.broken(PROCESS, seconds=1.0) == []
 
-    @pytest.mark.parametrize("end", [ENDS.LOST, ENDS.SILENT, ENDS.LEFT])
+    @pytest.mark.parametrize(
+        "end", [ENDS.LOST, ENDS.TIMED_OUT, ENDS.ABANDONED]
+    )
     def test_broken_run_is_kept_for_a_while(self, tracker, clock, end):
         run = begin(tracker)
         tracker.finish(run, end)
@@ -56,9 +58,9 @@
         ended = []
         tracker.on_end(ended.append)
         run = begin(tracker)
-        tracker.finish(run, ENDS.WHOLE, status=200)
-        tracker.finish(run, ENDS.LEFT)
-        assert (run.end, ended) == (ENDS.WHOLE, [run])
+        tracker.finish(run, ENDS.COMPLETE, status=200)
+        tracker.finish(run, ENDS.ABANDONED)
+        assert (run.end, ended) == (ENDS.COMPLETE, [run])
 
     def test_processes_of_a_replica_are_separate(self, tracker):
         restarted = fixtures.target("i-1", incarnation=2)
@@ -81,9 +83,9 @@
     @pytest.mark.parametrize(
         "end, status, is_success",
         [
-            (ENDS.WHOLE, 200, True),
-            (ENDS.WHOLE, 204, True),
-            (ENDS.WHOLE, 500, False),
+            (ENDS.COMPLETE, 200, True),
+            (ENDS.COMPLETE, 204, True),
+            (ENDS.COMPLETE, 500, False),
             (ENDS.LOST, 200, False),
         ],
     )
--- a/tests/topazlug/targets/test_targets.py
+++ b/tests/topazlug/targets/test_targets.py
@@ -21,7 +21,7 @@
 @pytest.fixture
 def directory(clock):
     made = _targets.TargetDirectory(clock=clock, flap_window=60)
-    made.take_list(
+    made.set_list(
         [fixtures.target("r1", zone="z1"), fixtures.target("r2", zone="z2")]
     )
     return made
@@ -75,7 +75,7 @@
 
     def test_restarted_target_is_usable(self, directory):
         directory.handle_report(fixtures.target("r1"), BACKOFF)
-        directory.take_list([fixtures.target("r1", incarnation=2)])
+        directory.set_list([fixtures.target("r1", incarnation=2)])
         assert usable(directory) == ["r1"]
 
 
@@ -85,7 +85,7 @@
         assert directory.usable("none") == []
 
     def test_listed_as_leaving(self, directory):
-        directory.take_list([fixtures.target("r1", leaving=True)])
+        directory.set_list([fixtures.target("r1", leaving=True)])
         assert usable(directory) == []
 
     @pytest.mark.parametrize("state", [STATE.leaving, STATE.dead])
@@ -97,14 +97,14 @@
         assert usable(directory) == ["r1", "r2"]
         directory.apply_fact(fact(state))
         assert usable(directory) == ["r2"]
-        directory.take_list(
+        directory.set_list(
             [fixtures.target("r1", slots=9), fixtures.target("r2")]
         )
         assert usable(directory) == ["r2"]
 
     def test_new_incarnation_is_not_leaving(self, directory):
         directory.apply_fact(fact(STATE.leaving))
-        directory.take_list([fixtures.target("r1", incarnation=2)])
+        directory.set_list([fixtures.target("r1", incarnation=2)])
         assert usable(directory) == ["r1"]
 
     def test_report_overrides_an_old_entry(self, directory):
@@ -113,7 +113,7 @@
         directory.handle_report(fixtures.target("r1"), LEAVING)
         assert usable(directory) == ["r2"]
         assert not directory.is_usable("r1")
-        directory.take_list(
+        directory.set_list(
             [fixtures.target("r1", slots=9), fixtures.target("r2")]
         )
         assert usable(directory) == ["r2"]
@@ -123,15 +123,15 @@
     ):
         """An entry that expires and returns must not make it usable again."""
         directory.handle_report(fixtures.target("r1"), LEAVING)
-        directory.take_list([fixtures.target("r2")])
+        directory.set_list([fixtures.target("r2")])
         clock.advance(120.0)
-        directory.take_list([fixtures.target("r2", slots=9)])
-        directory.take_list([fixtures.target("r1"), fixtures.target("r2")])
+        directory.set_list([fixtures.target("r2", slots=9)])
+        directory.set_list([fixtures.target("r1"), fixtures.target("r2")])
         assert usable(directory) == ["r2"]
 
     def test_report_of_an_ended_process_does_not_apply(self, directory):
         directory.handle_report(fixtures.target("r1"), LEAVING)
-        directory.take_list([fixtures.target("r1", incarnation=2)])
+        directory.set_list([fixtures.target("r1", incarnation=2)])
         assert usable(directory) == ["r1"]
 
     def test_leaving_target_still_answers(self, directory):
@@ -173,7 +173,7 @@
         calls = []
         directory.on_change(lambda: calls.append(1))
         for _ in range(2):
-            directory.take_list([fixtures.target("r1")])
+            directory.set_list([fixtures.target("r1")])
         assert calls == [1]
 
 
--- a/tests/topazlug_platform/platform_rig.py
+++ b/tests/topazlug_platform/platform_rig.py
@@ -70,7 +70,7 @@
         "peers": ANY,
         "relays": True,
         "news": _staleness_bounds.StalenessBounds(
-            in_force=0.1, unreachable=0.0
+            propagation=0.1, recovery=0.0
         ),
         "first_start": False,
         "max_connections": 100,
--- a/tests/topazlug_platform/test_boot_file.py
+++ b/tests/topazlug_platform/test_boot_file.py
@@ -58,7 +58,7 @@
         assert options.retry_extra == 58
         assert options.max_connections == 1950
         assert options.news.direct_wait == pytest.approx(1.6)
-        assert options.news.validity < options.news.in_force
+        assert options.news.validity < options.news.propagation
 
     @pytest.mark.parametrize(
         "changes, named",
