--- a/src/topazlug/crashes/_cause_analysis.py
+++ b/src/topazlug/crashes/_cause_analysis.py
@@ -130,8 +130,8 @@
             if isinstance(record, _crash_records.Crash):
                 crashes.append(record)
             elif isinstance(record, _crash_records.Answered):
-                starts = self._answered.setdefault(record.fingerprint, set())
-                starts.update(record.starts)
+                cleared = self._answered.setdefault(record.fingerprint, set())
+                cleared.update(record.starts)
             else:
                 self._block_by_fingerprint[record.fingerprint] = record
         self._crash_by_incarnation: dict[
--- a/src/topazlug/crashes/_crash_detector.py
+++ b/src/topazlug/crashes/_crash_detector.py
@@ -101,9 +101,7 @@
         self._is_leaving = is_leaving
         self._on_crash = on_crash
         self._clock = clock
-        self._check_by_incarnation: dict[
-            _target.ReplicaProcess, event.Event
-        ] = {}
+        self._check_by_process: dict[_target.ReplicaProcess, event.Event] = {}
         self._checked_at: dict[_target.ReplicaProcess, float] = {}
         self._refused_at: collections.deque[float] = collections.deque()
         # Incarnations whose crash was reported, oldest first.
@@ -113,52 +111,43 @@
 
     def wait_for_check(self, target: _targets.Target) -> None:
         """Wait for a running check of a target, if there is one."""
-        incarnation = _target.process_of(target)
-        check = self._check_by_incarnation.get(incarnation)
-        if check is not None and not self._recheck_delay(incarnation):
+        process = _target.process_of(target)
+        check = self._check_by_process.get(process)
+        if check is not None and not self._recheck_delay(process):
             check.wait(_CONNECT_TIMEOUT_SECONDS)
 
     def wait_for_other_checks(
         self, fingerprint: _ids.Fingerprint, target: _targets.Target
     ) -> None:
         """Wait for checks of other targets where the request was lost."""
-        for incarnation in list(self._check_by_incarnation):
-            if incarnation == _target.process_of(
-                target
-            ) or self._recheck_delay(incarnation):
+        for process in list(self._check_by_process):
+            if process == _target.process_of(target) or self._recheck_delay(
+                process
+            ):
                 continue
-            broken = self._runs.broken(
-                incarnation, seconds=_RECENT_RUN_SECONDS
-            )
+            broken = self._runs.broken(process, seconds=_RECENT_RUN_SECONDS)
             if any(run.fingerprint == fingerprint for run in broken):
-                self._check_by_incarnation[incarnation].wait(
-                    _CONNECT_TIMEOUT_SECONDS
-                )
+                self._check_by_process[process].wait(_CONNECT_TIMEOUT_SECONDS)
 
     def _on_run_end(self, run: _target_runs.Run) -> None:
         if run.end is not _target_runs.RunEnd.LOST:
             return
-        incarnation = _target.process_of(run.target)
-        if (
-            incarnation in self._reported
-            or incarnation in self._check_by_incarnation
-        ):
+        process = _target.process_of(run.target)
+        if process in self._reported or process in self._check_by_process:
             return
         # A target that leaves as planned ends too, and cuts off running
         # requests.
         if not self._is_serving(run.target):
             return
-        self._check_by_incarnation[incarnation] = event.Event()
+        self._check_by_process[process] = event.Event()
         gevent.spawn_later(
-            self._recheck_delay(incarnation), self._check, run.target
+            self._recheck_delay(process), self._check, run.target
         )
 
-    def _recheck_delay(self, incarnation: _target.ReplicaProcess) -> float:
+    def _recheck_delay(self, process: _target.ReplicaProcess) -> float:
         """Return the seconds until an incarnation may be checked again."""
         now = self._clock.monotonic()
-        again_at = (
-            self._checked_at.get(incarnation, -math.inf) + _RECHECK_SECONDS
-        )
+        again_at = self._checked_at.get(process, -math.inf) + _RECHECK_SECONDS
         return max(0.0, again_at - now)
 
     def _is_serving(self, target: _targets.Target) -> bool:
@@ -168,29 +157,27 @@
         return listed.incarnation == target.incarnation
 
     def _check(self, target: _targets.Target) -> None:
-        incarnation = _target.process_of(target)
+        process = _target.process_of(target)
         try:
             result = _connect(target)
             if result is _ConnectResult.REFUSED and self._few_replicas_refuse(
                 target
             ):
-                runs = self._runs.running(incarnation)
-                runs += self._runs.broken(
-                    incarnation, seconds=_RECENT_RUN_SECONDS
-                )
+                runs = self._runs.running(process)
+                runs += self._runs.broken(process, seconds=_RECENT_RUN_SECONDS)
                 self._report(target, runs)
         finally:
-            self._save_check_time(incarnation)
-            self._check_by_incarnation.pop(incarnation).set()
+            self._save_check_time(process)
+            self._check_by_process.pop(process).set()
 
-    def _save_check_time(self, incarnation: _target.ReplicaProcess) -> None:
+    def _save_check_time(self, process: _target.ReplicaProcess) -> None:
         now = self._clock.monotonic()
         self._checked_at = {
             one: at
             for one, at in self._checked_at.items()
             if now - at < _RECHECK_SECONDS
         }
-        self._checked_at[incarnation] = now
+        self._checked_at[process] = now
 
     def _few_replicas_refuse(self, target: _targets.Target) -> bool:
         """Return whether few enough replicas refuse connections now."""
@@ -220,26 +207,24 @@
         listed : iterable of Target
             The current list.
         """
-        incarnations = {_target.process_of(target) for target in listed}
+        processes = {_target.process_of(target) for target in listed}
         for target in before.values():
-            incarnation = _target.process_of(target)
-            if incarnation in incarnations or incarnation in self._reported:
+            process = _target.process_of(target)
+            if process in processes or process in self._reported:
                 continue
             if self._is_leaving(target):
                 continue
             broken = [
-                run
-                for run in self._broken(incarnation)
-                if _was_interrupted(run)
+                run for run in self._broken(process) if _was_interrupted(run)
             ]
             if broken:
                 gevent.spawn(self._check_expired, target, broken)
 
     def _broken(
-        self, incarnation: _target.ReplicaProcess
+        self, process: _target.ReplicaProcess
     ) -> list[_target_runs.Run]:
         return self._runs.broken(
-            incarnation, seconds=_target_runs.RETENTION_SECONDS
+            process, seconds=_target_runs.RETENTION_SECONDS
         )
 
     def _check_expired(
@@ -261,10 +246,10 @@
     def _report(
         self, target: _targets.Target, runs: list[_target_runs.Run]
     ) -> None:
-        incarnation = _target.process_of(target)
-        if incarnation in self._reported or not runs:
+        process = _target.process_of(target)
+        if process in self._reported or not runs:
             return
-        self._reported[incarnation] = None
+        self._reported[process] = None
         while len(self._reported) > _MAX_REPORTED:
             self._reported.popitem(last=False)
         _log.warning(
--- a/src/topazlug/crashes/_crash_guard.py
+++ b/src/topazlug/crashes/_crash_guard.py
@@ -223,9 +223,9 @@
     def _on_crash(
         self, target: _targets.Target, runs: list[_target_runs.Run]
     ) -> None:
-        incarnation = _target.process_of(target)
+        process = _target.process_of(target)
         crash = self._history.add_crash(
-            incarnation,
+            process,
             target.group,
             runs,
             replicas=len(self._targets.known(target.group)),
--- a/src/topazlug/crashes/_crash_history.py
+++ b/src/topazlug/crashes/_crash_history.py
@@ -138,7 +138,7 @@
 
     def add_crash(
         self,
-        incarnation: _target.ReplicaProcess,
+        process: _target.ReplicaProcess,
         group: _ids.GroupName,
         runs: Iterable[_target_runs.Run],
         *,
@@ -161,7 +161,7 @@
             for run in runs
         ]
         crash = _crash_records.Crash(
-            start=_crash_records.incarnation_name(incarnation),
+            start=_crash_records.incarnation_name(process),
             daemon=self._daemon,
             at=self._clock.now(),
             group=group,
@@ -234,11 +234,11 @@
         incarnation: _crash_records.IncarnationName,
     ) -> None:
         previous = self._answered.get(fingerprint)
-        starts = set(previous.starts) if previous else set()
-        if incarnation not in starts:
+        cleared = set(previous.starts) if previous else set()
+        if incarnation not in cleared:
             self._answered[fingerprint] = _crash_records.Answered(
                 fingerprint=fingerprint,
-                starts=sorted({*starts, incarnation}),
+                starts=sorted({*cleared, incarnation}),
                 at=self._clock.now(),
             )
 
@@ -274,8 +274,8 @@
         )
         if not isinstance(previous, _crash_records.Answered):
             return record
-        starts = {*record.starts, *previous.starts}
-        return msgspec.structs.replace(record, starts=sorted(starts))
+        cleared = {*record.starts, *previous.starts}
+        return msgspec.structs.replace(record, starts=sorted(cleared))
 
     def has_own_crash(self, fingerprint: _ids.Fingerprint) -> bool:
         """Return whether this daemon recorded a crash under a request."""
--- a/src/topazlug/crashes/_crash_records.py
+++ b/src/topazlug/crashes/_crash_records.py
@@ -30,9 +30,9 @@
 AttemptTag = NewType("AttemptTag", str)
 
 
-def incarnation_name(incarnation: _target.ReplicaProcess) -> IncarnationName:
+def incarnation_name(process: _target.ReplicaProcess) -> IncarnationName:
     """Return the name of a replica's incarnation in rows."""
-    return IncarnationName(f"{incarnation.replica}@{incarnation.incarnation}")
+    return IncarnationName(f"{process.replica}@{process.incarnation}")
 
 
 def attempt_tag(attempt: str) -> AttemptTag:
--- a/src/topazlug/targets/_targets.py
+++ b/src/topazlug/targets/_targets.py
@@ -31,8 +31,8 @@
 
 _AVOID_SECONDS = 1.0
 _PEER_TARGET_SECONDS = 900.0
-_HOLD_BASE_SECONDS = 1.0
-_HOLD_MAX_SECONDS = 30.0
+_HELD_OUT_BASE_SECONDS = 1.0
+_MAX_HELD_OUT_SECONDS = 30.0
 
 
 class _PeerTarget(msgspec.Struct):
@@ -309,8 +309,12 @@
         health.returns.append(now)
         if len(health.returns) < 2:
             return
-        hold_seconds = _HOLD_BASE_SECONDS * 2 ** (len(health.returns) - 1)
-        health.held_out_until = now + min(hold_seconds, _HOLD_MAX_SECONDS)
+        held_out_seconds = _HELD_OUT_BASE_SECONDS * 2 ** (
+            len(health.returns) - 1
+        )
+        health.held_out_until = now + min(
+            held_out_seconds, _MAX_HELD_OUT_SECONDS
+        )
 
     def avoid(self, replica: _ids.ReplicaId) -> None:
         """Exclude a target for `_AVOID_SECONDS`, on this daemon only."""
--- a/tests/topazlug/crashes/test_crash_detector.py
+++ b/tests/topazlug/crashes/test_crash_detector.py
@@ -21,14 +21,14 @@
 
     def __init__(self):
         clock = _clock.SystemClock()
-        self.book = _target_runs.RunTracker(clock=clock)
+        self.tracker = _target_runs.RunTracker(clock=clock)
         self.listed = {}
         self.crashes = []
         self.closing = set()
         self.leaving = set()
         self._servers = {}
         self.detector = _crash_detector.CrashDetector(
-            runs=self.book,
+            runs=self.tracker,
             listed=lambda: self.listed,
             is_leaving=lambda target: (
                 target.leaving or target.replica in self.leaving
@@ -59,7 +59,7 @@
         self.closing.add(target.port)
 
     def run(self, target, name="f"):
-        return self.book.begin(
+        return self.tracker.begin(
             target,
             fingerprint=_ids.Fingerprint(name),
             attempt=f"of {name}",
@@ -74,9 +74,9 @@
 
     def wait_for_check(self, target):
         """Wait until the check of a target is done."""
-        start = _target.process_of(target)
+        process = _target.process_of(target)
         routing_fixtures.wait_until(
-            lambda: start not in self.detector._check_by_incarnation
+            lambda: process not in self.detector._check_by_process
         )
 
     def crashed(self):
@@ -104,7 +104,7 @@
         target = rig.start("i-1")
         one, other = rig.run(target, "f"), rig.run(target, "g")
         rig.end(target)
-        rig.book.finish(one, ENDS.LOST)
+        rig.tracker.finish(one, ENDS.LOST)
         rig.wait_for_check(target)
         assert rig.crashed() == ["i-1"]
         assert set(
@@ -113,7 +113,7 @@
 
     def test_target_that_accepts_connections_has_not_crashed(self, rig):
         target = rig.start("i-1")
-        rig.book.finish(rig.run(target), ENDS.LOST)
+        rig.tracker.finish(rig.run(target), ENDS.LOST)
         rig.wait_for_check(target)
         assert rig.crashed() == []
 
@@ -126,7 +126,7 @@
         target = rig.start("i-1")
         run = rig.run(target)
         rig.end_behind_relay(target)
-        rig.book.finish(run, ENDS.LOST)
+        rig.tracker.finish(run, ENDS.LOST)
         rig.wait_for_check(target)
         assert rig.crashed() == ["i-1"]
 
@@ -135,7 +135,7 @@
         runs = [rig.run(target, f"f{n}") for n in range(3)]
         rig.end(target)
         for run in runs:
-            rig.book.finish(run, ENDS.LOST)
+            rig.tracker.finish(run, ENDS.LOST)
             rig.wait_for_check(target)
         rig.unlist(target)
         settle()
@@ -147,20 +147,20 @@
         It had just passed a check and is not checked again so soon.
         """
         target = rig.start("i-1")
-        rig.book.finish(rig.run(target, "broken"), ENDS.LOST)
+        rig.tracker.finish(rig.run(target, "broken"), ENDS.LOST)
         rig.wait_for_check(target)
         rig.end(target)
         run = rig.run(target, "f")
-        rig.book.finish(run, ENDS.LOST)
+        rig.tracker.finish(run, ENDS.LOST)
         routing_fixtures.wait_until(lambda: rig.crashes)
         assert run in rig.crashes[0][1]
 
     def test_request_abandoned_just_before_is_reported_too(self, rig):
         target = rig.start("i-1")
         left = rig.run(target, "left")
-        rig.book.finish(left, ENDS.ABANDONED)
+        rig.tracker.finish(left, ENDS.ABANDONED)
         rig.end(target)
-        rig.book.finish(rig.run(target, "f"), ENDS.LOST)
+        rig.tracker.finish(rig.run(target, "f"), ENDS.LOST)
         rig.wait_for_check(target)
         assert left in rig.crashes[0][1]
 
@@ -170,7 +170,7 @@
         rig.leaving.add("i-1")
         run = rig.run(target)
         rig.end(target)
-        rig.book.finish(run, ENDS.LOST)
+        rig.tracker.finish(run, ENDS.LOST)
         rig.unlist(target)
         settle()
         assert rig.crashed() == []
@@ -180,7 +180,7 @@
         rig.listed["i-1"] = msgspec.structs.replace(target, leaving=True)
         run = rig.run(target)
         rig.end(target)
-        rig.book.finish(run, ENDS.LOST)
+        rig.tracker.finish(run, ENDS.LOST)
         settle()
         assert rig.crashed() == []
 
@@ -191,7 +191,7 @@
         target = rig.start("i-1")
         run = rig.run(target)
         rig.end(target)
-        rig.book.finish(run, end)
+        rig.tracker.finish(run, end)
         settle()
         assert rig.crashed() == []
 
@@ -205,7 +205,7 @@
         for target in targets:
             rig.end(target)
         for run in runs:
-            rig.book.finish(run, ENDS.LOST)
+            rig.tracker.finish(run, ENDS.LOST)
         for target in targets:
             rig.wait_for_check(target)
         assert len(rig.crashes) == 2
@@ -218,7 +218,7 @@
         for target in targets:
             rig.end(target)
         for run in runs:
-            rig.book.finish(run, ENDS.LOST)
+            rig.tracker.finish(run, ENDS.LOST)
         for target in targets:
             rig.wait_for_check(target)
         rig.unlist(*targets)
@@ -228,7 +228,7 @@
         target = rig.start("i-1")
         run = rig.run(target)
         rig.end(target)
-        rig.book.finish(run, ENDS.TIMED_OUT)
+        rig.tracker.finish(run, ENDS.TIMED_OUT)
         rig.unlist(target)
         routing_fixtures.wait_until(lambda: rig.crashes)
         assert rig.crashes[0][1] == [run]
@@ -237,7 +237,7 @@
         """A replica restarted at its address within the time of a check."""
         target = rig.start("i-1")
         run = rig.run(target)
-        rig.book.finish(run, ENDS.LOST)
+        rig.tracker.finish(run, ENDS.LOST)
         rig.wait_for_check(target)
         before = dict(rig.listed)
         new = msgspec.structs.replace(target, replica=_ids.ReplicaId("i-2"))
@@ -248,7 +248,7 @@
 
     def test_new_incarnation_under_the_same_id(self, rig):
         target = rig.start("i-1")
-        rig.book.finish(rig.run(target), ENDS.TIMED_OUT)
+        rig.tracker.finish(rig.run(target), ENDS.TIMED_OUT)
         before = dict(rig.listed)
         new = msgspec.structs.replace(target, incarnation=2)
         rig.listed = {"i-1": new}
@@ -259,7 +259,7 @@
     def test_target_that_leaves_unannounced_still_serves(self, rig):
         """Some replicas only remove their entry, and serve on for long."""
         target = rig.start("i-1")
-        rig.book.finish(rig.run(target), ENDS.LOST)
+        rig.tracker.finish(rig.run(target), ENDS.LOST)
         rig.wait_for_check(target)
         rig.unlist(target)
         settle()
--- a/tests/topazlug/crashes/test_crash_guard.py
+++ b/tests/topazlug/crashes/test_crash_guard.py
@@ -33,10 +33,10 @@
 
     def __init__(self, *, rejects=True):
         self.clock = claim_fakes.FakeClock()
-        self.book = _target_runs.RunTracker(clock=self.clock)
+        self.tracker = _target_runs.RunTracker(clock=self.clock)
         self.guard = _crash_guard.CrashGuard(
             daemon=_ids.DaemonId("d1"),
-            runs=self.book,
+            runs=self.tracker,
             targets=_targets.TargetDirectory(
                 clock=self.clock, flap_window=1.0
             ),
@@ -50,7 +50,7 @@
         """Report a crash under requests of this daemon."""
         target = fixtures.target(f"i-{number}")
         runs = [
-            self.book.begin(
+            self.tracker.begin(
                 target,
                 fingerprint=_ids.Fingerprint(name),
                 attempt=f"{name}-{number}",
@@ -76,12 +76,12 @@
 
     def answer(self, name="f"):
         """Let a request get a complete answer."""
-        run = self.book.begin(
+        run = self.tracker.begin(
             fixtures.target("i-9"),
             fingerprint=_ids.Fingerprint(name),
             attempt="r",
         )
-        self.book.finish(run, _target_runs.RunEnd.COMPLETE, status=200)
+        self.tracker.finish(run, _target_runs.RunEnd.COMPLETE, status=200)
 
     def is_rejected(self, name=F):
         try:
@@ -144,8 +144,8 @@
         rig.guard._targets.set_list(targets)
         may_repeat = []
         for target in targets:
-            run = rig.book.begin(target, fingerprint=F, attempt="a")
-            rig.book.finish(run, _target_runs.RunEnd.LOST)
+            run = rig.tracker.begin(target, fingerprint=F, attempt="a")
+            rig.tracker.finish(run, _target_runs.RunEnd.LOST)
             may_repeat.append(rig.guard.may_repeat(F, target))
         assert may_repeat == [True, False]
 
--- a/tests/topazlug/crashes/test_crash_history.py
+++ b/tests/topazlug/crashes/test_crash_history.py
@@ -41,8 +41,8 @@
             began_at=0.0,
         )
     ]
-    start = _target.ReplicaProcess(_ids.ReplicaId(f"i-{number}"), 1)
-    return history.add_crash(start, fixtures.GROUP, runs, replicas=5)
+    process = _target.ReplicaProcess(_ids.ReplicaId(f"i-{number}"), 1)
+    return history.add_crash(process, fixtures.GROUP, runs, replicas=5)
 
 
 class TestSources:
--- a/tests/topazlug_platform/crash_site.py
+++ b/tests/topazlug_platform/crash_site.py
@@ -249,7 +249,7 @@
     def is_checked(self):
         """Say whether all daemons know which replicas live."""
         return not any(
-            daemon._crashes.guard._detector._check_by_incarnation
+            daemon._crashes.guard._detector._check_by_process
             for daemon in self.daemons
         )
 
