--- a/src/topazlug/calls/_attempts.py
+++ b/src/topazlug/calls/_attempts.py
@@ -178,7 +178,7 @@
     def _rejected(
         self, placement: _placement.Placement, error: _errors.TargetRefused
     ) -> _errors.TargetRefused:
-        """Delay the caller's retry until a target of the group is usable."""
+        """Return the error with the time until a target is usable."""
         wait = self._targets.seconds_until_usable(placement.target.group)
         error.refused_for = wait or 0.0
         error.retry_after = max(error.retry_after or 0.0, error.refused_for)
--- a/src/topazlug/calls/_chat_stream.py
+++ b/src/topazlug/calls/_chat_stream.py
@@ -74,7 +74,7 @@
         return self._reader.count
 
     def handle_caller_left(self) -> None:
-        """Abort the answer as its caller left; may be called from the hub."""
+        """Abort the answer, as its caller has left; may run in the hub."""
         self._has_caller_left = True
         self.answer.abort()
 
--- a/src/topazlug/calls/_service_calls.py
+++ b/src/topazlug/calls/_service_calls.py
@@ -34,7 +34,7 @@
 
 
 class Claims(Protocol):
-    """Store of claims."""
+    """Grants claims; see `ClaimManager`."""
 
     def claim(
         self,
--- a/src/topazlug/claims/_claim_finalizer.py
+++ b/src/topazlug/claims/_claim_finalizer.py
@@ -122,9 +122,10 @@
     def _has_capacity(self, size: int) -> bool:
         return self._pending_bytes + size <= MAX_PENDING_BYTES
 
-    # During a long outage of the store, claims that wait for their end would
-    # use up the memory. A claim whose end is discarded remains unknown, which
-    # is safe: only its answer or the release of its key is lost.
+    # During a long outage of the store, ends of claims that wait to be written
+    # would use up the memory. If an end is discarded, the claim's outcome
+    # stays unknown. That is safe: only the answer or the release of its key
+    # is lost.
     def _accepts(self, held: HeldRow) -> bool:
         if len(self._jobs) < MAX_PENDING:
             return True
--- a/src/topazlug/crashes/_cause_analysis.py
+++ b/src/topazlug/crashes/_cause_analysis.py
@@ -10,8 +10,8 @@
   second replica;
 - none of its attempts was answered since, because the cause would crash each
   replica that runs it;
-- it ran for so short a time on replicas that so many crashes are improbable
-  by chance, given the rate of crashes without it;
+- so many crashes are improbable by chance, given the time that it ran and the
+  rate of crashes without it;
 - no other request ran during all of the same crashes and during others too.
   An innocent request runs during only some of the crashes of the cause, which
   therefore explains them.
--- a/src/topazlug/crashes/_crash_detector.py
+++ b/src/topazlug/crashes/_crash_detector.py
@@ -180,7 +180,7 @@
         self._checked_at[process] = now
 
     def _few_replicas_refuse(self, target: _targets.Target) -> bool:
-        """Return whether few enough replicas refuse connections now."""
+        """Count a refusal; return whether few enough replicas refuse now."""
         group = sum(
             other.group == target.group for other in self._listed().values()
         )
--- a/src/topazlug/crashes/_crash_guard.py
+++ b/src/topazlug/crashes/_crash_guard.py
@@ -24,8 +24,8 @@
 from topazlug.targets import _targets
 
 _log = _logs.logger("crashes")
-# Random delay before a decision. Many daemons may have answered a request; the
-# first ones publish that for all.
+# Maximum random delay before a decision. If many daemons have answered a
+# request, the first ones to decide publish that for all.
 _SPREAD_SECONDS = 0.3
 # A daemon that recorded no crash itself leaves the writing of the block to the
 # daemons that did. It writes the block after this delay if they have not.
--- a/src/topazlug/crashes/_record_writer.py
+++ b/src/topazlug/crashes/_record_writer.py
@@ -18,7 +18,8 @@
 # random so that daemons do not all retry at once.
 _INITIAL_BACKOFF_SECONDS = 0.1
 _MAX_BACKOFF_SECONDS = 0.5
-# Rows that wait to be written; the oldest are discarded.
+# Maximum number of records that wait to be written. If there are more, the
+# oldest are discarded.
 _MAX_PENDING = 256
 # The store allows 100 rows in a call.
 _MAX_ROWS_PER_CALL = 90
--- a/src/topazlug/fleet/_reading_plan.py
+++ b/src/topazlug/fleet/_reading_plan.py
@@ -14,8 +14,8 @@
   substitutes. They are tried two at a time until one has access. A daemon
   that receives such a request reads the store itself for a while, so the
   fleet finds the daemons that the store still serves.
-- A daemon that no reader answers may be cut off from the readers only, and
-  reads the store directly.
+- A daemon that gets no answer from any reader reads the store directly, as it
+  may be cut off from the readers only.
 
 This module only decides; it makes no calls and does not wait.
 """
@@ -252,7 +252,7 @@
 
     @property
     def store_is_due(self) -> bool:
-        """Return whether the last failed call to the store is long ago."""
+        """Return whether the store may be called again after a failed call."""
         since = self._clock.monotonic() - self._store_lost_at
         return since >= STORE_RETRY_SECONDS
 
@@ -323,7 +323,7 @@
         return avoidance.outcome
 
     def _is_unavailable(self, peer: _ids.DaemonId) -> bool:
-        """Return whether a peer is avoided for more than a refused connection.
+        """Return whether a peer is avoided, except for a refused connection.
 
         When all daemons restart at once, each refuses connections briefly.
         Trying further substitutes instead would make all of them read the
--- a/src/topazlug/fleet/_table_source.py
+++ b/src/topazlug/fleet/_table_source.py
@@ -120,7 +120,7 @@
         """
 
     def is_store_due(self) -> bool:
-        """Return whether the last failed call to the store is long ago."""
+        """Return whether the store may be called again after a failed call."""
 
     def changes_now(self, table: str, *, after: int) -> TableChanges:
         """Read changes from the store directly, without waiting for some.
--- a/src/topazlug/membership/_facts.py
+++ b/src/topazlug/membership/_facts.py
@@ -137,13 +137,15 @@
         self._retransmits_by_subject[subject_of(fact)] = max(retransmits, 1)
 
     def take_pending(self, limit: int) -> list[messages.Fact]:
-        """Return the least transmitted facts and count one transmission."""
+        """Return the least transmitted facts; count a transmission of each."""
         ranked = self._retransmits_by_subject
         if len(ranked) > limit:
             chosen = sorted(ranked, key=ranked.__getitem__, reverse=True)
         else:
             chosen = list(ranked)
-        return [self._retransmitted(subject) for subject in chosen[:limit]]
+        return [
+            self._count_transmission(subject) for subject in chosen[:limit]
+        ]
 
     @property
     def has_pending(self) -> bool:
@@ -199,7 +201,7 @@
             del self._held_since_by_subject[subject]
             self._retransmits_by_subject.pop(subject, None)
 
-    def _retransmitted(self, subject: Subject) -> messages.Fact:
+    def _count_transmission(self, subject: Subject) -> messages.Fact:
         self._retransmits_by_subject[subject] -= 1
         if self._retransmits_by_subject[subject] <= 0:
             del self._retransmits_by_subject[subject]
--- a/src/topazlug/membership/_membership.py
+++ b/src/topazlug/membership/_membership.py
@@ -218,9 +218,9 @@
     ) -> None:
         """Publish the observed state of a target to the fleet.
 
-        Older incarnations are ignored, and once the target is leaving so is
-        everything except a newer incarnation. A target without a fact counts
-        as live, so that state is not published for it.
+        States of older incarnations are ignored. Once the target is leaving,
+        only states of a newer incarnation are published. A target without a
+        fact counts as live, so that state is not published for it.
         """
         held = self._fact_set.get(messages.FactKind.target, replica)
         sequence = 0
--- a/src/topazlug/targets/_cold_replicas.py
+++ b/src/topazlug/targets/_cold_replicas.py
@@ -1,13 +1,13 @@
 """Cold replicas: just started, with a low maximum request rate.
 
 When a zone's replicas restart together, or one replica crashes and restarts at
-once, its chats return within the same second, from daemons that each see a
+once, their chats return within the same second, from daemons that each see a
 small part of them. A cold replica crashes under its usual load, which then
 moves to the next replica and crashes that too.
 
 A replica reports in its list entry how long it stays cold, but the entry is
 seconds late. So a replica that refused connections, or whose zone was drained,
-is presumed cold for as long as it may be.
+is presumed cold for the duration of a cold start.
 """
 
 from collections.abc import Iterable
@@ -20,8 +20,8 @@
 from topazlug import _ids
 from topazlug.targets import _target
 
-# A replica that refuses connections may start later than the refusal. The next
-# refusal, or its entry, shows this within this many seconds.
+# A replica that refused a connection may restart some time later. Its entry or
+# the next refusal shows this within this many seconds.
 _RESTART_NOTICE_SECONDS = 1.0
 
 
--- a/src/topazlug/targets/_targets.py
+++ b/src/topazlug/targets/_targets.py
@@ -194,7 +194,7 @@
         """Replace the operators' drains.
 
         Replicas of a zone that is no longer drained are presumed cold, as
-        they may have been restarted meanwhile.
+        they may have been restarted meanwhile and their entries are late.
         """
         returned = self.drains.zones - drains.zones
         self.cold.presume_cold(
--- a/tests/topazlug/calls/test_blocked_calls.py
+++ b/tests/topazlug/calls/test_blocked_calls.py
@@ -60,8 +60,8 @@
         fixtures.wait_until(self._are_recorded)
 
     def _are_recorded(self):
-        notes = self.rig.guard._history._own_by_key
-        return len(notes) >= len(self.crashed)
+        records = self.rig.guard._history._own_by_key
+        return len(records) >= len(self.crashed)
 
 
 @pytest.fixture
--- a/tests/topazlug/claim_fakes.py
+++ b/tests/topazlug/claim_fakes.py
@@ -25,9 +25,10 @@
 class Fault(enum.Enum):
     """How one call to the store fails.
 
-    ANSWER_LOST fails after the effect, REQUEST_LOST without it. A LATE call
-    fails at once and takes effect in `apply_late_writes`. A BLOCKED call
-    waits for the event `unblocked`.
+    An ANSWER_LOST call fails after it took effect, a REQUEST_LOST call without
+    taking effect. A LATE call fails at once and takes effect in
+    `apply_late_writes`. A DELAYED call succeeds after some other greenlets
+    have run. A BLOCKED call waits for the event `unblocked`.
     """
 
     NONE = enum.auto()
@@ -195,7 +196,7 @@
 
 
 def crash(manager) -> None:
-    """Kill all greenlets that a daemon's keeper has running."""
+    """Kill all greenlets of a daemon's claim manager."""
     worker = manager._committer._worker
     if worker is not None:
         worker.kill()
--- a/tests/topazlug/claims/test_claim_commit.py
+++ b/tests/topazlug/claims/test_claim_commit.py
@@ -70,7 +70,7 @@
         assert store.batch_sizes == [64, 36]
 
     def test_conflict_does_not_affect_others(self, committer, store):
-        """One repeated key would make the requests of 63 callers fail.
+        """Guards against one repeated key failing the requests of 63 callers.
 
         A transaction is all or nothing, so one failed condition fails every
         claim in its batch.
@@ -84,7 +84,7 @@
         assert rejected == [False, False, False, True, False]
 
     def test_second_write_of_a_key_is_deferred(self, committer):
-        """Two requests with one key would both get the claim.
+        """Guards against two requests with one key both getting the claim.
 
         In one transaction both conditions hold, as neither has written.
         """
@@ -94,7 +94,7 @@
         assert isinstance(second.result(), _claim_commit.Rejected)
 
     def test_lost_answer_is_resolved_row_by_row(self, committer, store):
-        """A whole batch would be regarded as failed although committed."""
+        """Guards against regarding a committed batch as failed."""
         store.transact_faults.append(fakes.Fault.ANSWER_LOST)
         pending_writes = [
             committer.submit(make_write(str(n))) for n in range(3)
@@ -105,7 +105,7 @@
     def test_absent_row_after_a_lost_answer_is_ambiguous(
         self, committer, store
     ):
-        """A write that was reported as failed would take effect later.
+        """Guards against a write reported as failed that takes effect later.
 
         If the row is read too early it is absent, as if the write had no
         effect.
@@ -116,7 +116,7 @@
             pending_write.result()
 
     def test_conflict_without_rows_fails_the_batch(self, committer, store):
-        """The daemon would send the same transaction forever."""
+        """Guards against sending the same transaction forever."""
 
         def refuse(**_):
             raise _table_client.TransactionConflict([])
@@ -126,7 +126,10 @@
             committer.submit(make_write("k")).result()
 
     def test_unexpected_error_completes_the_batch(self, committer, store):
-        """Claims would block until their deadlines if the greenlet died."""
+        """Guards against claims that block until their deadlines.
+
+        They would if an error ended the greenlet that writes them.
+        """
         working = store.transact
 
         def fail(**_):
@@ -149,7 +152,7 @@
             committer.submit(make_write("2"))
 
     def test_ends_of_claims_are_exempt_from_the_bound(self, store, clock):
-        """Answers for repeats would be lost when many claims are queued."""
+        """Guards against losing answers when many claims are queued."""
         committer = make_committer(store, clock, max_queued=0)
         pending_write = committer.submit(make_write("k"), ends_claim=True)
         assert isinstance(pending_write.result(), _claim_commit.Written)
@@ -170,7 +173,7 @@
 
 class TestPacing:
     def test_rejections_slow_down_and_commits_speed_up(self, store, clock):
-        """Daemons that retry too fast would keep the store at 429."""
+        """Guards against retries so fast that the store stays at 429."""
         committer = make_committer(store, clock)
         store.transact_faults.extend([fakes.Fault.DOWN] * 3)
         for number in range(4):
@@ -209,7 +212,7 @@
     def test_claims_within_the_margin_are_kept(
         self, store, clock, sweeper, committer
     ):
-        """The key would be free before it expires by its holder's clock."""
+        """Guards against freeing a key that its holder regards as valid."""
         committer.submit(make_write("k")).result()
         clock.advance(24 * 3600 + 1)
         sweeper.sweep_page()
@@ -228,7 +231,7 @@
     def test_row_written_meanwhile_is_kept(
         self, store, clock, sweeper, committer
     ):
-        """A new claim of the key would be deleted with the old row."""
+        """Guards against deleting a new claim of the key with the old row."""
         committer.submit(make_write("k")).result()
         clock.advance(25 * 3600 + 1)
         page = store.scan("claims")
--- a/tests/topazlug/claims/test_claims.py
+++ b/tests/topazlug/claims/test_claims.py
@@ -53,7 +53,7 @@
         assert isinstance(fakes.claim(manager, team="a"), _claims.Claim)
 
     def test_names_with_slashes_do_not_collide(self):
-        """A team would receive another team's answer.
+        """Guards against a team that receives another team's answer.
 
         Without quoting, team ``a`` with service ``b/c`` has the same row key
         as team ``a/b`` with service ``c``.
@@ -63,10 +63,10 @@
         assert one != other
 
     def test_key_of_a_running_attempt_is_unknown(self, manager, store):
-        """A request would run twice after its daemon crashed.
+        """Guards against a request that runs twice after a crash.
 
         The first daemon claims, sends and crashes; the caller repeats at a
-        second one, which regards the claim as abandoned.
+        second one, which must not regard the claim as abandoned.
         """
         fakes.claim(manager).may_send()
         with pytest.raises(_errors.KeyInUse) as caught:
@@ -75,7 +75,10 @@
         assert caught.value.retry_after
 
     def test_row_of_another_version_is_unknown(self, manager, store):
-        """In a rollout the key of a newer daemon's claim would seem free."""
+        """Guards against a key that seems free during a rollout.
+
+        Its claim was written by a newer version of the daemon.
+        """
         store.row_by_key[fakes.ROW_KEY] = _table_client.Row(
             table="claims", key=fakes.ROW_KEY, version=3, value={"new": 1}
         )
@@ -92,7 +95,7 @@
             fakes.claim(manager, fingerprint=OTHER)
 
     def test_simultaneous_claims_in_one_daemon(self, manager):
-        """Two simultaneous requests with one key would both run.
+        """Guards against two simultaneous requests with one key both running.
 
         Both reach one daemon and are written in the same batch, where the
         row of each is reported as written.
@@ -113,7 +116,7 @@
         assert caught.value.retry_after == 3
 
     def test_lost_answer_is_resolved_by_reading_the_row(self, manager, store):
-        """A request would be rejected permanently because of its own claim.
+        """Guards against rejecting a request because of its own claim.
 
         The store commits the claim, and its response is lost. If the row is
         not read, the daemon rejects the request, and each repeat finds the
@@ -125,7 +128,10 @@
         assert store.claim_row().attempt == claim.attempt
 
     def test_lost_answer_of_a_conflict(self, manager, store):
-        """Two daemons would send if a lost conflict counted as a commit."""
+        """Guards against two daemons sending after a lost conflict.
+
+        A conflict whose response is lost must not count as a commit.
+        """
         holder = fakes.claim(fakes.make_claim_manager(store, name="d2"))
         store.transact_faults.append(fakes.Fault.REQUEST_LOST)
         with pytest.raises(_errors.KeyInUse):
@@ -133,7 +139,7 @@
         assert store.claim_row().attempt == holder.attempt
 
     def test_late_insert_never_sends(self, manager, store):
-        """A claim would take effect after its caller received not-run.
+        """Guards against a claim that takes effect after not-run.
 
         The result of the insert is ambiguous, and the row is absent when
         read; the daemon rejects the request. If the insert then took effect,
@@ -173,7 +179,7 @@
 
 class TestDeadline:
     def test_suspended_attempt_does_not_send(self, manager, clock, store):
-        """A request would be sent long after its caller gave up.
+        """Guards against sending a request long after its caller gave up.
 
         The daemon claims, is suspended past the deadline, and resumes
         before the first byte.
@@ -199,7 +205,7 @@
             claim.may_send()
 
     def test_deadline_passes_while_queued(self, manager, store):
-        """The claim of a rejected request would still be written."""
+        """Guards against writing the claim of a rejected request."""
         store.transact_faults.append(fakes.Fault.BLOCKED)
         first = gevent.spawn(fakes.claim, manager, key="first")
         while not store.batch_sizes:
@@ -213,7 +219,7 @@
         assert store.claim_row() is None
 
     def test_deadline_passes_while_written(self, manager, store):
-        """The claim of a rejected request would hold the key.
+        """Guards against a rejected request whose claim holds the key.
 
         The store is slow; the caller receives not-run at its deadline while
         the claim is being written.
@@ -258,7 +264,7 @@
         assert isinstance(fakes.claim(manager), _claims.Claim)
 
     def test_late_release_does_not_affect_the_next_claim(self, manager, store):
-        """A request would run twice after a late release.
+        """Guards against a request that runs twice after a late release.
 
         The first release is late, its retry takes effect, a second attempt
         claims, and then the late release arrives. If rows were deleted,
@@ -282,7 +288,7 @@
         assert isinstance(fakes.claim(manager), _claims.Claim)
 
     def test_exit_after_sending_is_unknown(self, manager):
-        """A request would run twice after its handler failed in sending."""
+        """Guards against a request that runs twice after a failed send."""
         with fakes.claim(manager) as claim:
             claim.may_send()
         manager.wait_finalized(10.0)
@@ -290,7 +296,7 @@
             fakes.claim(manager)
 
     def test_ended_claim_cannot_be_used(self, manager):
-        """A handler's clean-up would release the key of a sent request."""
+        """Guards against clean-up that releases the key of a sent request."""
         claim = fakes.claim(manager)
         claim.abandon()
         with pytest.raises(_errors.ClaimEnded):
@@ -323,7 +329,7 @@
         assert caught.value.outcome is _errors.Outcome.RAN
 
     def test_object_store_down_at_the_finish(self, manager, objects, store):
-        """A row would refer to an answer that was never stored."""
+        """Guards against a row that refers to an answer never stored."""
         objects.down = True
         with pytest.raises(_errors.AnswerNotKept):
             self.repeat(manager, b"x" * 5000)
@@ -331,7 +337,7 @@
         assert answer.place is _claim_rows.AnswerLocation.NOWHERE
 
     def test_object_store_down_at_the_repeat(self, manager, objects):
-        """A caller would receive not-run for a request that ran.
+        """Guards against returning not-run for a request that ran.
 
         The stored answer can't be read, and the outcome of the read's error
         is not-run.
@@ -344,7 +350,7 @@
 
     @pytest.mark.parametrize("fault", list(fakes.Fault))
     def test_finish_is_retried(self, manager, store, fault):
-        """A repeat would find the outcome unknown if one write failed."""
+        """Guards against an unknown outcome because one write failed."""
         store.unblocked.set()
         claim = fakes.claim(manager)
         store.transact_faults.append(fault)
@@ -385,7 +391,7 @@
         self.store.read_faults.extend(read_faults)
         self.objects = fakes.FakeObjects()
         self.clocks = [fakes.FakeClock() for _ in range(3)]
-        self.keepers = [
+        self.managers = [
             fakes.make_claim_manager(
                 self.store,
                 objects=self.objects,
@@ -418,7 +424,7 @@
             assert gevent.getcurrent() not in self.sent[before:]
 
     def attempt(self, plan):
-        manager = self.keepers[plan["daemon"]]
+        manager = self.managers[plan["daemon"]]
         clock = self.clocks[plan["daemon"]]
         try:
             deadline = clock.monotonic() + 1000.0
@@ -454,7 +460,7 @@
     def crash_at(self, step, plan):
         if plan["crash"] == step:
             self.crashed.add(plan["daemon"])
-            fakes.crash(self.keepers[plan["daemon"]])
+            fakes.crash(self.managers[plan["daemon"]])
             jobs = set(self.jobs_by_daemon[plan["daemon"]])
             gevent.killall(list(jobs - {gevent.getcurrent()}))
             raise gevent.GreenletExit
@@ -475,7 +481,7 @@
         for job in jobs:
             if job.exception is not None:
                 raise job.exception
-        for number, manager in enumerate(self.keepers):
+        for number, manager in enumerate(self.managers):
             if number not in self.crashed:
                 assert manager.wait_finalized(2.0) == 0
         self.store.apply_late_writes()
--- a/tests/topazlug/crashes/test_crash_detector.py
+++ b/tests/topazlug/crashes/test_crash_detector.py
@@ -165,7 +165,7 @@
         assert left in rig.crashes[0][1]
 
     def test_target_that_announced_leaving_has_not_crashed(self, rig):
-        """Requests would be suspected for the planned end of a replica."""
+        """Guards against suspecting requests when a replica leaves."""
         target = rig.start("i-1")
         rig.leaving.add("i-1")
         run = rig.run(target)
--- a/tests/topazlug/crashes/test_record_writer.py
+++ b/tests/topazlug/crashes/test_record_writer.py
@@ -41,7 +41,7 @@
 
     def keys(self):
         """Return the keys of all rows, even while the store is unavailable."""
-        return sorted(self.store._held(_crash_records.TABLE))
+        return sorted(self.store._current_rows(_crash_records.TABLE))
 
     def stop(self):
         self._task.kill()
--- a/tests/topazlug/fleet/store_fakes.py
+++ b/tests/topazlug/fleet/store_fakes.py
@@ -25,7 +25,7 @@
 
     def write(self, table, rows, *, new=()):
         self._call()
-        if set(new) & self._held(table).keys():
+        if set(new) & self._current_rows(table).keys():
             raise _table_source.RowExists("exists")
         self.version += 1
         self.log += [(self.version, table, row) for row in rows]
@@ -43,7 +43,7 @@
         if self.is_unavailable:
             raise _errors.StoreUnavailable("unavailable")
 
-    def _held(self, table):
+    def _current_rows(self, table):
         held = {}
         for _, name, row in self.log:
             if name == table:
@@ -58,7 +58,7 @@
             self.stale_read_count += 1
             return self.stale_answer
         return _table_source.TableChanges(
-            self.version, list(self._held(table).values())
+            self.version, list(self._current_rows(table).values())
         )
 
     def changes(self, table, *, after, wait, age=0.0):
--- a/tests/topazlug/fleet/test_reading_plan.py
+++ b/tests/topazlug/fleet/test_reading_plan.py
@@ -6,7 +6,7 @@
 from topazlug.fleet import _reading_plan
 
 # Bound of the largest deployments for a change to be in force.
-IN_FORCE_SECONDS = 4.0
+PROPAGATION_SECONDS = 4.0
 LARGE = (69, 195, 880)
 SIZES = (9, *LARGE)
 
@@ -55,10 +55,10 @@
         substitutes = 2 * 5 / 0.6
         expected = readers(count) / 0.6 + substitutes + probes
         assert store.calls_between(8.0, 14.0) <= 6.0 * expected
-        assert fleet.max_propagation_delay(since=16.0) < IN_FORCE_SECONDS
+        assert fleet.max_propagation_delay(since=16.0) < PROPAGATION_SECONDS
         # A change during the outage arrives soon after the store's return.
         known_at = [daemon.known_at[2] for daemon in fleet.daemons]
-        assert max(known_at) < 14.0 + IN_FORCE_SECONDS
+        assert max(known_at) < 14.0 + PROPAGATION_SECONDS
 
     @pytest.mark.parametrize("count", SIZES)
     @pytest.mark.parametrize("seed", range(3))
@@ -79,7 +79,7 @@
             among = [
                 daemon for daemon in fleet.daemons if daemon.number % 3 != seed
             ]
-        assert fleet.max_propagation_delay(among=among) < IN_FORCE_SECONDS
+        assert fleet.max_propagation_delay(among=among) < PROPAGATION_SECONDS
         if count > 16:
             calm = 10.0 * calls_per_second(count) + 5 * readers(count)
             again = 10.0 * readers(count) / 0.8
@@ -94,7 +94,7 @@
             unavailable=[(8.0, 20.0, lambda number: number < n_readers)],
         )
         fleet = read_simulation.Fleet(count, store).run(19.0)
-        assert fleet.max_propagation_delay() < IN_FORCE_SECONDS
+        assert fleet.max_propagation_delay() < PROPAGATION_SECONDS
         substitutes = 2 * (12.0 / 0.2)
         again = 12.0 * n_readers / 0.6
         assert store.calls_between(8.0, 19.0) <= substitutes + again
@@ -145,7 +145,7 @@
                 (8.0, 8.6, lambda number: number >= n_readers),
             ],
         ).run(16.0)
-        assert fleet.max_propagation_delay() < IN_FORCE_SECONDS
+        assert fleet.max_propagation_delay() < PROPAGATION_SECONDS
         # Substitutes may be tried in place of readers for a while.
         substitutes = 2 * 1.0 / 0.2
         calm = 8.0 * calls_per_second(count) + 4 * n_readers
@@ -170,7 +170,7 @@
             unresponsive=[(8.0, 99.0, lambda number: number < n_readers)],
         ).run(22.0)
         alive = fleet.daemons[n_readers:]
-        assert fleet.max_propagation_delay(among=alive) < IN_FORCE_SECONDS
+        assert fleet.max_propagation_delay(among=alive) < PROPAGATION_SECONDS
 
     @pytest.mark.parametrize("count", LARGE)
     def test_isolated_daemon_reads_the_store(self, count):
@@ -192,4 +192,6 @@
 
         isolated._read_peer = cut_off
         fleet.run(22.0)
-        assert fleet.max_propagation_delay(among=[isolated]) < IN_FORCE_SECONDS
+        assert (
+            fleet.max_propagation_delay(among=[isolated]) < PROPAGATION_SECONDS
+        )
--- a/tests/topazlug/fleet/test_store_recovery.py
+++ b/tests/topazlug/fleet/test_store_recovery.py
@@ -199,11 +199,11 @@
         self._leave_unanswered(wait + read_simulation.STORE_SLACK_SECONDS)
         if after < self._version():
             return self.rows(table)
-        left = self._changed_at - self._clock.at
-        if not 0.0 <= left <= wait:
+        remaining = self._changed_at - self._clock.at
+        if not 0.0 <= remaining <= wait:
             self._clock.sleep(wait)
             return _table_source.TableChanges(after, [])
-        self._clock.sleep(left)
+        self._clock.sleep(remaining)
         return self.rows(table)
 
 
--- a/tests/topazlug/fleet/test_table_relay.py
+++ b/tests/topazlug/fleet/test_table_relay.py
@@ -207,14 +207,10 @@
             )
         logged = [record.message for record in handler.records]
         assert (
-            len(
-                [number for number in logged if "no answer from the" in number]
-            )
-            == 1
+            len([text for text in logged if "no answer from the" in text]) == 1
         )
         assert (
-            len([number for number in logged if "the store answers" in number])
-            == 1
+            len([text for text in logged if "the store answers" in text]) == 1
         )
 
     def test_relayed_answers_do_not_extend_validity(self, rig):
