--- a/src/topazlug/administration/_fleet_status.py
+++ b/src/topazlug/administration/_fleet_status.py
@@ -231,7 +231,7 @@
         group = _ids.GroupName(pool or self._only_pool())
         team, _, name = chat.partition("/")
         seed = _ranking.chat_hash(team, name)
-        known = self._targets.known(group)
+        known = self._targets.listed_replicas(group)
         if not known:
             raise _errors.NoTarget(f"no replica of a pool {group!r} is known")
         answers = self._ask_all()
--- a/src/topazlug/crashes/_crash_guard.py
+++ b/src/topazlug/crashes/_crash_guard.py
@@ -228,7 +228,7 @@
             process,
             target.group,
             runs,
-            replicas=len(self._targets.known(target.group)),
+            replicas=len(self._targets.listed_replicas(target.group)),
         )
         self._publish([crash])
         self._update_likely_causes()
--- a/src/topazlug/placement/_context_locator.py
+++ b/src/topazlug/placement/_context_locator.py
@@ -137,7 +137,7 @@
         self, chat: _ids.ChatHash, chosen: _targets.Target
     ) -> _targets.Target | None:
         """Return the chat's home before replicas joined, if it changed."""
-        known = self._targets.known(chosen.group)
+        known = self._targets.listed_replicas(chosen.group)
         before = [one for one in known if self._is_settled(one)]
         home = _ranking.first(before, chat)
         if home is None or home == chosen.replica:
--- a/src/topazlug/targets/_target_client.py
+++ b/src/topazlug/targets/_target_client.py
@@ -137,7 +137,7 @@
         self._idle_per_target = idle_per_target
         self._connect_timeout = connect_timeout
         self._clock = clock
-        self._wire = wire or _target_wire.ProductWire()
+        self._wire = wire or _target_wire.DefaultTargetWire()
         self._head_reader = _answer_heads.HeadReader(
             id_header=self._wire.id_header, clock=clock
         )
--- a/src/topazlug/targets/_target_wire.py
+++ b/src/topazlug/targets/_target_wire.py
@@ -45,7 +45,7 @@
 
 
 @final
-class ProductWire:
+class DefaultTargetWire:
     """Header conventions of the project's own interface to targets."""
 
     id_header = REQUEST_ID
--- a/src/topazlug/targets/_targets.py
+++ b/src/topazlug/targets/_targets.py
@@ -322,7 +322,7 @@
         self._health(replica).avoid_until = until
         self._candidates_by_group.clear()
 
-    def known(self, group: _ids.GroupName) -> list[_ids.ReplicaId]:
+    def listed_replicas(self, group: _ids.GroupName) -> list[_ids.ReplicaId]:
         """Return all listed replicas of a group."""
         return self._replicas_by_group.get(group, [])
 
@@ -359,7 +359,7 @@
         self, group: _ids.GroupName, now: float
     ) -> _Candidates:
         candidates = _Candidates(in_service=[], usable=[], until=math.inf)
-        for replica in self.known(group):
+        for replica in self.listed_replicas(group):
             backoff = self.reported.remaining_backoff(
                 self.target_by_replica[replica]
             )
--- a/tests/topazlug/targets/test_target_client.py
+++ b/tests/topazlug/targets/test_target_client.py
@@ -168,7 +168,7 @@
         treated as a failure of the next request.
         """
 
-        class Wire(_target_wire.ProductWire):
+        class Wire(_target_wire.DefaultTargetWire):
             repeats_answers = True
 
         made = _target_client.TargetConnections(
