--- a/src/topazlug/crashes/_cause_analysis.py
+++ b/src/topazlug/crashes/_cause_analysis.py
@@ -154,9 +154,11 @@
         explained = {
             incarnation for block in blocks for incarnation in block.starts
         }
-        blocked = {one.fingerprint for one in blocks if not one.released}
+        blocked = {block.fingerprint for block in blocks if not block.released}
         for crash in crashes if blocked else ():
-            if any(one.fingerprint in blocked for one in crash.suspects):
+            if any(
+                suspect.fingerprint in blocked for suspect in crash.suspects
+            ):
                 explained.add(crash.start)
         return explained
 
--- a/src/topazlug/crashes/_crash_detector.py
+++ b/src/topazlug/crashes/_crash_detector.py
@@ -173,8 +173,8 @@
     def _save_check_time(self, process: _target.ReplicaProcess) -> None:
         now = self._clock.monotonic()
         self._checked_at = {
-            one: at
-            for one, at in self._checked_at.items()
+            checked: at
+            for checked, at in self._checked_at.items()
             if now - at < _RECHECK_SECONDS
         }
         self._checked_at[process] = now
--- a/src/topazlug/crashes/_crash_history.py
+++ b/src/topazlug/crashes/_crash_history.py
@@ -281,7 +281,10 @@
         """Return whether this daemon recorded a crash under a request."""
         return any(
             record.daemon == self._daemon
-            and any(one.fingerprint == fingerprint for one in record.suspects)
+            and any(
+                suspect.fingerprint == fingerprint
+                for suspect in record.suspects
+            )
             for record in self._merged_records().values()
             if isinstance(record, _crash_records.Crash)
         )
--- a/src/topazlug/crashes/_record_distributor.py
+++ b/src/topazlug/crashes/_record_distributor.py
@@ -115,7 +115,9 @@
         }
 
     def _broadcast(self, rows: list[messages.TableRow]) -> None:
-        others = [one for one in self._daemons() if one != self._daemon]
+        others = [
+            daemon for daemon in self._daemons() if daemon != self._daemon
+        ]
         random.shuffle(others)
         stand_ins = others[:_STAND_INS]
         for daemon, rest in _relay_plan(others):
@@ -175,7 +177,7 @@
     for number in range(groups):
         group = daemons[number::groups]
         for first in group[:_RECIPIENTS_PER_GROUP]:
-            yield first, [one for one in group if one != first]
+            yield first, [daemon for daemon in group if daemon != first]
 
 
 def _encode_rows(
--- a/src/topazlug/fleet/_reading_plan.py
+++ b/src/topazlug/fleet/_reading_plan.py
@@ -70,7 +70,7 @@
 STORE_RETRY_SECONDS = 0.8
 # Total rates at which daemons without a working reader call the store. If
 # peers report that they lost the store, it is probed at the lower rate. If
-# they do not answer, that says nothing about the store, and the rate is half
+# they do not answer, that shows nothing about the store, and the rate is half
 # the limit of the smallest known store.
 _PROBES_PER_SECOND = 20.0
 _DIRECT_CALLS_PER_SECOND = 1000.0
--- a/tests/topazlug/calls/test_blocked_calls.py
+++ b/tests/topazlug/calls/test_blocked_calls.py
@@ -41,7 +41,9 @@
 
     def _crash(self, name):
         self.crashed.append(name)
-        (target,) = [one for one in self.rig.listed if one.replica == name]
+        (target,) = [
+            target for target in self.rig.listed if target.replica == name
+        ]
         for server in self.rig.servers:
             if server.server_port == target.port:
                 server.stop(timeout=0)
@@ -50,7 +52,9 @@
         """Take crashed targets off the list, and list new ones."""
         before = self.rig.entry.targets.target_by_replica
         unlisted = [
-            one for one in self.rig.listed if one.replica in self.crashed
+            target
+            for target in self.rig.listed
+            if target.replica in self.crashed
         ]
         for target in unlisted:
             self.rig.listed.remove(target)
--- a/tests/topazlug/calls/test_chat_calls.py
+++ b/tests/topazlug/calls/test_chat_calls.py
@@ -409,14 +409,14 @@
         text = expected(document["messages"][0]["content"])
         kind = "application/json"
         message = {"message": {"content": text}}
-        whole = json.dumps({"choices": [message]}).encode()
+        answer_body = json.dumps({"choices": [message]}).encode()
         if document["stream"]:
             kind = "text/event-stream"
             delta = {"choices": [{"delta": {"content": text}}]}
-            whole = b"id: 0\ndata: %s\n\n" % json.dumps(delta).encode()
-            whole += b"data: [DONE]\n\n"
+            answer_body = b"id: 0\ndata: %s\n\n" % json.dumps(delta).encode()
+            answer_body += b"data: [DONE]\n\n"
         return wire_fixtures.http_answer(
-            whole,
+            answer_body,
             f"Content-Type: {kind}",
             f"X-Request-Id: {request_id.decode()}",
         )
@@ -475,12 +475,12 @@
                 )
             return
         answer = ask(rig, question, stream=stream)
-        whole = expected(question)
+        full_text = expected(question)
         if answer.status == 200 and (answer.done or not stream):
-            assert answer.text == whole
+            assert answer.text == full_text
         elif answer.status == 200:
             assert answer.code
             answer.body = answer.body.strip().rpartition(b"\n\n")[0]
-            assert whole.startswith(answer.text)
+            assert full_text.startswith(answer.text)
         else:
             assert answer.code and answer.outcome in ("not-run", "unknown")
--- a/tests/topazlug/claims/test_claims.py
+++ b/tests/topazlug/claims/test_claims.py
@@ -378,7 +378,9 @@
         "hangs_up": strategies.sampled_from([0, 0, 0, 3, 6]),
     }
 )
-RANDOM_FAULTS = [one for one in fakes.Fault if one is not fakes.Fault.BLOCKED]
+RANDOM_FAULTS = [
+    fault for fault in fakes.Fault if fault is not fakes.Fault.BLOCKED
+]
 FAULTS = strategies.lists(strategies.sampled_from(RANDOM_FAULTS), max_size=25)
 
 
--- a/tests/topazlug/crashes/test_cause_analysis.py
+++ b/tests/topazlug/crashes/test_cause_analysis.py
@@ -125,7 +125,7 @@
             records.append(crash(f"i-{n}@1", *suspects))
         always = set.intersection(
             *(
-                {one.fingerprint for one in record.suspects}
+                {suspect.fingerprint for suspect in record.suspects}
                 for record in records
             )
         )
--- a/tests/topazlug/crashes/test_crash_detector.py
+++ b/tests/topazlug/crashes/test_crash_detector.py
@@ -39,10 +39,10 @@
 
     def start(self, name, *, port=0):
         """List a target that accepts connections."""
-        one = server.StreamServer(("127.0.0.1", port), self._serve)
-        one.start()
-        self._servers[name] = one
-        target = fixtures.target(name, port=one.server_port)
+        stream_server = server.StreamServer(("127.0.0.1", port), self._serve)
+        stream_server.start()
+        self._servers[name] = stream_server
+        target = fixtures.target(name, port=stream_server.server_port)
         self.listed[name] = target
         return target
 
@@ -83,8 +83,8 @@
         return [target.replica for target, _ in self.crashes]
 
     def stop(self):
-        for one in self._servers.values():
-            one.stop(timeout=0)
+        for stream_server in self._servers.values():
+            stream_server.stop(timeout=0)
 
 
 @pytest.fixture
