--- a/src/topazlug/calls/_call_runner.py
+++ b/src/topazlug/calls/_call_runner.py
@@ -131,7 +131,7 @@
         status : int
             Status of the target's answer.
         code : Code or None
-            Error code that it is counted under if the target failed it.
+            Error code to count if the target failed the call; else None.
         fields : request_fields
             Fields of the log line, as the request's own logging context has
             already ended.
--- a/src/topazlug/crashes/_cause_analysis.py
+++ b/src/topazlug/crashes/_cause_analysis.py
@@ -33,11 +33,12 @@
 from topazlug import _ids
 from topazlug.crashes import _crash_records
 
-# Fewer prove nothing: an innocent request that may be repeated is hit by two
-# crashes, one at each attempt, if its caller repeats it once.
+# Fewer prove nothing: if its caller repeats it once, an innocent request that
+# may be repeated can be hit by two crashes, one at each attempt.
 MIN_CRASHES = 3
 # Two requests that always run together can't be distinguished. Both are
-# blocked after twice as many crashes, as each further crash hits others.
+# blocked after twice as many crashes, as each further crash also fails the
+# other requests on the replica.
 MIN_CRASHES_TOGETHER = 6
 # A request is not regarded as the cause if chance explains its crashes with at
 # least this probability. In a replay of five replicas, of which one crashes by
@@ -45,8 +46,8 @@
 # without this rule, and 1 with it (means of five replays; the cause crashes 4
 # replicas in both).
 _MAX_CHANCE_PROBABILITY = 1e-6
-# The rate of crashes without a request is measured from this long before the
-# first crash under it.
+# The rate of other crashes is measured from this long before a request's first
+# crash.
 _LEAD_TIME = datetime.timedelta(seconds=5)
 
 # A request that ran on an incarnation of a replica when it crashed.
--- a/src/topazlug/crashes/_crash_history.py
+++ b/src/topazlug/crashes/_crash_history.py
@@ -202,9 +202,9 @@
     def add_answered(self, fingerprint: _ids.Fingerprint) -> None:
         """Record that a request got a complete answer.
 
-        It takes effect at this daemon at once. If a team sends a request all
-        the time, some are running at each crash, and would be held back as
-        likely causes.
+        It takes effect at this daemon at once. Otherwise a request that a
+        team sends all the time would be held back as a likely cause, as it is
+        running at each crash.
         """
         self._answered_at[fingerprint] = self._clock.monotonic()
         self._answered_at.move_to_end(fingerprint)
--- a/src/topazlug/fleet/_reading_plan.py
+++ b/src/topazlug/fleet/_reading_plan.py
@@ -189,7 +189,7 @@
         self._avoidance_by_peer: dict[_ids.DaemonId, _Avoidance] = {}
 
     def record_miss(self, table: str) -> None:
-        """Record a request of another daemon that could not be answered."""
+        """Record that another daemon's request could not be answered."""
         self._missed_at_by_table[table] = self._clock.monotonic()
 
     def reads_store(self, table: str) -> bool:
--- a/src/topazlug/membership/_membership.py
+++ b/src/topazlug/membership/_membership.py
@@ -324,9 +324,10 @@
             return False
         if _facts.precedence(fact) <= _facts.precedence(own):
             if fact.state in _UNREACHABLE_STATES:
-                # A peer that was cut off did not receive the refutation.
-                # That is no longer being repeated and would reach the peer
-                # only with a full sync; until then it sends us no requests.
+                # A peer that was cut off did not receive the refutation,
+                # which is no longer being repeated. It would reach the peer
+                # only with a full sync, and until then the peer would send
+                # this daemon no requests.
                 self._exchange.repeat(own)
             return False
         if fact.incarnation > own.incarnation:
--- a/src/topazlug/targets/_reported_states.py
+++ b/src/topazlug/targets/_reported_states.py
@@ -87,7 +87,7 @@
     def record_peer_backoff(
         self, target: _target.Target, seconds: float
     ) -> None:
-        """Record a backoff for all daemons that a peer reported."""
+        """Record a backoff that holds for all daemons, as a peer reported."""
         if self._extend_backoff(target, seconds):
             _log.info(
                 "peer reports a backoff of {replica}: {seconds:.1f} s "
--- a/src/topazlug/targets/_targets.py
+++ b/src/topazlug/targets/_targets.py
@@ -258,7 +258,7 @@
     def apply_peer_backoff(
         self, replica: _ids.ReplicaId, seconds: float
     ) -> None:
-        """Apply a backoff for all daemons that a peer reported.
+        """Apply a backoff that holds for all daemons, as a peer reported.
 
         It is not passed on: the receivers would count this daemon as one
         more that the target rejected, and the backoff would never end.
