--- a/tests/topazlug_platform/crash_site.py
+++ b/tests/topazlug_platform/crash_site.py
@@ -221,13 +221,13 @@
     def _all_know(self):
         """Say whether all daemons have read of each replica that ended."""
         ended = {one.name for one in self.replicas if not one.is_running}
-        rows = self.store._held(_crash_records.TABLE).keys()
+        rows = self.store._current_rows(_crash_records.TABLE).keys()
         told = {key.partition("/")[2].partition("@")[0] for key in rows}
         return ended <= told and self.is_known(len(rows))
 
     def is_known(self, count):
         """Say whether there are so many rows, and all daemons know them."""
-        rows = self.store._held(_crash_records.TABLE).keys()
+        rows = self.store._current_rows(_crash_records.TABLE).keys()
         return len(rows) >= count and all(
             rows <= daemon._crashes.guard._history._shared_by_key.keys()
             for daemon in self.daemons
@@ -243,7 +243,7 @@
 
     def is_block_written(self):
         """Say whether a row of the store blocks a request."""
-        rows = self.store._held(_crash_records.TABLE)
+        rows = self.store._current_rows(_crash_records.TABLE)
         return any(key.startswith("block/") for key in rows)
 
     def is_checked(self):
--- a/tests/topazlug_platform/test_requests_that_crash.py
+++ b/tests/topazlug_platform/test_requests_that_crash.py
@@ -242,7 +242,7 @@
                 asking.join(5)
                 crash_site.wait_until(made.is_checked)
             assert not any(made.is_blocked(n) for n in range(3))
-            assert not made.store._held("crashes")
+            assert not made.store._current_rows("crashes")
 
     def test_planned_end_is_no_crash(self):
         """Replicas that leave cut off what still runs when they go."""
@@ -258,4 +258,4 @@
                     replica.crash()
                 asking.join(5)
                 made.replace_ended()
-            assert not made.store._held("crashes")
+            assert not made.store._current_rows("crashes")
