--- a/src/topazlug/targets/_target_client.py
+++ b/src/topazlug/targets/_target_client.py
@@ -39,7 +39,7 @@
 # before callers give up.
 _KEEPALIVE_IDLE_SECONDS = 1
 _KEEPALIVE_PROBES = 2
-_UNACKNOWLEDGED_TIMEOUT_MILLISECONDS = 3000
+_UNACKNOWLEDGED_MILLISECONDS = 3000
 
 ReportHandler = Callable[
     [_targets.Target, _target_report.TargetReport], object
@@ -407,9 +407,7 @@
     )
     connection.setsockopt(tcp, _plain_socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
     connection.setsockopt(
-        tcp,
-        _plain_socket.TCP_USER_TIMEOUT,
-        _UNACKNOWLEDGED_TIMEOUT_MILLISECONDS,
+        tcp, _plain_socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MILLISECONDS
     )
 
 
