--- a/tests/topazlug_platform/crash_site.py
+++ b/tests/topazlug_platform/crash_fleet.py
@@ -1,4 +1,4 @@
-"""Several daemons of one fleet before replicas that requests can crash."""
+"""A fleet of daemons with replicas that requests can crash."""
 
 import itertools
 
@@ -28,7 +28,7 @@
 
 
 class StoreView:
-    """The store as one daemon reaches it."""
+    """One daemon's access to the store, which can be cut."""
 
     def __init__(self, store):
         self._store = store
@@ -53,7 +53,7 @@
 
 
 class Replica:
-    """One replica; the body of a request decides what becomes of it."""
+    """A replica; the body of a request selects whether it crashes."""
 
     def __init__(self, name, runs, *, start=1):
         self.name = name
@@ -94,7 +94,7 @@
         sock.sendall(platform_rig.answer(attempt=attempt))
 
     def crash(self):
-        """End as a process does: nobody listens, all connections reset."""
+        """Close the listener and all connections, as if the process ended."""
         if not self.is_running:
             return
         self.is_running = False
@@ -103,22 +103,22 @@
             sock.close()
 
     def leave(self):
-        """Say on the list that it leaves."""
+        """Set the state of its list entry to leaving."""
         self.target = msgspec.structs.replace(self.target, leaving=True)
 
     def cut_off(self):
-        """Break all connections, and go on serving."""
+        """Close all connections and continue to serve."""
         for sock in list(self._sockets):
             sock.close()
 
 
-class Site:
+class CrashFleet:
     """Daemons that share a store and a list of replicas.
 
     Attributes
     ----------
     runs : list of (str, bytes)
-        Replica and body of each request that began to run.
+        Replica and body of each request that started to run.
     """
 
     def __init__(self, *routes, daemons=3, replicas=4):
@@ -131,7 +131,7 @@
         self.views = [StoreView(self.store) for _ in range(daemons)]
         self._peers = [processes.free_port() for _ in range(daemons)]
         self.daemons = [self._new_daemon(n) for n in range(daemons)]
-        self.list()
+        self.list_replicas()
 
     def _new_replica(self):
         return Replica(f"i-{next(self._numbers)}", self.runs)
@@ -154,38 +154,38 @@
         daemon.take_table(fixtures.table(*self._routes))
         return daemon
 
-    def list(self):
-        """Have all daemons read the platform's list of replicas."""
+    def list_replicas(self):
+        """Pass the current replicas to all daemons as the platform's list."""
         targets = [one.target for one in self.replicas]
         for daemon in self.daemons:
             daemon.replicas.take(targets)
 
-    def replace_ended(self):
-        """List a new replica for each that has ended."""
+    def replace_crashed(self):
+        """Replace each crashed replica by a new one on the list."""
         self.replicas = [
             one if one.is_running else self._new_replica()
             for one in self.replicas
         ]
-        self.list()
+        self.list_replicas()
 
     def restart(self, number):
-        """End a daemon, and start it anew."""
+        """Stop a daemon and start a new one in its place."""
         self.daemons[number].halt()
         self.daemons[number] = self._new_daemon(number)
-        self.list()
+        self.list_replicas()
 
     def wait_joined(self):
-        """Wait until all daemons know each other."""
+        """Wait until each daemon has all others in its fleet directory."""
         count = len(self.daemons)
         wait_until(lambda: {d._fleet.size for d in self.daemons} == {count})
 
     def cut_from_store(self, *numbers):
-        """Keep daemons from the store; none given brings all back."""
+        """Cut these daemons off from the store, and reconnect the others."""
         for number, view in enumerate(self.views):
             view.is_cut = number in numbers
 
     def ask(self, number, body, path="/a/x", attempt=""):
-        """Send a request to a daemon; give status and fields of its answer."""
+        """Send a request to a daemon; return status and fields."""
         attempt = attempt or f"a{next(self._attempts)}"
         sent = platform_rig.request(body=body, path=path).replace(
             b"X-Attempt-Id: a1", f"X-Attempt-Id: {attempt}".encode()
@@ -202,59 +202,60 @@
                     return 0, {}
         return status, fields
 
-    def ask_in_turn(self, times, body=CRASHING, *, news=True, **options):
-        """Send a request to one daemon after the other; give statuses.
+    def ask_in_turn(self, times, body=CRASHING, *, wait_known=True, **options):
+        """Send a request to one daemon after the other; return statuses.
 
         Parameters
         ----------
-        news : bool
-            Whether to wait each time until all daemons know of the crashes.
+        wait_known : bool
+            Whether to wait after each request until all daemons have read the
+            records of the crashes.
         """
         found = []
         for number in range(times):
             found.append(self.ask(number, body, **options)[0])
-            if news:
-                wait_until(self._all_know)
-            self.replace_ended()
+            if wait_known:
+                wait_until(self._are_crashes_known)
+            self.replace_crashed()
         return found
 
-    def _all_know(self):
-        """Say whether all daemons have read of each replica that ended."""
-        ended = {one.name for one in self.replicas if not one.is_running}
+    def _are_crashes_known(self):
+        """Return whether all daemons have the records of all crashes."""
+        crashed = {one.name for one in self.replicas if not one.is_running}
         rows = self.store._held(_crash_records.TABLE).keys()
-        told = {key.partition("/")[2].partition("@")[0] for key in rows}
-        return ended <= told and self.is_known(len(rows))
+        recorded = {key.partition("/")[2].partition("@")[0] for key in rows}
+        return crashed <= recorded and self.are_records_known(len(rows))
 
-    def is_known(self, count):
-        """Say whether there are so many rows, and all daemons know them."""
+    def are_records_known(self, count):
+        """Return whether `count` records exist and all daemons have them."""
         rows = self.store._held(_crash_records.TABLE).keys()
         return len(rows) >= count and all(
             rows <= daemon._crashes.guard._history._shared_by_key.keys()
             for daemon in self.daemons
         )
 
-    def ended(self, body=CRASHING):
-        """Count the replicas that ran a request."""
+    def reached_count(self, body=CRASHING):
+        """Return the number of replicas that ran a request."""
         return len({name for name, ran in self.runs if ran == body})
 
     def is_blocked(self, number):
-        """Say whether a daemon knows of a request that crashes replicas."""
+        """Return whether a daemon blocks a request."""
         return bool(self.daemons[number]._crashes.guard.blocked)
 
     def is_block_written(self):
-        """Say whether a row of the store blocks a request."""
+        """Return whether the store contains a row that blocks a request."""
         rows = self.store._held(_crash_records.TABLE)
         return any(key.startswith("block/") for key in rows)
 
     def is_checked(self):
-        """Say whether all daemons know which replicas live."""
+        """Return whether no daemon has a pending check of a replica."""
         return not any(
             daemon._crashes.guard._detector._check_by_incarnation
             for daemon in self.daemons
         )
 
     def wait_blocked(self, *numbers):
-        """Wait until daemons know of one."""
+        """Wait until each of these daemons blocks a request."""
         wait_until(lambda: all(self.is_blocked(one) for one in numbers))
 
     def stop(self):
@@ -265,5 +266,5 @@
 
 
 def wait_until(condition):
-    """Wait until something holds."""
+    """Wait until `condition` returns true."""
     routing_fixtures.wait_until(condition)
--- a/tests/topazlug_platform/platform_rig.py
+++ b/tests/topazlug_platform/platform_rig.py
@@ -1,4 +1,4 @@
-"""A daemon with the platform's headers, before scripted replicas."""
+"""A daemon with the platform's headers and scripted replicas."""
 
 import gevent
 from gevent import server
@@ -20,7 +20,7 @@
 
 
 def answer(body=b"whole", *fields, status="200 OK", attempt="a1", signed=True):
-    """Give the bytes of a replica's answer."""
+    """Return the bytes of a replica's answer."""
     lines = [f"X-Attempt-Id: {attempt}", *fields]
     if signed:
         lines.append(SIGNED)
@@ -28,7 +28,7 @@
 
 
 def stream_head(attempt="a1"):
-    """Give the head of a replica's stream of events."""
+    """Return the head of a replica's event stream."""
     lines = (
         "HTTP/1.1 200 OK",
         "Content-Type: text/event-stream",
@@ -42,12 +42,12 @@
 
 
 def chunk(data):
-    """Give one chunk of a body."""
+    """Return one chunk of a chunked body."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
 def event(number):
-    """Give one event."""
+    """Return one server-sent event."""
     return f"id: {number}\ndata: word {number}\n\n".encode()
 
 
@@ -55,7 +55,7 @@
 
 
 def options(**changes):
-    """Give what a daemon on loopback is told."""
+    """Return the options of a daemon on loopback."""
     values = {
         "daemon": _ids.DaemonId("d1"),
         "callers": ANY,
@@ -79,7 +79,11 @@
 
 
 class Rig:
-    """One daemon; replicas are callables that get their connection."""
+    """One daemon; a replica is a callable that serves one request.
+
+    It is called with the connection once the request is read; if it returns
+    False, the connection is closed.
+    """
 
     def __init__(self, *routes, scripts=(), daemons=1):
         self.requests = []
@@ -97,7 +101,7 @@
         self.list(*scripts)
 
     def list(self, *scripts):
-        """Serve these replicas, and put them on the list."""
+        """Start these replicas and add them to the daemon's targets."""
         targets = []
         for script in scripts:
             one = server.StreamServer(
@@ -126,18 +130,18 @@
         return self.daemon.callers_port
 
     def connect(self):
-        return self._listening(self.port)
+        return self._connect_to(self.port)
 
     def send(self, *fields, method="POST", path="/a/x?q=1", body=b"body"):
-        """Send a request and read all that comes until its end or a cut."""
+        """Send a request and read until the connection is closed."""
         with self.connect() as sock:
             sock.sendall(request(*fields, method=method, path=path, body=body))
             with gevent.Timeout(10):
                 return read_all(sock)
 
     def scrape(self):
-        """Give the daemon's metrics as text."""
-        with self._listening(self.daemon.metrics_port) as sock:
+        """Return the daemon's metrics as text."""
+        with self._connect_to(self.daemon.metrics_port) as sock:
             sock.sendall(
                 b"GET /metrics HTTP/1.1\r\nHost: x\r\n"
                 b"Connection: close\r\n\r\n"
@@ -145,7 +149,7 @@
             with gevent.Timeout(10):
                 return read_all(sock)[2].decode()
 
-    def _listening(self, port):
+    def _connect_to(self, port):
         return socket.create_connection(("127.0.0.1", port))
 
     def stop(self):
@@ -155,7 +159,7 @@
 
 
 def request(*fields, method="POST", path="/a/x?q=1", body=b"body"):
-    """Give the bytes of a client's request that closes its connection."""
+    """Return the bytes of a client's request with Connection: close."""
     lines = [
         f"{method} {path} HTTP/1.1",
         "Host: chat.example",
@@ -169,7 +173,7 @@
 
 
 def read_all(sock):
-    """Read until the daemon closes; give status, fields and body."""
+    """Read until the daemon closes; return status, fields and body."""
     data = b""
     while more := sock.recv(65536):
         data += more
--- a/tests/topazlug_platform/test_boot_file.py
+++ b/tests/topazlug_platform/test_boot_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: what is used of it, and what is refused."""
+"""The platform's settings file: conversion, validation and reload."""
 
 import json
 import pathlib
@@ -48,7 +48,7 @@
 
 class TestBootFile:
     def test_options(self, tmp_path):
-        options = boot_file.options_of(boot_file.load(write(tmp_path)))
+        options = boot_file.options_from_boot(boot_file.load(write(tmp_path)))
         assert (options.callers.host, options.callers.port) == (
             "10.1.0.40",
             8227,
@@ -68,14 +68,14 @@
             ({"limits": {"file_descriptors": "many"}}, "file_descriptors"),
         ],
     )
-    def test_field_is_named(self, tmp_path, changes, named):
+    def test_error_names_the_field(self, tmp_path, changes, named):
         with pytest.raises(_errors.SettingsInvalid, match=named):
             boot_file.load(write(tmp_path, **changes))
 
     @pytest.mark.parametrize("text", ["", "host", "host:", "10.0.0.1:x"])
     def test_address(self, text):
         with pytest.raises(_errors.SettingsInvalid, match="IP:PORT"):
-            boot_file.address_of(text)
+            boot_file.parse_address(text)
 
 
 class TestProgram:
@@ -92,15 +92,16 @@
         done = self.check(write(tmp_path))
         assert (done.returncode, done.stderr) == (0, "")
 
-    def test_check_finds_a_mistake(self, tmp_path):
+    def test_check_of_an_invalid_file(self, tmp_path):
         done = self.check(write(tmp_path, zone=7))
         assert done.returncode == 2
         assert "zone" in done.stderr
 
-    def test_standard_module_is_not_hidden(self):
-        """Symptom: libraries fail with "no attribute 'system'".
+    def test_standard_module_is_not_shadowed(self):
+        """Libraries failed with "no attribute 'system'".
 
-        Cause: a package named platform at the root of the repository.
+        A package named platform at the root of the repository shadowed the
+        standard module.
         """
         done = subprocess.run(
             [sys.executable, "-c", "import platform; platform.system()"],
@@ -116,14 +117,14 @@
         path = write(tmp_path, listeners_map=loopback)
         return program.Program(path=path, clock=_clock.SystemClock())
 
-    def test_bounds_that_changed_are_in_force(self, made, tmp_path):
+    def test_changed_bounds_are_in_force(self, made, tmp_path):
         assert not made.daemon.budget.can_retry("engines")
         write(tmp_path, **RELOADED)
         made.reload()
         assert made.daemon.budget.can_retry("engines")
 
-    def test_bad_file_leaves_the_last_in_force(self, made, tmp_path):
-        """Symptom: a daemon ends when its settings file is half written."""
+    def test_invalid_file_leaves_the_last_in_force(self, made, tmp_path):
+        """A daemon exited when its settings file was half written."""
         write(tmp_path, **RELOADED)
         made.reload()
         (tmp_path / "boot.json").write_text('{"node_name": ')
--- a/tests/topazlug_platform/test_documents.py
+++ b/tests/topazlug_platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's store, translated."""
+"""Parsing of rows of the platform's store."""
 
 import json
 
@@ -32,7 +32,7 @@
 
 
 def table(**changes):
-    return documents.table_of(json.dumps({**CONFIG, **changes}).encode())
+    return documents.parse_table(json.dumps({**CONFIG, **changes}).encode())
 
 
 class TestConfig:
@@ -59,25 +59,25 @@
         made = table(routes=[route]).route_of("chat.example", "/a/")
         assert [share.group for share in made.shares] == ["s1", "s2"]
 
-    def test_kind_to_come_runs_at_most_once(self):
+    def test_unknown_kind_runs_at_most_once(self):
         route = {**ROUTE, "route_kind": "of-tomorrow", "resumable": True}
         made = table(routes=[route]).route_of("chat.example", "/a/")
         assert not made.repeatable
 
     def test_no_tenants_means_no_keys(self):
         document = {k: v for k, v in CONFIG.items() if k != "tenants"}
-        made = documents.table_of(json.dumps(document).encode())
+        made = documents.parse_table(json.dumps(document).encode())
         route = made.route_of("chat.example", "/a/")
         assert made.team_of(route, None) is None
 
     def test_unreadable(self):
         with pytest.raises(documents.Unreadable):
-            documents.table_of(b'{"version": "x"}')
+            documents.parse_table(b'{"version": "x"}')
 
 
 class TestReplica:
     def test_entry(self):
-        made = documents.target_of(
+        made = documents.parse_target(
             "i-1",
             json.dumps(
                 {
--- a/tests/topazlug_platform/test_evacuation.py
+++ b/tests/topazlug_platform/test_evacuation.py
@@ -1,4 +1,4 @@
-"""A zone whose replicas get nothing while the platform says so."""
+"""Evacuation of a zone through a row of the operator's table."""
 
 import json
 
@@ -28,43 +28,43 @@
 def made(tmp_path):
     path = test_boot_file.write(tmp_path)
     made = program.Program(path=path, clock=_clock.SystemClock())
-    made._take_replicas(
+    made._handle_replica_rows(
         {"i-1": entry("a", 1), "i-2": entry("b", 2), "i-3": entry("b", 3)}
     )
     return made
 
 
 class TestEvacuation:
-    """Symptom: replicas of a zone that is emptied go on to get requests.
+    """Replicas of an evacuated zone continued to get requests.
 
-    Sequence of events: the operator writes a row for the zone; daemons read
-    it with the configuration. Cause: nobody looked at that row.
+    Daemons read the operator's row for the zone together with the
+    configuration, but ignored it.
     """
 
     def usable(self, made):
         return made.daemon.targets.usable(GROUP)
 
-    def test_zone_gets_nothing_until_the_row_is_gone(self, made):
-        made._take_operator_rows({"config": CONFIG, "evacuate/b": b"{}"})
+    def test_zone_is_unused_until_the_row_is_deleted(self, made):
+        made._handle_operator_rows({"config": CONFIG, "evacuate/b": b"{}"})
         assert self.usable(made) == ["i-1"]
-        made._take_operator_rows({"config": CONFIG})
+        made._handle_operator_rows({"config": CONFIG})
         assert self.usable(made) == ["i-1", "i-2", "i-3"]
 
-    def test_it_needs_no_configuration(self, made):
-        made._take_operator_rows({"evacuate/a": b"{}"})
+    def test_without_a_configuration(self, made):
+        made._handle_operator_rows({"evacuate/a": b"{}"})
         assert self.usable(made) == ["i-2", "i-3"]
 
     def test_two_zones(self, made):
         rows = {"evacuate/a": b"{}", "evacuate/b": b"{}"}
-        made._take_operator_rows({"config": CONFIG, **rows})
+        made._handle_operator_rows({"config": CONFIG, **rows})
         assert self.usable(made) == []
 
     @pytest.mark.parametrize("data", [b"", b"null", b"\xff", b"[" * 9999])
-    def test_what_the_row_holds_does_not_matter(self, made, data):
-        made._take_operator_rows({"evacuate/a": data})
+    def test_content_of_the_row_is_ignored(self, made, data):
+        made._handle_operator_rows({"evacuate/a": data})
         assert self.usable(made) == ["i-2", "i-3"]
 
-    def test_replica_that_joins_an_evacuated_zone_gets_nothing(self, made):
-        made._take_operator_rows({"evacuate/b": b"{}"})
-        made._take_replicas({"i-1": entry("a", 1), "i-9": entry("b", 9)})
+    def test_new_replica_of_an_evacuated_zone_is_unused(self, made):
+        made._handle_operator_rows({"evacuate/b": b"{}"})
+        made._handle_replica_rows({"i-1": entry("a", 1), "i-9": entry("b", 9)})
         assert self.usable(made) == ["i-1"]
--- a/tests/topazlug_platform/test_foreign_rows.py
+++ b/tests/topazlug_platform/test_foreign_rows.py
@@ -1,9 +1,8 @@
-"""Rows that another writer has left in the platform's tables.
+"""Invalid rows that another writer has stored in the platform's tables.
 
-Symptom: no daemon takes news of any replica, for as long as one row stays.
-Sequence: another writer leaves a row that is not JSON, is nested without
-end, or says what no replica says; the daemon reads the table. Cause: an error
-in one row ended the reading of the whole table.
+As long as one invalid row existed, no daemon applied updates of any replica:
+an error in one row ended the reading of the whole table. Rows were not JSON,
+nested too deeply, or had values that no replica writes.
 """
 
 import json
@@ -72,40 +71,40 @@
     "multicast": entry(address="224.0.0.9:80"),
     "broadcast": entry(address="255.255.255.255:80"),
     "line break": entry(address="10.0.0.9\r\nX-Y: 1:80"),
-    "one of ours": entry(address=f"{OWN_HOST}:80"),
+    "own host": entry(address=f"{OWN_HOST}:80"),
     "negative slots": entry(slots=-1),
-    "endless slots": HUGE,
+    "infinite slots": HUGE,
     "text for slots": entry(slots="64"),
     "fraction for start": entry(born=1.5),
-    "truth for start": entry(born=True),
+    "boolean for start": entry(born=True),
     "text for start": entry(born="1783000000000"),
     "negative start": entry(born=-1),
 }
 KEYS = ["", "i 1", "i\r\nX-Y: 1", "\u0268-1", "i" * 201, "i\x00"]
 
 
-def target_of(key, data):
-    return documents.target_of(key, data, own_hosts=OWN_HOSTS)
+def parse_target(key, data):
+    return documents.parse_target(key, data, own_hosts=OWN_HOSTS)
 
 
 def reader():
     return _row_reader.RowReader(
-        name="servers", decode=target_of, clock=claim_fakes.FakeClock()
+        name="servers", decode=parse_target, clock=claim_fakes.FakeClock()
     )
 
 
 class TestReplicas:
     @pytest.mark.parametrize("data", UNUSABLE.values(), ids=UNUSABLE)
-    def test_entry_names_no_replica(self, data):
+    def test_invalid_entry(self, data):
         with pytest.raises(documents.Unreadable):
-            target_of("i-1", data)
+            parse_target("i-1", data)
 
     @pytest.mark.parametrize("key", KEYS)
-    def test_key_names_no_replica(self, key):
+    def test_invalid_key(self, key):
         with pytest.raises(documents.Unreadable):
-            target_of(key, entry())
+            parse_target(key, entry())
 
-    def test_the_others_hold(self):
+    def test_valid_rows_are_read(self):
         rows = {f"bad-{name}": data for name, data in UNUSABLE.items()}
         rows["i-1"] = entry()
         rows["i-2"] = entry(address="10.0.0.8:8080", state="draining")
@@ -114,14 +113,14 @@
         assert found["i-2"].leaving
         assert found["i-1"].incarnation == ENTRY["born"]
 
-    def test_entry_that_is_mended_counts_again(self):
+    def test_corrected_entry_is_read(self):
         rows = reader()
         assert rows.read({"i-1": NESTED}) == []
         (found,) = rows.read({"i-1": entry()})
         assert found.replica == "i-1"
 
     def test_row_of_a_fleet_on_one_machine(self):
-        found = documents.target_of(
+        found = documents.parse_target(
             "i-1",
             entry(address="127.0.0.1:80"),
             own_hosts=documents.OwnHosts(["127.0.0.1"]),
@@ -129,10 +128,10 @@
         assert found.host == "127.0.0.1"
 
     def test_cost_of_a_row_does_not_grow_with_the_fleet(self, monkeypatch):
-        """Symptom: 300 daemons spend half a core each on 3,000 entries.
+        """With 300 daemons, each used half a core for 3,000 entries.
 
-        Cause: each entry was compared with all addresses of the fleet, each
-        of them parsed anew.
+        Each entry was compared with all addresses of the fleet, and each
+        address was parsed again for each comparison.
         """
         parsed = []
         parse = documents.ipaddress.IPv4Address
@@ -148,7 +147,7 @@
                 f"10.1.{one // 250}.{one % 250 + 1}" for one in range(daemons)
             )
             parsed.clear()
-            documents.target_of("i-1", entry(), own_hosts=own_hosts)
+            documents.parse_target("i-1", entry(), own_hosts=own_hosts)
             counts.append(len(parsed))
         assert counts[0] == counts[1]
 
@@ -206,16 +205,16 @@
             {"version": 1, "routes": [{**self.ROUTE, **changes}]}
         )
         with pytest.raises(documents.Unreadable):
-            documents.table_of(data.encode())
+            documents.parse_table(data.encode())
 
     @pytest.mark.parametrize("data", [NESTED, b"", b"\xff", b"[]", b"{}"])
-    def test_no_configuration(self, data):
+    def test_invalid_configuration(self, data):
         with pytest.raises(documents.Unreadable):
-            documents.table_of(data)
+            documents.parse_table(data)
 
 
 class TestDaemons:
-    def test_row_that_names_no_daemon_is_left_out(self):
+    def test_invalid_row_of_a_daemon_is_skipped(self):
         own_row = _fleet_directory.DaemonRow(
             host="10.0.0.1", port=7340, relays=True
         )
--- a/tests/topazlug_platform/test_forwarding.py
+++ b/tests/topazlug_platform/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests and answers through a whole daemon, with the platform's names."""
+"""Forwarding by a whole daemon with the platform's headers."""
 
 import contextlib
 
@@ -32,7 +32,7 @@
 
 
 def cutting(data):
-    """Send something, then close the connection."""
+    """Return a script that sends `data`, then closes the connection."""
 
     def script(sock):
         sock.sendall(data)
@@ -42,7 +42,7 @@
 
 
 def is_closed(port):
-    """Say whether nobody listens on a port any more."""
+    """Return whether a port refuses connections."""
     try:
         gevent.socket.create_connection(("127.0.0.1", port)).close()
     except OSError:
@@ -51,7 +51,7 @@
 
 
 class TestRequest:
-    def test_reaches_the_replica_as_it_was_sent(self):
+    def test_is_sent_to_the_replica_unchanged(self):
         script = answering(platform_rig.answer())
         with running(fixtures.route(), scripts=[script]) as rig:
             status, fields, body = rig.send("X-Deadline-Ms: 3000", "X-Own: 1")
@@ -71,7 +71,7 @@
             assert line in head.split("\r\n")
         assert fixtures.KEY not in head
 
-    def test_deadline_is_what_is_left(self):
+    def test_deadline_is_the_remaining_time(self):
         script = answering(platform_rig.answer())
         with running(fixtures.route(timeout=2.0), scripts=[script]) as rig:
             rig.send("X-Deadline-Ms: 9000")
@@ -95,14 +95,14 @@
             "X-Request-Priority: 0",
         ],
     )
-    def test_fields_that_only_the_system_sets(self, field):
+    def test_fields_reserved_for_the_system_are_dropped(self, field):
         script = answering(platform_rig.answer())
         with running(fixtures.route(), scripts=[script]) as rig:
             rig.send(field)
             assert field not in rig.requests[0].decode().split("\r\n")
 
-    def test_client_that_leaves_ends_its_request(self):
-        """Symptom: replicas work for callers that have left."""
+    def test_disconnect_of_the_client_ends_its_request(self):
+        """Replicas continued requests of callers that had disconnected."""
         ended = []
 
         def script(sock):
@@ -118,12 +118,11 @@
 
 
 class TestStart:
-    def test_request_that_comes_before_the_table_is_served(self):
-        """Symptom: after all daemons were killed, callers get 503 and late.
+    def test_request_before_the_first_table_is_served(self):
+        """After a restart of all daemons, callers got 503 and late answers.
 
-        Sequence: a daemon listens; a caller's request comes some
-        milliseconds before the first table. Cause: it is refused at once,
-        and may come back half a second later only.
+        A request that arrived some milliseconds before the first table was
+        rejected at once, and could be retried only half a second later.
         """
         script = answering(platform_rig.answer())
         with running() as rig:
@@ -134,7 +133,7 @@
             assert asked.get(timeout=10)[0] == 200
 
 
-class TestRefusals:
+class TestRejections:
     def test_no_table(self):
         with running() as rig:
             status, fields, _ = rig.send()
@@ -144,8 +143,8 @@
         with running(fixtures.route()) as rig:
             assert rig.send(path="/b/")[0] == 404
 
-    def test_line_names_the_table_that_refused_and_its_age(self):
-        """Symptom: a new route is refused, and nobody sees by which table."""
+    def test_log_line_has_the_table_version_and_age(self):
+        """The log did not show which table had rejected a new route."""
         lines = logbook.TestHandler()
         with running(fixtures.route()) as rig, lines.applicationbound():
             rig.send(path="/b/")
@@ -168,22 +167,22 @@
             )
             assert rig.send()[0] == 401
 
-    def test_no_replica_is_told_at_once(self):
+    def test_rejected_at_once_without_replicas(self):
         with running(fixtures.route()) as rig:
             status, fields, _ = rig.send("X-Deadline-Ms: 60000")
         assert status == 503 and "retry-after" in fields
 
-    def test_refusal_of_all_replicas(self):
-        refusal = platform_rig.answer(
+    def test_rejected_by_all_replicas(self):
+        rejection = platform_rig.answer(
             b"", "X-Not-Executed: 1", status="503 Full", signed=False
         )
-        scripts = [answering(refusal)] * 2
+        scripts = [answering(rejection)] * 2
         route = fixtures.route(kind=AT_MOST_ONCE)
         with running(route, scripts=scripts) as rig:
             assert rig.send()[0] == 503
             assert len(rig.requests) == 2
 
-    def test_listener_that_is_gone_costs_nothing(self):
+    def test_refused_connection_is_retried_elsewhere(self):
         script = answering(platform_rig.answer())
         route = fixtures.route(kind=AT_MOST_ONCE, max_replicas=1)
         with running(route, scripts=[script]) as rig:
@@ -194,7 +193,7 @@
 
 
 class TestAnswers:
-    """What is no genuine answer never reaches a client as one."""
+    """An answer that is not genuine is never passed on to a client."""
 
     @pytest.mark.parametrize(
         "data",
@@ -217,7 +216,7 @@
             assert "x-response-signature" not in fields
             assert len(rig.requests) == 1
 
-    def test_idempotent_request_is_tried_elsewhere(self):
+    def test_idempotent_request_is_retried_elsewhere(self):
         calls = []
 
         def script(sock):
@@ -231,7 +230,7 @@
             assert rig.send()[0] == 200
             assert len(rig.requests) == 2
 
-    def test_failure_of_a_replica_is_passed_on(self):
+    def test_error_of_a_replica_is_passed_on(self):
         failure = platform_rig.answer(b"sorry", status="500 Broken")
         with running(
             fixtures.route(), scripts=[answering(failure)] * 2
@@ -263,11 +262,11 @@
         for number in range(1, 4):
             assert platform_rig.event(number) in body
 
-    def test_broken_stream_goes_on_elsewhere(self):
-        """Symptom: a letter ends in the middle when a replica crashes.
+    def test_broken_stream_is_resumed_elsewhere(self):
+        """A stream ended early when its replica crashed.
 
-        Sequence: the replica breaks off inside of its third event; another
-        one is asked to go on after the second.
+        The replica closes the connection within its third event; another
+        replica is asked to resume after the second.
         """
         asked = []
 
@@ -301,7 +300,7 @@
         assert text == b"".join(events)
         assert body.endswith(platform_rig.END)
 
-    def test_stream_that_may_not_go_on_is_cut(self):
+    def test_stream_that_is_not_resumable_is_cut(self):
         part = platform_rig.stream_head() + platform_rig.chunk(
             platform_rig.event(1)
         )
@@ -312,8 +311,8 @@
         assert platform_rig.event(1) in body
         assert not body.endswith(platform_rig.END)
 
-    def test_missing_event_is_no_stream(self):
-        """Symptom: an event is missing in the middle of an answer."""
+    def test_stream_with_a_missing_event_is_cut(self):
+        """An answer lacked an event in the middle."""
         data = platform_rig.stream_head() + b"".join(
             platform_rig.chunk(platform_rig.event(n)) for n in (1, 2, 4)
         )
@@ -326,8 +325,8 @@
 
 
 class TestStopping:
-    def test_cuts_off_nothing(self, monkeypatch):
-        """Symptom: callers lose answers when a daemon is replaced."""
+    def test_requests_in_progress_are_completed(self, monkeypatch):
+        """Callers lost answers when a daemon was replaced."""
         monkeypatch.setattr(_planned_stop, "_STILL_FOUND_SECONDS", 0.2)
         go_on = gevent.event.Event()
 
@@ -343,7 +342,7 @@
             routing_fixtures.wait_until(lambda: not rig.daemon.is_ready())
             late_one = gevent.spawn(rig.send)
             routing_fixtures.wait_until(lambda: len(rig.requests) == 2)
-            # The answers come only after the daemon takes nobody any more.
+            # The replica answers only after the daemon has stopped listening.
             port = rig.port
             routing_fixtures.wait_until(lambda: is_closed(port))
             gevent.sleep(0)
@@ -354,13 +353,13 @@
             stopping.get(timeout=10)
             assert rig.daemon.stopped.is_set()
 
-    def test_request_that_crosses_the_end_of_its_idle_connection(self):
-        """Symptom: callers get 500 while a daemon is replaced.
+    def test_request_during_the_shutdown_of_its_idle_connection(self):
+        """Callers got 500 while a daemon was replaced.
 
-        Sequence: the daemon stops and ends its idle connections; on one of
-        them a request has just arrived. It is read and sent to a replica.
-        Cause: the end of reading, made by the daemon itself, was taken for
-        a caller that hangs up.
+        A stopping daemon shuts down its idle connections for reading. If a
+        request has just arrived on one, it is still read and sent to a
+        replica, but the daemon mistook its own shutdown for a disconnect of
+        the caller.
         """
 
         def script(sock):
@@ -376,7 +375,7 @@
                 with gevent.Timeout(10):
                     assert platform_rig.read_all(sock)[0] == 200
 
-    def test_idle_connections_are_ended(self, monkeypatch):
+    def test_idle_connections_are_closed(self, monkeypatch):
         monkeypatch.setattr(_planned_stop, "_STILL_FOUND_SECONDS", 0.05)
         with running(fixtures.route()) as rig:
             with rig.connect() as sock:
@@ -397,7 +396,7 @@
         assert 'code="path_not_found"' in text
         assert "topazlug_requests_in_flight 0.0" in text
 
-    def test_scrape_shows_why_replicas_get_little(self):
+    def test_scrape_shows_why_replicas_get_few_requests(self):
         with running(fixtures.route()) as rig:
             daemon = rig.daemon
             cold = _cold_replicas.ColdStart(3.0, 14.0)
--- a/tests/topazlug_platform/test_headers.py
+++ b/tests/topazlug_platform/test_headers.py
@@ -1,4 +1,4 @@
-"""What the platform's header fields say of the replica that answers."""
+"""Reports of a replica in the platform's header fields."""
 
 import pytest
 from topazlug_platform import headers
@@ -25,7 +25,7 @@
     return WIRE.report(answer)
 
 
-class TestWord:
+class TestReport:
     @pytest.mark.parametrize("status", [200, 429, 500, 503])
     def test_leaving_in_answers_of_every_kind(self, status):
         assert report(status, ("Server-Leaving", "1")).leaving
@@ -35,16 +35,16 @@
         assert report(200, *fields).leaving
 
     @pytest.mark.parametrize("value", ["", "0", "2", "true", "11"])
-    def test_other_values_say_nothing(self, value):
+    def test_other_values_are_ignored(self, value):
         assert not report(200, ("Server-Leaving", value)).leaving
 
     def test_backoff(self):
         assert report(503, ("Retry-After", "3")).backoff == 3.0
 
-    def test_who_has_the_address_of_another_is_not_meant(self):
-        """A replica gets nothing because the one at its address leaves."""
+    def test_misdirected_answer_reports_nothing(self):
+        """A replica got no requests because its address was reused."""
         fields = ("Server-Leaving", "1"), ("Retry-After", "3")
         assert report(421, *fields) == _target_report.EMPTY_REPORT
 
-    def test_nothing(self):
+    def test_no_fields(self):
         assert report(200) == _target_report.EMPTY_REPORT
--- a/tests/topazlug_platform/test_words_of_replicas.py
+++ b/tests/topazlug_platform/test_replica_reports.py
@@ -1,4 +1,4 @@
-"""A daemon before replicas that say that they want nothing new."""
+"""Replicas that report in an answer that they are leaving or in backoff."""
 
 import contextlib
 
@@ -11,7 +11,7 @@
 from tests.topazlug_platform import platform_rig
 from topazlug.forwarding import _table
 
-ASKED = 12
+REQUEST_COUNT = 12
 LEAVING = "Server-Leaving: 1"
 IDEMPOTENT = _table.RequestKind.IDEMPOTENT
 AT_MOST_ONCE = _table.RequestKind.AT_MOST_ONCE
@@ -27,8 +27,8 @@
         rig.stop()
 
 
-class Scripted:
-    """A replica that counts what it gets; its answer may be changed."""
+class ScriptedReplica:
+    """A replica that counts its requests; its answer may be changed."""
 
     def __init__(self, data):
         self.data = data
@@ -39,8 +39,8 @@
         sock.sendall(self.data)
 
 
-def ask_until(rig, condition):
-    """Send requests until something holds."""
+def send_until(rig, condition):
+    """Send requests until `condition` returns true."""
 
     def holds():
         rig.send()
@@ -69,27 +69,27 @@
         ],
         ids=["200", "500", "refused", "not genuine"],
     )
-    def test_nothing_more_after_an_answer_of_any_kind(self, data, kind):
-        """Requests reach a leaving replica while its entry is old."""
-        leaving = Scripted(data)
-        other = Scripted(platform_rig.answer())
+    def test_no_request_after_an_answer_of_any_kind(self, data, kind):
+        """Requests were sent to a leaving replica while its entry was old."""
+        leaving = ScriptedReplica(data)
+        other = ScriptedReplica(platform_rig.answer())
         route = fixtures.route(kind=kind)
         with running(route, scripts=[leaving, other]) as rig:
-            ask_until(rig, lambda: leaving.count)
+            send_until(rig, lambda: leaving.count)
             leaving.count = 0
-            statuses = {rig.send()[0] for _ in range(ASKED)}
+            statuses = {rig.send()[0] for _ in range(REQUEST_COUNT)}
         assert (leaving.count, statuses) == (0, {200})
 
-    def test_nothing_more_after_the_head_of_a_stream(self):
-        """A stream's answer tells it long before the stream ends."""
+    def test_no_request_after_the_head_of_a_stream(self):
+        """The head of a stream reports it long before the stream ends."""
         head = platform_rig.stream_head().replace(
             b"Transfer-", LEAVING.encode() + b"\r\nTransfer-"
         )
-        goes_on = gevent.event.Event()
+        go_on = gevent.event.Event()
 
         def streaming(sock):
             sock.sendall(head + platform_rig.chunk(platform_rig.event(1)))
-            goes_on.wait(10)
+            go_on.wait(10)
             sock.sendall(platform_rig.END)
 
         route = fixtures.route(kind=STREAM)
@@ -99,26 +99,26 @@
                 lambda: rig.daemon.targets.reported_leaving()
             )
             status, fields, _ = rig.send()
-            goes_on.set()
+            go_on.set()
             assert first.get(10)[0] == 200
         assert status == 503
         assert fields["retry-after"]
 
-    def test_one_at_a_reused_address_is_not_meant(self):
-        """A replica gets nothing as another one at its address leaves."""
+    def test_report_of_another_replica_at_the_address_is_ignored(self):
+        """A replica got no requests because its address was reused."""
         elsewhere = platform_rig.answer(
             b"", LEAVING, status="421 Misdirected Request", signed=False
         )
-        replica = Scripted(elsewhere)
+        replica = ScriptedReplica(elsewhere)
         with running(fixtures.route(), scripts=[replica]) as rig:
-            ask_until(rig, lambda: replica.count)
+            send_until(rig, lambda: replica.count)
             replica.data = platform_rig.answer()
             routing_fixtures.wait_until(lambda: rig.send()[0] == 200)
 
-    def test_a_new_start_gets_requests(self):
-        leaving = Scripted(platform_rig.answer(b"", LEAVING))
+    def test_new_incarnation_gets_requests(self):
+        leaving = ScriptedReplica(platform_rig.answer(b"", LEAVING))
         with running(fixtures.route(), scripts=[leaving]) as rig:
-            ask_until(rig, lambda: leaving.count)
+            send_until(rig, lambda: leaving.count)
             assert rig.send()[0] == 503
             leaving.data = platform_rig.answer()
             (target,) = rig.daemon.targets.target_by_replica.values()
@@ -127,8 +127,8 @@
             assert rig.send()[0] == 200
 
 
-def turning_away(retry_after):
-    """Give the answer of a replica that turns a request away."""
+def rejection(retry_after):
+    """Return the answer of a replica that rejects a request."""
     return platform_rig.answer(
         b"",
         "X-Not-Executed: 1",
@@ -140,29 +140,29 @@
 
 class TestBackoff:
     @pytest.mark.parametrize("kind", [IDEMPOTENT, AT_MOST_ONCE, STREAM])
-    def test_nothing_until_it_is_over(self, kind):
-        """Requests reach a replica that has asked for a backoff."""
-        busy = Scripted(turning_away(60))
-        other = Scripted(platform_rig.answer())
+    def test_no_request_until_it_ends(self, kind):
+        """Requests were sent to a replica that had asked for a backoff."""
+        busy = ScriptedReplica(rejection(60))
+        other = ScriptedReplica(platform_rig.answer())
         route = fixtures.route(kind=kind)
         with running(route, scripts=[busy, other]) as rig:
-            ask_until(rig, lambda: busy.count)
+            send_until(rig, lambda: busy.count)
             busy.count = 0
-            statuses = {rig.send()[0] for _ in range(ASKED)}
+            statuses = {rig.send()[0] for _ in range(REQUEST_COUNT)}
         assert (busy.count, statuses) == (0, {200})
 
-    def test_requests_come_back_when_it_is_over(self):
-        busy = Scripted(turning_away("0.2"))
+    def test_requests_resume_when_it_ends(self):
+        busy = ScriptedReplica(rejection("0.2"))
         with running(fixtures.route(), scripts=[busy]) as rig:
-            ask_until(rig, lambda: busy.count)
+            send_until(rig, lambda: busy.count)
             busy.data = platform_rig.answer()
             routing_fixtures.wait_until(lambda: rig.send()[0] == 200)
 
-    def test_refused_at_once_where_all_ask_for_one(self):
-        """A caller waits, or comes back too soon, though nobody can serve."""
-        busy = [Scripted(turning_away(60)) for _ in range(2)]
+    def test_rejected_at_once_if_all_are_in_backoff(self):
+        """Callers waited, or retried too soon, though all were in backoff."""
+        busy = [ScriptedReplica(rejection(60)) for _ in range(2)]
         with running(fixtures.route(), scripts=busy) as rig:
-            ask_until(rig, lambda: all(one.count for one in busy))
+            send_until(rig, lambda: all(one.count for one in busy))
             for one in busy:
                 one.count = 0
             status, fields, body = rig.send("X-Deadline-Ms: 3000")
@@ -170,16 +170,16 @@
         assert b"backoff" in body
         assert 3.0 < float(fields["retry-after"]) <= 60.0
 
-    def test_who_was_turned_away_last_hears_when_to_come_back(self):
-        busy = Scripted(turning_away(60))
+    def test_last_rejected_caller_gets_retry_after(self):
+        busy = ScriptedReplica(rejection(60))
         with running(fixtures.route(), scripts=[busy]) as rig:
             status, fields, body = rig.send()
         assert (status, busy.count) == (503, 1)
         assert 3.0 < float(fields["retry-after"]) <= 60.0
 
-    def test_come_back_soon_where_another_serves(self):
-        busy = Scripted(turning_away(60))
-        other = Scripted(platform_rig.answer())
+    def test_short_retry_after_if_another_replica_serves(self):
+        busy = ScriptedReplica(rejection(60))
+        other = ScriptedReplica(platform_rig.answer())
         route = fixtures.route(max_replicas=1)
         with running(route, scripts=[busy, other]) as rig:
             answers = [rig.send()[:2] for _ in range(2)]
@@ -187,10 +187,10 @@
         assert float(refused[1]["retry-after"]) < 1.0
 
     @pytest.mark.parametrize("value", ["soon", "-3", "nan", "", "1e3"])
-    def test_what_is_no_number_of_seconds_asks_for_nothing(self, value):
-        busy = Scripted(turning_away(value))
+    def test_value_that_is_no_number_of_seconds_is_ignored(self, value):
+        busy = ScriptedReplica(rejection(value))
         with running(fixtures.route(), scripts=[busy]) as rig:
-            ask_until(rig, lambda: busy.count)
+            send_until(rig, lambda: busy.count)
             assert rig.daemon.targets.in_backoff() == []
             busy.data = platform_rig.answer()
             routing_fixtures.wait_until(lambda: rig.send()[0] == 200)
--- a/tests/topazlug_platform/test_store.py
+++ b/tests/topazlug_platform/test_store.py
@@ -1,4 +1,4 @@
-"""The metadata store's protocol, against a small stand-in."""
+"""The metadata store's protocol, tested against a scripted server."""
 
 import base64
 import json
@@ -12,12 +12,12 @@
 from topazlug.fleet import _table_source
 
 
-class StandIn:
-    """Answers calls from a script, and keeps what was asked."""
+class ScriptedStore:
+    """Answers calls from a script and records the requests."""
 
     def __init__(self):
         self.answers = []
-        self.asked = []
+        self.requests = []
         self.server = pywsgi.WSGIServer(("127.0.0.1", 0), self, log=None)
         self.server.start()
         self.store = _store.MetadataStore(
@@ -29,7 +29,7 @@
     def __call__(self, environ, start):
         body = environ["wsgi.input"].read()
         query = environ["QUERY_STRING"]
-        self.asked.append((environ["PATH_INFO"], query, body))
+        self.requests.append((environ["PATH_INFO"], query, body))
         status, document = self.answers.pop(0)
         data = json.dumps(document).encode()
         start(status, [("Content-Length", str(len(data)))])
@@ -37,8 +37,8 @@
 
 
 @pytest.fixture
-def stand_in():
-    made = StandIn()
+def scripted():
+    made = ScriptedStore()
     yield made
     made.server.stop(timeout=0)
 
@@ -48,8 +48,8 @@
 
 
 class TestReading:
-    def test_all_pages(self, stand_in):
-        stand_in.answers = [
+    def test_all_pages(self, scripted):
+        scripted.answers = [
             (
                 "200 OK",
                 {
@@ -60,59 +60,59 @@
             ),
             ("200 OK", {"rows": [row("b", b"2")], "row_version": 6}),
         ]
-        found = stand_in.store.rows("servers")
+        found = scripted.store.rows("servers")
         assert [(one.key, one.data) for one in found.rows] == [
             ("a", b"1"),
             ("b", b"2"),
         ]
-        # What changed between the pages must come with the feed again.
+        # The feed must repeat changes made between the pages.
         assert found.version == 5
-        assert "source=a%00" in stand_in.asked[1][1]
+        assert "source=a%00" in scripted.requests[1][1]
 
-    def test_changes(self, stand_in):
-        dropped = {"key": "a", "deleted": True}
-        stand_in.answers = [("200 OK", {"rows": [dropped], "row_version": 9})]
-        found = stand_in.store.changes("op", after=7, wait=0.5)
+    def test_changes(self, scripted):
+        deleted = {"key": "a", "deleted": True}
+        scripted.answers = [("200 OK", {"rows": [deleted], "row_version": 9})]
+        found = scripted.store.changes("op", after=7, wait=0.5)
         assert found.rows == [_table_source.Row("a", b"", True)]
-        assert stand_in.asked[0][1] == "table=op&after=7&wait_time_ms=500"
+        assert scripted.requests[0][1] == "table=op&after=7&wait_time_ms=500"
 
-    def test_lost_history(self, stand_in):
-        stand_in.answers = [("410 Gone", {})]
+    def test_lost_history(self, scripted):
+        scripted.answers = [("410 Gone", {})]
         with pytest.raises(_table_source.HistoryLost):
-            stand_in.store.changes("op", after=7, wait=0.5)
+            scripted.store.changes("op", after=7, wait=0.5)
 
     @pytest.mark.parametrize("status", ["429 Many", "503 Away", "500 Broken"])
-    def test_refused(self, stand_in, status):
-        stand_in.answers = [(status, {})]
+    def test_error_status(self, scripted, status):
+        scripted.answers = [(status, {})]
         with pytest.raises(_errors.StoreUnavailable):
-            stand_in.store.rows("op")
+            scripted.store.rows("op")
 
-    def test_unreadable_answer(self, stand_in):
-        stand_in.answers = [("200 OK", {"rows": 7})]
+    def test_unreadable_answer(self, scripted):
+        scripted.answers = [("200 OK", {"rows": 7})]
         with pytest.raises(_errors.StoreUnavailable, match="can't be read"):
-            stand_in.store.rows("op")
+            scripted.store.rows("op")
 
 
 class TestWriting:
-    def test_condition(self, stand_in):
-        stand_in.answers = [("412 Precondition Failed", {"rows": []})]
+    def test_condition(self, scripted):
+        scripted.answers = [("412 Precondition Failed", {"rows": []})]
         with pytest.raises(_table_source.RowExists):
-            stand_in.store.write(
+            scripted.store.write(
                 "fleet", [_table_source.Row("k", b"v")], new=["k"]
             )
-        sent = json.loads(stand_in.asked[0][2])
+        sent = json.loads(scripted.requests[0][2])
         assert sent["expected"][0]["row_version"] == 0
         assert base64.b64decode(sent["write"][0]["data"]) == b"v"
 
-    def test_rows_are_written_and_dropped_in_one_call(self, stand_in):
-        stand_in.answers = [("200 OK", {"row_version": 7})]
-        stand_in.store.write(
+    def test_rows_are_written_and_deleted_in_one_call(self, scripted):
+        scripted.answers = [("200 OK", {"row_version": 7})]
+        scripted.store.write(
             "fleet",
             [
                 _table_source.Row("k", b"v"),
                 _table_source.Row("old", deleted=True),
             ],
         )
-        sent = json.loads(stand_in.asked[0][2])
+        sent = json.loads(scripted.requests[0][2])
         assert [row["key"] for row in sent["write"]] == ["k"]
         assert sent["remove"] == [{"table": "fleet", "key": "old", "part": ""}]
