--- a/soak/_replica.py
+++ b/soak/_replica.py
@@ -85,7 +85,7 @@
             return _http.bytes_answer(500, b"broken", fields)
         answer = _http.bytes_answer(200, _expected.body_of(attempt), fields)
         if self._random.random() < _TRUNCATED:
-            return _http.half_of(answer)
+            return _http.truncate(answer)
         return answer
 
     def _turn_away(self, attempt: str) -> _http.Answer:
--- a/soak/_store.py
+++ b/soak/_store.py
@@ -101,7 +101,7 @@
 
     def _answer(self, request: _http.Request) -> _http.Answer:
         if request.path == "/soak/beat":
-            beat = _http.decoded(request)
+            beat = _http.parse_json_body(request)
             self._beat_at[beat["key"]] = time.monotonic()
             self.put("servers", beat["key"], beat["entry"])
             return _http.json_answer(200, {})
@@ -128,7 +128,7 @@
         if request.path == "/v1/rows-feed":
             return self._feed(request)
         if request.path == "/v1/rows-tx":
-            return self._transaction(_http.decoded(request))
+            return self._transaction(_http.parse_json_body(request))
         return _http.json_answer(404, {})
 
     def _rows_answer(self, rows: list[dict[str, Any]]) -> _http.Answer:
--- a/standins/_engine.py
+++ b/standins/_engine.py
@@ -214,7 +214,7 @@
         return (LEAVING,) if self._leaving else ()
 
     def _chat_answer(self, request: _http.Request) -> _http.Answer:
-        body = _http.decoded(request)
+        body = _http.parse_json_body(request)
         generation = _chat_wire.parse_generation(request, body)
         rejection = self._rejection(request)
         if rejection is not None:
@@ -247,7 +247,7 @@
         value = _chat_wire.completion(generation)
         answer = _http.json_answer(200, value, self._headers(generation))
         if _http.consume_fault(self.faults, "truncate_count"):
-            return _http.half_of(answer)
+            return _http.truncate(answer)
         return answer
 
     def _wait_before_head(self) -> None:
--- a/standins/_http.py
+++ b/standins/_http.py
@@ -149,7 +149,7 @@
     return json_answer(status, {"error": error}, headers)
 
 
-def half_of(answer: Answer) -> Answer:
+def truncate(answer: Answer) -> Answer:
     """Return `answer` with its connection cut after half of the body."""
     whole = b"".join(answer.body)
 
@@ -174,7 +174,7 @@
     raise ConnectionCut()
 
 
-def decoded(request: Request) -> Any:
+def parse_json_body(request: Request) -> Any:
     """Return the JSON body.
 
     Raises
@@ -214,7 +214,7 @@
     BadRequest
         If a fault is unknown or its value has the wrong type.
     """
-    changes = decoded(request)
+    changes = parse_json_body(request)
     known = msgspec.structs.asdict(faults)
     unknown = sorted(set(changes) - set(known))
     if unknown:
--- a/standins/_platform.py
+++ b/standins/_platform.py
@@ -243,7 +243,7 @@
             visible = self._instances.visible()
             return _http.json_answer(200, {"instances": visible})
         deleted = request.method == "DELETE"
-        instance = None if deleted else _http.decoded(request)
+        instance = None if deleted else _http.parse_json_body(request)
         self._instances.update(instance_id, instance)
         return _http.bytes_answer(204, b"")
 
--- a/standins/_service.py
+++ b/standins/_service.py
@@ -143,7 +143,7 @@
         headers = (("X-Request-Id", shown_id), *self._state_headers())
         answer = _http.json_answer(200, value, headers)
         if _http.consume_fault(self.faults, "truncate_count"):
-            return _http.half_of(answer)
+            return _http.truncate(answer)
         return answer
 
 
