--- a/standins/_relay.py
+++ b/standins/_relay.py
@@ -105,8 +105,8 @@
             return
         self._open_sockets.add(target)
         self.counters.connections += 1
-        for end in (client, target):
-            end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        for sock in (client, target):
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         forwarders = [
             gevent.spawn(self._forward, client, target),
             gevent.spawn(self._forward, target, client),
@@ -153,21 +153,21 @@
                 return
 
     def _close_all(self) -> None:
-        for end in list(self._open_sockets):
-            _shut_down(end)
+        for sock in list(self._open_sockets):
+            _shut_down(sock)
 
 
-def _shut_down(end: Any) -> None:
+def _shut_down(sock: Any) -> None:
     try:
-        end.shutdown(socket.SHUT_RDWR)
+        sock.shutdown(socket.SHUT_RDWR)
     except OSError:
         pass
 
 
-def _reset(end: Any) -> None:
+def _reset(sock: Any) -> None:
     linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"
-    end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
-    end.close()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+    sock.close()
 
 
 @click.command()
--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -61,10 +61,12 @@
 
     def raw(self, path: str, body: Any, request_id: str) -> bytes:
         """Return all bytes received until the connection is closed."""
-        with self.opened(path, body, request_id) as sock:
+        with self.open_post(path, body, request_id) as sock:
             return b"".join(iter(lambda: sock.recv(65536), b""))
 
-    def opened(self, path: str, body: Any, request_id: str) -> socket.socket:
+    def open_post(
+        self, path: str, body: Any, request_id: str
+    ) -> socket.socket:
         """Return a connection on which a POST request was sent."""
         data = json.dumps(body).encode()
         head = (
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -61,11 +61,11 @@
 
     def test_lower_priority_number_is_served_first(self, engine, eventually):
         engine.call("/faults", {"stalled": True})
-        open_sockets = [engine.opened(PATH, chat_body(), "first")]
+        open_sockets = [engine.open_post(PATH, chat_body(), "first")]
         eventually(lambda: events(engine, "first") == ["start"])
         for priority in ("9", "0"):
             open_sockets.append(
-                engine.opened(
+                engine.open_post(
                     PATH, chat_body(), f"p{priority}\r\nX-Priority: {priority}"
                 )
             )
@@ -98,19 +98,19 @@
 
     def test_cancel_frees_the_slot(self, engine, eventually):
         body = chat_body(stream=True, max_tokens=100_000)
-        with engine.opened(PATH, body, "r"):
+        with engine.open_post(PATH, body, "r"):
             eventually(lambda: events(engine, "r") == ["start"])
             assert engine.call("/v1/streams/r/cancel", {})[0] == 204
             assert engine.json("/load")["running"] == 0
 
     def test_stream_without_followers_is_cancelled(self, engine, eventually):
         body = chat_body(stream=True, max_tokens=100_000)
-        engine.opened(PATH, body, "r").close()
+        engine.open_post(PATH, body, "r").close()
         eventually(lambda: events(engine, "r") == ["start", "cancel"])
 
     def test_disconnect_cancels_a_waiting_request(self, engine, eventually):
         engine.call("/faults", {"stalled": True})
-        engine.opened(PATH, chat_body(), "r").close()
+        engine.open_post(PATH, chat_body(), "r").close()
         eventually(lambda: events(engine, "r") == ["start", "cancel"])
 
     def test_run_with_a_repeated_id_is_cancelled(self, engine, eventually):
@@ -121,7 +121,7 @@
         """
         engine.call("/faults", {"stalled": True})
         for _ in range(2):
-            engine.opened(PATH, chat_body(stream=True), "r").close()
+            engine.open_post(PATH, chat_body(stream=True), "r").close()
         expected = ["cancel", "cancel", "start", "start"]
         eventually(lambda: sorted(events(engine, "r")) == expected)
 
@@ -137,13 +137,13 @@
             *("engine", "--id", "e", "--pool", "p", "--load-lag", "50")
         )
         engine.call("/faults", {"stalled": True})
-        with engine.opened(PATH, chat_body(), "r"):
+        with engine.open_post(PATH, chat_body(), "r"):
             eventually(lambda: events(engine, "r") == ["start"])
             assert engine.json("/load")["running"] == 0
 
     def test_frozen_engine_continues_when_unfrozen(self, engine):
         engine.call("/faults", {"freeze": True})
-        with engine.opened(PATH, chat_body(), "r") as sock:
+        with engine.open_post(PATH, chat_body(), "r") as sock:
             sock.settimeout(0.3)
             with pytest.raises(TimeoutError):
                 sock.recv(1)
--- a/tests/standins/test_service.py
+++ b/tests/standins/test_service.py
@@ -48,7 +48,7 @@
         closing it.
         """
         service.call("/faults", {"freeze": True})
-        with relay.opened("/any", {}, "r") as sock:
+        with relay.open_post("/any", {}, "r") as sock:
             eventually(lambda: counters(relay)["chunks"] > 0)
             relay.call("/faults", {"cut": True}, port=relay.ports[1])
             assert sock.recv(1) == b""
@@ -56,13 +56,13 @@
     def test_cut_resets_later_connections(self, relay, service):
         relay.call("/faults", {"cut": True}, port=relay.ports[1])
         with pytest.raises(ConnectionError):
-            with relay.opened("/any", {}, "r") as sock:
+            with relay.open_post("/any", {}, "r") as sock:
                 sock.recv(1)
         assert counters(relay)["connections"] == 0
 
     def test_blackhole_forwards_nothing(self, relay, service):
         relay.call("/faults", {"blackhole": True}, port=relay.ports[1])
-        with relay.opened("/any", {}, "r") as sock:
+        with relay.open_post("/any", {}, "r") as sock:
             sock.settimeout(0.3)
             with pytest.raises(TimeoutError):
                 sock.recv(1)
--- a/tests/topazlug_platform/crash_fleet.py
+++ b/tests/topazlug_platform/crash_fleet.py
@@ -106,7 +106,7 @@
         """Set the state of its list entry to leaving."""
         self.target = msgspec.structs.replace(self.target, leaving=True)
 
-    def cut_off(self):
+    def close_connections(self):
         """Close all connections and continue to serve."""
         for sock in list(self._sockets):
             sock.close()
@@ -128,7 +128,7 @@
         self._numbers = itertools.count(1)
         self._attempts = itertools.count(1)
         self.replicas = [self._new_replica() for _ in range(replicas)]
-        self.views = [StoreView(self.store) for _ in range(daemons)]
+        self.store_views = [StoreView(self.store) for _ in range(daemons)]
         self._peers = [processes.free_port() for _ in range(daemons)]
         self.daemons = [self._new_daemon(n) for n in range(daemons)]
         self.list_replicas()
@@ -147,7 +147,7 @@
             ),
             caller_wire=headers.ClientHeaders(),
             replica_wire=headers.ReplicaHeaders(),
-            new_store=lambda: self.views[number],
+            new_store=lambda: self.store_views[number],
             clock=_clock.SystemClock(),
         )
         daemon.start()
@@ -181,10 +181,10 @@
 
     def cut_from_store(self, *numbers):
         """Cut these daemons off from the store, and reconnect the others."""
-        for number, view in enumerate(self.views):
+        for number, view in enumerate(self.store_views):
             view.is_cut = number in numbers
 
-    def ask(self, number, body, path="/a/x", attempt=""):
+    def send(self, number, body, path="/a/x", attempt=""):
         """Send a request to a daemon; return status and fields."""
         attempt = attempt or f"a{next(self._attempts)}"
         sent = platform_rig.request(body=body, path=path).replace(
@@ -202,7 +202,9 @@
                     return 0, {}
         return status, fields
 
-    def ask_in_turn(self, times, body=CRASHING, *, wait_known=True, **options):
+    def send_in_turn(
+        self, times, body=CRASHING, *, wait_known=True, **options
+    ):
         """Send a request to one daemon after the other; return statuses.
 
         Parameters
@@ -213,7 +215,7 @@
         """
         found = []
         for number in range(times):
-            found.append(self.ask(number, body, **options)[0])
+            found.append(self.send(number, body, **options)[0])
             if wait_known:
                 wait_until(self._are_crashes_known)
             self.replace_crashed()
