--- a/standins/_generation.py
+++ b/standins/_generation.py
@@ -150,7 +150,7 @@
         return len(self._waiting)
 
     def submit(self, generation: Generation) -> None:
-        """Run `generation` when a slot is free; lowest number first."""
+        """Queue `generation` for a slot, ordered by priority and arrival."""
         self._arrivals += 1
         generation.order = (generation.priority, self._arrivals)
         bisect.insort(self._waiting, generation, key=_sort_key)
