--- a/tests/topazlug_platform/test_forwarding.py
+++ b/tests/topazlug_platform/test_forwarding.py
@@ -126,11 +126,11 @@
         """
         script = answering(platform_rig.answer())
         with running() as rig:
-            asked = gevent.spawn(rig.send)
+            pending = gevent.spawn(rig.send)
             gevent.sleep(0.02)
             rig.list(script)
             rig.daemon.take_table(fixtures.table(fixtures.route()))
-            assert asked.get(timeout=10)[0] == 200
+            assert pending.get(timeout=10)[0] == 200
 
 
 class TestRejections:
@@ -268,11 +268,11 @@
         The replica closes the connection within its third event; another
         replica is asked to resume after the second.
         """
-        asked = []
+        attempts = []
 
         def script(sock):
-            asked.append(sock)
-            if len(asked) == 1:
+            attempts.append(sock)
+            if len(attempts) == 1:
                 part = platform_rig.event(1) + platform_rig.event(2)
                 torn = platform_rig.event(3)[:9]
                 sock.sendall(
@@ -291,8 +291,8 @@
         route = fixtures.route(kind=STREAM, resumable=True)
         with running(route, scripts=[script] * 2) as rig:
             _, _, body = rig.send()
-            again = rig.requests[1].decode()
-        assert "\r\nLast-Event-Id: 2\r\n" in again
+            second_request = rig.requests[1].decode()
+        assert "\r\nLast-Event-Id: 2\r\n" in second_request
         events = [platform_rig.event(n) for n in range(1, 5)]
         text = b"".join(
             line for line in body.split(b"\r\n") if b"data" in line
