--- a/soak/_guarantees.py
+++ b/soak/_guarantees.py
@@ -147,8 +147,8 @@
             for moment, _ in world.store.changes
         ):
             yield (
-                f"DRAIN {attempt}: ran at {replica}, {at - since:.1f} s after "
-                f"its draining began"
+                f"DRAIN {attempt}: ran {at - since:.1f} s after draining "
+                f"began at {replica}"
             )
 
 
@@ -227,8 +227,8 @@
                 for moment, _ in world.store.changes
             ):
                 yield (
-                    f"EVAC {attempt}: ran at {replica}, {at - began:.1f} s "
-                    f"after the evacuation of its zone began"
+                    f"EVAC {attempt}: ran {at - began:.1f} s after the "
+                    f"evacuation began, at {replica}"
                 )
 
 
--- a/soak/_world.py
+++ b/soak/_world.py
@@ -255,7 +255,7 @@
         self._evacuated.discard(zone)
 
     def cold_overloads(self) -> list[str]:
-        """Return the records of replicas that crashed of overload when cold."""
+        """Return the records of cold replicas that crashed of overload."""
         path = self.folder / "runs.txt.cold"
         return path.read_text().splitlines() if path.exists() else []
 
