--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -16,8 +16,8 @@
 
 
 @pytest.fixture(scope="module")
-def nine() -> Iterator[_fleet.Fleet]:
+def large_fleet() -> Iterator[_fleet.Fleet]:
     """Give a fleet of nine daemons, where the list lags for long."""
-    described = fleet_fixtures.deployment(daemons=9, engines=6)
-    with _fleet.Fleet(described) as started:
+    deployment = fleet_fixtures.deployment(daemons=9, engines=6)
+    with _fleet.Fleet(deployment) as started:
         yield started
--- a/tests/fleet/fleet_fixtures.py
+++ b/tests/fleet/fleet_fixtures.py
@@ -75,15 +75,15 @@
     return f"key-{next(_numbers)}"
 
 
-def question() -> str:
+def new_question() -> str:
     """Give a question that no other test asks."""
     return f"question {next(_numbers)}"
 
 
 def chat(daemon: _fleet.DaemonProcess, **options: Any) -> fleet_calls.Answer:
     """Ask a question of its own."""
-    asked = {"key": KEY, "model": MODEL, "question": question()}
-    return fleet_calls.chat(daemon.url, **(asked | options))
+    request = {"key": KEY, "model": MODEL, "question": new_question()}
+    return fleet_calls.chat(daemon.url, **(request | options))
 
 
 def order(
@@ -99,7 +99,7 @@
     )
 
 
-def runs(fleet: _fleet.Fleet, idempotency_key: str) -> int:
+def run_count(fleet: _fleet.Fleet, idempotency_key: str) -> int:
     """Tell how often a key's request ran, on all services together."""
     return sum(
         run["idempotency_key"] == idempotency_key
@@ -119,7 +119,7 @@
     ]
 
 
-def at_once(
+def run_concurrently(
     calls: list[Callable[[], fleet_calls.Answer]],
 ) -> list[fleet_calls.Answer]:
     """Make calls at the same time."""
@@ -127,7 +127,7 @@
         return list(executor.map(lambda call: call(), calls))
 
 
-def place_order(
+def submit_order(
     executor: futures.Executor, *arguments: Any, **options: Any
 ) -> "futures.Future[fleet_calls.Answer]":
     """Send a request that may run only once, and don't wait for it."""
@@ -137,16 +137,16 @@
 @contextlib.contextmanager
 def faults(url: str, **switches: Any) -> Iterator[None]:
     """Switch faults of a stand-in on, and off again."""
-    calm: dict[type, Any] = {bool: False, int: 0, float: 0.0}
+    defaults: dict[type, Any] = {bool: False, int: 0, float: 0.0}
     fleet_calls.fault(url, **switches)
     try:
         yield
     finally:
-        off = {name: calm[type(value)] for name, value in switches.items()}
+        off = {name: defaults[type(value)] for name, value in switches.items()}
         fleet_calls.fault(url, **off)
 
 
-def is_empty(daemon: _fleet.DaemonProcess) -> bool:
+def is_idle(daemon: _fleet.DaemonProcess) -> bool:
     """Tell whether no place is counted on any replica, and all are owned."""
     found = fleet_calls.replicas(daemon).values()
     return all(replica["load"] == 0 for replica in found)
@@ -174,7 +174,7 @@
     return 0
 
 
-def unaccepted(daemon: _fleet.DaemonProcess) -> int:
+def unaccepted_connections(daemon: _fleet.DaemonProcess) -> int:
     """Count the callers' connections with a request that nobody accepted.
 
     The kernel shows them as established, with bytes to read, and without
--- a/tests/fleet/fleet_load.py
+++ b/tests/fleet/fleet_load.py
@@ -30,12 +30,12 @@
         self._fleet = fleet
         self._callers = callers
         self._tokens = tokens
-        self._stopped = threading.Event()
+        self._stop_requested = threading.Event()
         self._executor = futures.ThreadPoolExecutor(callers)
 
     def __enter__(self) -> "Load":
         for number in range(self._callers):
-            self._executor.submit(self._ask_on, number)
+            self._executor.submit(self._send_chats, number)
         return self
 
     def __exit__(self, *error: object) -> None:
@@ -43,7 +43,7 @@
 
     def stop(self) -> None:
         """Ask no more, and wait for the answers."""
-        self._stopped.set()
+        self._stop_requested.set()
         self._executor.shutdown()
 
     def failures(self) -> list[str]:
@@ -52,24 +52,24 @@
         A connection refused before any byte was sent is none: the caller's
         library goes to the next address.
         """
-        good = (fleet_calls.Ending.WHOLE, fleet_calls.Ending.REFUSED)
+        accepted = (fleet_calls.Ending.WHOLE, fleet_calls.Ending.REFUSED)
         return [
             f"{answer.ending.value} {answer.status} {answer.body[-200:]!r}"
             for answer in self.answers
-            if answer.ending not in good
+            if answer.ending not in accepted
         ]
 
     def wait_for_more(self, count: int) -> None:
         """Wait until so many more answers have come."""
-        wanted = len(self.answers) + count
-        fleet_fixtures.eventually(lambda: len(self.answers) >= wanted)
+        expected = len(self.answers) + count
+        fleet_fixtures.eventually(lambda: len(self.answers) >= expected)
 
-    def _ask_on(self, number: int) -> None:
-        while not self._stopped.is_set():
+    def _send_chats(self, number: int) -> None:
+        while not self._stop_requested.is_set():
             daemons = self._fleet.daemons
             daemon = daemons[number % len(daemons)]
             number += 1
             answer = fleet_fixtures.chat(daemon, tokens=self._tokens)
             self.answers.append(answer)
             if answer.ending is fleet_calls.Ending.REFUSED:
-                self._stopped.wait(0.01)
+                self._stop_requested.wait(0.01)
--- a/tests/fleet/test_at_most_once.py
+++ b/tests/fleet/test_at_most_once.py
@@ -24,8 +24,8 @@
     return fleet_fixtures.new_key()
 
 
-class TestRace:
-    def test_same_key_at_once_to_all_daemons(
+class TestConcurrentRequests:
+    def test_same_key_on_all_daemons(
         self, fleet: _fleet.Fleet, key: str
     ) -> None:
         """Symptom: two confirmations for one registration.
@@ -37,14 +37,14 @@
             lambda daemon=daemon: fleet_fixtures.order(daemon, key)
             for daemon in fleet.daemons * 4
         ]
-        answers = fleet_fixtures.at_once(calls)
-        assert fleet_fixtures.runs(fleet, key) == 1
+        answers = fleet_fixtures.run_concurrently(calls)
+        assert fleet_fixtures.run_count(fleet, key) == 1
         assert {answer.status for answer in answers} <= {200, 409}
         assert all(answer.outcome != "not-run" for answer in answers)
         whole = {a.body for a in answers if a.status == 200}
         assert len(whole) == 1
 
-    def test_a_repeat_gets_the_same_answer_from_each_daemon(
+    def test_repeat_gets_the_same_response_from_each_daemon(
         self, fleet: _fleet.Fleet, key: str
     ) -> None:
         first = fleet_fixtures.order(fleet.daemons[0], key)
@@ -55,7 +55,7 @@
             )
         )
         assert first.status == 200
-        assert fleet_fixtures.runs(fleet, key) == 1
+        assert fleet_fixtures.run_count(fleet, key) == 1
 
     def test_another_body_under_the_same_key(
         self, fleet: _fleet.Fleet, key: str
@@ -63,10 +63,10 @@
         fleet_fixtures.order(fleet.daemons[0], key)
         answer = fleet_fixtures.order(fleet.daemons[1], key, body=b'{"a": 1}')
         assert (answer.status, answer.code) == (422, "idempotency_key_reused")
-        assert fleet_fixtures.runs(fleet, key) == 1
+        assert fleet_fixtures.run_count(fleet, key) == 1
 
 
-class TestStore:
+class TestTableService:
     def test_down(self, fleet: _fleet.Fleet, key: str) -> None:
         """Symptom: a charge runs twice after an outage.
 
@@ -79,14 +79,14 @@
         assert {answer.status for answer in answers} == {503}
         assert {answer.outcome for answer in answers} == {"not-run"}
         assert all(answer.headers["retry-after"] for answer in answers)
-        assert fleet_fixtures.runs(fleet, key) == 0
+        assert fleet_fixtures.run_count(fleet, key) == 0
         assert fleet_fixtures.order(fleet.daemons[0], key).status == 200
 
     def test_slow(self, fleet: _fleet.Fleet, key: str) -> None:
         with fleet_fixtures.faults(fleet.platform_url, delay=0.4):
             answer = fleet_fixtures.order(fleet.daemons[0], key)
         assert answer.status == 200
-        assert fleet_fixtures.runs(fleet, key) == 1
+        assert fleet_fixtures.run_count(fleet, key) == 1
 
     def test_slower_than_the_deadline(
         self, fleet: _fleet.Fleet, key: str
@@ -102,11 +102,11 @@
         fleet_fixtures.eventually(
             lambda: fleet_fixtures.claim_states(fleet, key) == ["released"]
         )
-        assert fleet_fixtures.runs(fleet, key) == 0
+        assert fleet_fixtures.run_count(fleet, key) == 0
         assert fleet_fixtures.order(fleet.daemons[1], key).status == 200
-        assert fleet_fixtures.runs(fleet, key) == 1
+        assert fleet_fixtures.run_count(fleet, key) == 1
 
-    def test_answer_lost_after_the_claim_took_effect(
+    def test_response_lost_after_the_claim_was_written(
         self, fleet: _fleet.Fleet, key: str
     ) -> None:
         """Symptom: a key is unusable, or its request runs twice.
@@ -114,49 +114,53 @@
         Sequence: the claim is written and the answer is lost. Cause: the
         daemon takes its own claim for another's, or for none.
         """
-        lost = {"lose_answers": 1, "lose_answers_table": "claims"}
-        fleet_calls.fault(fleet.platform_url, **lost)
+        lost_responses = {"lose_answers": 1, "lose_answers_table": "claims"}
+        fleet_calls.fault(fleet.platform_url, **lost_responses)
         answer = fleet_fixtures.order(fleet.daemons[0], key)
         fleet_calls.fault(
             fleet.platform_url, lose_answers=0, lose_answers_table=None
         )
-        ran = fleet_fixtures.runs(fleet, key)
+        ran = fleet_fixtures.run_count(fleet, key)
         assert (answer.status, ran) in ((200, 1), (503, 0))
         fleet_fixtures.eventually(
             lambda: fleet_fixtures.order(fleet.daemons[1], key).status == 200
         )
-        assert fleet_fixtures.runs(fleet, key) == 1
+        assert fleet_fixtures.run_count(fleet, key) == 1
 
 
 @pytest.fixture
-def spoiled() -> Iterator[_fleet.Fleet]:
+def own_fleet() -> Iterator[_fleet.Fleet]:
     """Give a fleet of its own to a test that ends daemons.
 
     Its service runs one request at a time: the next waits with its claim
     in hand, which holds it between the claim and the first byte.
     """
-    described = fleet_fixtures.deployment(
+    deployment = fleet_fixtures.deployment(
         daemons=3, engines=0, services=1, service_slots=1
     )
-    with _fleet.Fleet(described) as started:
+    with _fleet.Fleet(deployment) as started:
         yield started
 
 
 @pytest.fixture
-def busy(
-    spoiled: _fleet.Fleet, executor: futures.Executor
+def running_order(
+    own_fleet: _fleet.Fleet, executor: futures.Executor
 ) -> "futures.Future[fleet_calls.Answer]":
     """Take up the only slot of the service for a while."""
-    fleet_calls.fault(spoiled.services[0].url, late=1.5, late_count=1)
-    other = fleet_fixtures.new_key()
-    first = fleet_fixtures.place_order(executor, spoiled.daemons[1], other)
-    fleet_fixtures.eventually(lambda: fleet_fixtures.runs(spoiled, other) == 1)
+    fleet_calls.fault(own_fleet.services[0].url, late=1.5, late_count=1)
+    other_key = fleet_fixtures.new_key()
+    first = fleet_fixtures.submit_order(
+        executor, own_fleet.daemons[1], other_key
+    )
+    fleet_fixtures.eventually(
+        lambda: fleet_fixtures.run_count(own_fleet, other_key) == 1
+    )
     return first
 
 
 class TestClaimantKilled:
     def test_before_the_claim_is_written(
-        self, spoiled: _fleet.Fleet, key: str, executor: futures.Executor
+        self, own_fleet: _fleet.Fleet, key: str, executor: futures.Executor
     ) -> None:
         """Symptom: a registration is lost, or made twice.
 
@@ -164,26 +168,28 @@
         waits; the caller repeats elsewhere. Cause: the claim of the dead
         daemon lands, or not, after the repeat.
         """
-        fleet_calls.fault(spoiled.platform_url, delay=1.5)
-        first = fleet_fixtures.place_order(executor, spoiled.daemons[0], key)
-        daemon = spoiled.daemons[0]
+        fleet_calls.fault(own_fleet.platform_url, delay=1.5)
+        first = fleet_fixtures.submit_order(
+            executor, own_fleet.daemons[0], key
+        )
+        daemon = own_fleet.daemons[0]
         fleet_fixtures.eventually(
             lambda: fleet_fixtures.in_flight(daemon) == 1
         )
         daemon.process.kill()
         assert first.result().ending is fleet_calls.Ending.BROKEN
-        fleet_calls.fault(spoiled.platform_url, delay=0.0)
-        answer = fleet_fixtures.order(spoiled.daemons[1], key)
-        ran = fleet_fixtures.runs(spoiled, key)
+        fleet_calls.fault(own_fleet.platform_url, delay=0.0)
+        answer = fleet_fixtures.order(own_fleet.daemons[1], key)
+        ran = fleet_fixtures.run_count(own_fleet, key)
         assert (answer.status, ran) in ((200, 1), (409, 0))
         assert answer.outcome != "not-run"
 
     def test_between_the_claim_and_the_first_byte(
         self,
-        spoiled: _fleet.Fleet,
+        own_fleet: _fleet.Fleet,
         key: str,
         executor: futures.Executor,
-        busy: "futures.Future[fleet_calls.Answer]",
+        running_order: "futures.Future[fleet_calls.Answer]",
     ) -> None:
         """Symptom: a caller is told not-run of what another daemon may send.
 
@@ -191,19 +197,21 @@
         caller repeats elsewhere. Cause: a claim without an answer is taken
         for one that was not sent.
         """
-        first = fleet_fixtures.place_order(executor, spoiled.daemons[0], key)
+        first = fleet_fixtures.submit_order(
+            executor, own_fleet.daemons[0], key
+        )
         fleet_fixtures.eventually(
-            lambda: fleet_fixtures.claim_states(spoiled, key) == ["claimed"]
+            lambda: fleet_fixtures.claim_states(own_fleet, key) == ["claimed"]
         )
-        spoiled.daemons[0].process.kill()
+        own_fleet.daemons[0].process.kill()
         assert first.result().ending is fleet_calls.Ending.BROKEN
-        assert busy.result().status == 200
-        answer = fleet_fixtures.order(spoiled.daemons[1], key)
+        assert running_order.result().status == 200
+        answer = fleet_fixtures.order(own_fleet.daemons[1], key)
         assert (answer.status, answer.outcome) == (409, "unknown")
-        assert fleet_fixtures.runs(spoiled, key) == 0
+        assert fleet_fixtures.run_count(own_fleet, key) == 0
 
     def test_while_the_service_runs_it(
-        self, spoiled: _fleet.Fleet, key: str, executor: futures.Executor
+        self, own_fleet: _fleet.Fleet, key: str, executor: futures.Executor
     ) -> None:
         """Symptom: a pick slip is printed twice.
 
@@ -211,17 +219,19 @@
         answer; the caller repeats elsewhere. Cause: the dead daemon's
         claim is taken over.
         """
-        fleet_calls.fault(spoiled.services[0].url, late=30.0, late_count=1)
-        first = fleet_fixtures.place_order(executor, spoiled.daemons[0], key)
+        fleet_calls.fault(own_fleet.services[0].url, late=30.0, late_count=1)
+        first = fleet_fixtures.submit_order(
+            executor, own_fleet.daemons[0], key
+        )
         fleet_fixtures.eventually(
-            lambda: fleet_fixtures.runs(spoiled, key) == 1
+            lambda: fleet_fixtures.run_count(own_fleet, key) == 1
         )
-        spoiled.daemons[0].process.kill()
+        own_fleet.daemons[0].process.kill()
         assert first.result().ending is fleet_calls.Ending.BROKEN
-        for daemon in spoiled.daemons[1:]:
+        for daemon in own_fleet.daemons[1:]:
             answer = fleet_fixtures.order(daemon, key)
             assert (answer.status, answer.outcome) == (409, "unknown")
-        assert fleet_fixtures.runs(spoiled, key) == 1
+        assert fleet_fixtures.run_count(own_fleet, key) == 1
 
 
 class TestClaimantFrozen:
@@ -236,7 +246,7 @@
         """
         daemon = fleet.daemons[2]
         with fleet_fixtures.faults(fleet.platform_url, delay=0.8):
-            first = fleet_fixtures.place_order(
+            first = fleet_fixtures.submit_order(
                 executor, daemon, key, deadline=1.5
             )
             fleet_fixtures.eventually(
@@ -248,19 +258,19 @@
             daemon.process.thaw()
             answer = first.result()
         assert (answer.status, answer.outcome) == (504, "not-run")
-        assert fleet_fixtures.runs(fleet, key) == 0
+        assert fleet_fixtures.run_count(fleet, key) == 0
         fleet_fixtures.eventually(
             lambda: fleet_fixtures.order(fleet.daemons[0], key).status == 200
         )
-        assert fleet_fixtures.runs(fleet, key) == 1
+        assert fleet_fixtures.run_count(fleet, key) == 1
 
     @pytest.mark.parametrize("owns_the_service", [False, True])
-    def test_with_its_claim_in_hand(
+    def test_while_it_holds_a_claim(
         self,
-        spoiled: _fleet.Fleet,
+        own_fleet: _fleet.Fleet,
         key: str,
         executor: futures.Executor,
-        busy: "futures.Future[fleet_calls.Answer]",
+        running_order: "futures.Future[fleet_calls.Answer]",
         owns_the_service: bool,
     ) -> None:
         """Symptom: a charge runs minutes after its caller gave up.
@@ -269,25 +279,27 @@
         past the deadline; the slot is granted; it thaws. Cause: the grant
         is taken as leave to send.
         """
-        entry = fleet_calls.replicas(spoiled.daemons[0])["letters-0"]
+        entry = fleet_calls.replicas(own_fleet.daemons[0])["letters-0"]
         daemon = next(
             daemon
-            for daemon in spoiled.daemons
+            for daemon in own_fleet.daemons
             if (daemon.name == entry["owner"]) is owns_the_service
         )
-        first = fleet_fixtures.place_order(executor, daemon, key, deadline=2.0)
+        first = fleet_fixtures.submit_order(
+            executor, daemon, key, deadline=2.0
+        )
         fleet_fixtures.eventually(
-            lambda: fleet_fixtures.claim_states(spoiled, key) == ["claimed"]
+            lambda: fleet_fixtures.claim_states(own_fleet, key) == ["claimed"]
         )
         daemon.process.freeze()
         frozen_until = time.monotonic() + 2.4
         fleet_fixtures.eventually(lambda: time.monotonic() > frozen_until)
         daemon.process.thaw()
         answer = first.result()
-        assert busy.result().status == 200
+        assert running_order.result().status == 200
         assert answer.outcome == "not-run"
         assert answer.status in (503, 504)
         fleet_fixtures.eventually(
-            lambda: fleet_fixtures.claim_states(spoiled, key) == ["released"]
+            lambda: fleet_fixtures.claim_states(own_fleet, key) == ["released"]
         )
-        assert fleet_fixtures.runs(spoiled, key) == 0
+        assert fleet_fixtures.run_count(own_fleet, key) == 0
--- a/tests/fleet/test_crashing_chats.py
+++ b/tests/fleet/test_crashing_chats.py
@@ -73,7 +73,7 @@
             "request_blocked"
         ] * 3
 
-    def test_daemon_that_starts_later_knows_it(
+    def test_daemon_that_starts_later_blocks_it(
         self, fleet: _fleet.Fleet
     ) -> None:
         """What daemons have learnt must outlast them."""
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -19,16 +19,16 @@
 _SEED = 61
 _DAEMONS = 3
 _REPLICAS = 4
-_ASKED = 10
+_REQUESTS = 10
 # Three ends show what the request does. Three more may come before every
 # daemon has heard of them.
-_MOST_ENDED = 6
+_MAX_CRASHED = 6
 
 
 @pytest.fixture
 def world(tmp_path: pathlib.Path) -> Iterator[_world.World]:
     """Give daemons, and replicas that they connect to without a link."""
-    made = _world.World(
+    created = _world.World(
         folder=tmp_path,
         daemons=_DAEMONS,
         replicas=_REPLICAS,
@@ -36,12 +36,12 @@
         direct=True,
     )
     try:
-        yield made
+        yield created
     finally:
-        made.stop()
+        created.stop()
 
 
-def ask(daemon: _world.Daemon, path: str, body: bytes) -> int:
+def send_request(daemon: _world.Daemon, path: str, body: bytes) -> int:
     """Send a request; give the answer's status, 0 if there is no whole one."""
     connection = http_client.HTTPConnection(
         daemon.host, daemon.port, timeout=10.0
@@ -68,27 +68,29 @@
 
     def is_served() -> bool:
         world.replace_ended()
-        return ask(daemon, f"{_expected.READ}x", b"{}") == 200
+        return send_request(daemon, f"{_expected.READ}x", b"{}") == 200
 
     fleet_fixtures.eventually(is_served)
 
 
-def ask_all_in_turn(world: _world.World, path: str, times: int) -> None:
+def send_to_daemons_in_turn(
+    world: _world.World, path: str, times: int
+) -> None:
     """Send a request that ends replicas to one daemon after the other."""
     for number in range(times):
         daemon = world.daemons[number % _DAEMONS]
         wait_until_served(world, daemon)
-        assert ask(daemon, path, _expected.CRASHING) != 200
+        assert send_request(daemon, path, _expected.CRASHING) != 200
 
 
-def ended(world: _world.World, path: str) -> int:
+def crashed_replicas(world: _world.World, path: str) -> int:
     """Count the replicas that began to run the requests of a path."""
     lines = (world.folder / "runs.txt").read_text().splitlines()
     return len({line.split()[1] for line in lines if line.endswith(path)})
 
 
-class TestRequestThatEndsReplicas:
-    def test_few_replicas_get_it_whichever_daemon_it_comes_to(
+class TestCrashingRequest:
+    def test_few_replicas_crash_with_several_daemons(
         self, world: _world.World
     ) -> None:
         """Ten replicas ended in eleven seconds, and two more series followed.
@@ -99,10 +101,10 @@
         seven of nine daemons, and each daemon took it for a new request.
         """
         path = f"{_expected.STREAM}plan"
-        ask_all_in_turn(world, path, _ASKED)
-        assert ended(world, path) <= _MOST_ENDED
+        send_to_daemons_in_turn(world, path, _REQUESTS)
+        assert crashed_replicas(world, path) <= _MAX_CRASHED
 
-    def test_few_replicas_get_it_where_it_may_be_repeated(
+    def test_few_replicas_crash_when_it_is_retried(
         self, world: _world.World
     ) -> None:
         """One attempt of a caller ended three replicas.
@@ -112,10 +114,10 @@
         replica of soak is tried".
         """
         path = f"{_expected.READ}plan"
-        ask_all_in_turn(world, path, _ASKED)
-        assert ended(world, path) <= _MOST_ENDED
+        send_to_daemons_in_turn(world, path, _REQUESTS)
+        assert crashed_replicas(world, path) <= _MAX_CRASHED
 
-    def test_few_replicas_get_it_though_all_daemons_start_again(
+    def test_few_replicas_crash_after_all_daemons_restart(
         self, world: _world.World
     ) -> None:
         """What a daemon learns of a request ends with its process.
@@ -124,42 +126,44 @@
         that was known to end replicas would then end as many again.
         """
         path = f"{_expected.ONCE}plan"
-        ask_all_in_turn(world, path, _ASKED // 2)
+        send_to_daemons_in_turn(world, path, _REQUESTS // 2)
         for daemon in world.daemons:
             daemon.process.kill()
         for daemon in world.daemons:
             daemon.start()
-        ask_all_in_turn(world, path, _ASKED // 2)
-        assert ended(world, path) <= _MOST_ENDED
+        send_to_daemons_in_turn(world, path, _REQUESTS // 2)
+        assert crashed_replicas(world, path) <= _MAX_CRASHED
 
-    def test_operator_sees_it_and_lets_it_run_again(
-        self, world: _world.World
-    ) -> None:
+    def test_operator_lists_and_releases_it(self, world: _world.World) -> None:
         path = f"{_expected.ONCE}plan"
-        ask_all_in_turn(world, path, _ASKED // 2)
-        fleet_fixtures.eventually(lambda: bool(operate(world, "--blocked")))
-        shown = operate(world, "--blocked").split()
-        assert shown[1] == _world.SERVICE
-        assert operate(world, f"--release={shown[0]}").startswith(shown[0])
-        before = ended(world, path)
+        send_to_daemons_in_turn(world, path, _REQUESTS // 2)
+        fleet_fixtures.eventually(
+            lambda: bool(run_command(world, "--blocked"))
+        )
+        columns = run_command(world, "--blocked").split()
+        assert columns[1] == _world.SERVICE
+        assert run_command(world, f"--release={columns[0]}").startswith(
+            columns[0]
+        )
+        before = crashed_replicas(world, path)
 
         def runs_again() -> bool:
             wait_until_served(world, world.daemons[0])
-            ask(world.daemons[0], path, _expected.CRASHING)
-            return ended(world, path) > before
+            send_request(world.daemons[0], path, _expected.CRASHING)
+            return crashed_replicas(world, path) > before
 
         fleet_fixtures.eventually(runs_again)
-        assert operate(world, "--blocked") == ""
+        assert run_command(world, "--blocked") == ""
 
 
-def operate(world: _world.World, flag: str) -> str:
+def run_command(world: _world.World, flag: str) -> str:
     """Run the daemon's program on an instance to look or to release."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "platform/topazlugd.py", flag],
         cwd=_world.ROOT,
         env={**os.environ, **world.daemons[0].process.environment},
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 0, done.stderr
-    return done.stdout
+    assert completed.returncode == 0, completed.stderr
+    return completed.stdout
--- a/tests/fleet/test_graceful_stop.py
+++ b/tests/fleet/test_graceful_stop.py
@@ -13,57 +13,57 @@
 pytestmark = pytest.mark.processes
 STREAMS = 200
 TOKENS = 100
-AT_ONCE = 20
-WAITING = 400
+BATCH_SIZE = 20
+CONNECTIONS = 400
 
 
 @pytest.fixture
-def spoiled() -> Iterator[_fleet.Fleet]:
+def own_fleet() -> Iterator[_fleet.Fleet]:
     """Give a fleet of its own to a test that ends daemons."""
-    described = fleet_fixtures.deployment(
+    deployment = fleet_fixtures.deployment(
         daemons=3, slots=200, token_interval=0.01
     )
-    with _fleet.Fleet(described) as started:
+    with _fleet.Fleet(deployment) as started:
         yield started
 
 
 class TestStopUnderStreams:
-    def test_open_streams_finish_whole(self, spoiled: _fleet.Fleet) -> None:
+    def test_open_streams_finish_whole(self, own_fleet: _fleet.Fleet) -> None:
         """Symptom: calls fall silent whenever an instance is replaced.
 
         Sequence: a daemon with 200 streams is told to stop. Cause: it ends
         with the process, and not with the last stream.
         """
-        daemon = spoiled.daemons[0]
+        daemon = own_fleet.daemons[0]
         with futures.ThreadPoolExecutor(STREAMS) as executor:
-            set_engines(spoiled, stalled=True)
-            asked = open_streams(executor, daemon)
+            set_engines(own_fleet, stalled=True)
+            requests = open_streams(executor, daemon)
             daemon.process.terminate()
             fleet_fixtures.eventually(lambda: not is_ready(daemon))
-            late = fleet_fixtures.chat(daemon)
-            set_engines(spoiled, stalled=False)
-            answers = [future.result() for future in asked]
+            late_answer = fleet_fixtures.chat(daemon)
+            set_engines(own_fleet, stalled=False)
+            answers = [future.result() for future in requests]
         assert {a.ending for a in answers} == {fleet_calls.Ending.WHOLE}
-        assert late.ending is fleet_calls.Ending.REFUSED
+        assert late_answer.ending is fleet_calls.Ending.REFUSED
         assert daemon.process.wait(20.0) == 0
-        others = spoiled.daemons[1:]
+        others = own_fleet.daemons[1:]
         fleet_fixtures.eventually(
-            lambda: all(fleet_fixtures.is_empty(other) for other in others)
+            lambda: all(fleet_fixtures.is_idle(other) for other in others)
         )
 
 
-class TestStopWithConnectionsNotYetAccepted:
-    def test_they_are_served(self, spoiled: _fleet.Fleet) -> None:
+class TestStopWithUnacceptedConnections:
+    def test_they_are_served(self, own_fleet: _fleet.Fleet) -> None:
         """Symptom: during a release some calls break without any answer.
 
         Sequence: callers have connected and sent their requests; the
         daemon, busy, has not accepted all of them; it is told to stop.
         Cause: with its listener, the kernel resets what waits there.
         """
-        daemon = spoiled.daemons[0]
+        daemon = own_fleet.daemons[0]
         daemon.process.freeze()
-        with futures.ThreadPoolExecutor(WAITING) as executor:
-            asked = [
+        with futures.ThreadPoolExecutor(CONNECTIONS) as executor:
+            requests = [
                 executor.submit(
                     fleet_calls.send,
                     daemon.url,
@@ -71,35 +71,36 @@
                     "/v1/models",
                     headers={"Authorization": f"Bearer {fleet_fixtures.KEY}"},
                 )
-                for _ in range(WAITING)
+                for _ in range(CONNECTIONS)
             ]
             fleet_fixtures.eventually(
-                lambda: fleet_fixtures.unaccepted(daemon) == WAITING
+                lambda: fleet_fixtures.unaccepted_connections(daemon)
+                == CONNECTIONS
             )
             daemon.process.terminate()
             daemon.process.thaw()
-            answers = [future.result() for future in asked]
+            answers = [future.result() for future in requests]
         assert {a.ending for a in answers} == {fleet_calls.Ending.WHOLE}
         assert daemon.process.wait(20.0) == 0
 
 
 class TestRollingReplacement:
-    def test_no_call_fails(self, spoiled: _fleet.Fleet) -> None:
+    def test_no_call_fails(self, own_fleet: _fleet.Fleet) -> None:
         """Symptom: calls fail during each release.
 
         Sequence: under load, each daemon is stopped and another takes its
         place. Cause: a connection that waits to be accepted is reset, or
         work is sent to a daemon that has gone.
         """
-        with fleet_load.Load(spoiled, callers=12) as load:
-            for number in range(len(spoiled.daemons)):
+        with fleet_load.Load(own_fleet, callers=12) as load:
+            for number in range(len(own_fleet.daemons)):
                 load.wait_for_more(50)
-                ended = spoiled.daemons[number]
+                ended = own_fleet.daemons[number]
                 ended.process.terminate()
                 assert ended.process.wait(20.0) == 0
-                started = spoiled.start_daemon(number)
+                started = own_fleet.start_daemon(number)
                 fleet_fixtures.eventually(lambda: is_ready(started))
-                spoiled.daemons[number] = started
+                own_fleet.daemons[number] = started
             load.wait_for_more(50)
         assert load.failures() == []
 
@@ -108,19 +109,19 @@
     executor: futures.Executor, daemon: _fleet.DaemonProcess
 ) -> list["futures.Future[fleet_calls.Answer]"]:
     """Ask until enough streams are open; who is refused asks again."""
-    asked = []
-    while len(asked) < STREAMS:
-        missing = min(AT_ONCE, STREAMS - len(asked))
-        asked += [
+    requests = []
+    while len(requests) < STREAMS:
+        missing = min(BATCH_SIZE, STREAMS - len(requests))
+        requests += [
             executor.submit(fleet_fixtures.chat, daemon, tokens=TOKENS)
             for _ in range(missing)
         ]
         fleet_fixtures.eventually(
             lambda: fleet_fixtures.in_flight(daemon)
-            == sum(not future.done() for future in asked)
+            == sum(not future.done() for future in requests)
         )
-        asked = [future for future in asked if not future.done()]
-    return asked
+        requests = [future for future in requests if not future.done()]
+    return requests
 
 
 def set_engines(fleet: _fleet.Fleet, **switches: bool) -> None:
--- a/tests/fleet/test_intruders.py
+++ b/tests/fleet/test_intruders.py
@@ -21,10 +21,10 @@
     pytest.param(b"\x91" * 60000, id="deep-nesting"),
     pytest.param(struct.pack(">I", 2**31) + b"x" * 64, id="huge-length"),
 ]
-NO_KEYS = ["", "wrong", "demo-frontdes", "x" * 10000]
+INVALID_KEYS = ["", "wrong", "demo-frontdes", "x" * 10000]
 
 
-def peer_port_answer(daemon: _fleet.DaemonProcess, data: bytes) -> bytes:
+def send_to_peer_port(daemon: _fleet.DaemonProcess, data: bytes) -> bytes:
     """Send bytes to the peers' port, and give all until it is closed."""
     address = (_fleet.HOST, daemon.peers_port)
     received = b""
@@ -38,10 +38,10 @@
     return received
 
 
-def expect_healthy(fleet: _fleet.Fleet, daemon: _fleet.DaemonProcess) -> None:
+def check_healthy(fleet: _fleet.Fleet, daemon: _fleet.DaemonProcess) -> None:
     """Check that a daemon serves and counts exactly."""
     assert fleet_fixtures.chat(daemon).ending is fleet_calls.Ending.WHOLE
-    fleet_fixtures.eventually(lambda: fleet_fixtures.is_empty(daemon))
+    fleet_fixtures.eventually(lambda: fleet_fixtures.is_idle(daemon))
     assert fleet_fixtures.agree_on_owners(fleet.daemons)
 
 
@@ -49,10 +49,12 @@
     @pytest.mark.parametrize("data", GARBAGE)
     def test_garbage(self, fleet: _fleet.Fleet, data: bytes) -> None:
         daemon = fleet.daemons[0]
-        before = refusals(daemon)
-        peer_port_answer(daemon, data)
-        fleet_fixtures.eventually(lambda: refusals(daemon) > before)
-        expect_healthy(fleet, daemon)
+        before = rejected_connections(daemon)
+        send_to_peer_port(daemon, data)
+        fleet_fixtures.eventually(
+            lambda: rejected_connections(daemon) > before
+        )
+        check_healthy(fleet, daemon)
 
     def test_hello_without_proof(self, fleet: _fleet.Fleet) -> None:
         """Symptom: a stranger's words count as a daemon's.
@@ -71,14 +73,18 @@
         data = msgpack.packb(["Hello", 0, hello])
         data += msgpack.packb(["Proof", 0, {"mac": "0" * 64}])
         data += msgpack.packb(["Release", 0, release])
-        before = refusals(daemon)
-        received = peer_port_answer(daemon, data)
-        fleet_fixtures.eventually(lambda: refusals(daemon) > before)
+        before = rejected_connections(daemon)
+        received = send_to_peer_port(daemon, data)
+        fleet_fixtures.eventually(
+            lambda: rejected_connections(daemon) > before
+        )
         assert b"Proof" not in received
-        expect_healthy(fleet, daemon)
+        check_healthy(fleet, daemon)
 
     @pytest.fixture
-    def stranger(self, fleet: _fleet.Fleet) -> Iterator[_fleet.DaemonProcess]:
+    def foreign_daemon(
+        self, fleet: _fleet.Fleet
+    ) -> Iterator[_fleet.DaemonProcess]:
         """Start a daemon with another secret, on the same platform."""
         settings = fleet.daemon_settings(90)
         settings["peers"]["secret"] = "not-the-secret-of-this-fleet"
@@ -89,7 +95,7 @@
         fleet_calls.send(fleet.platform_url, "DELETE", path)
 
     def test_daemon_with_the_wrong_secret(
-        self, fleet: _fleet.Fleet, stranger: _fleet.DaemonProcess
+        self, fleet: _fleet.Fleet, foreign_daemon: _fleet.DaemonProcess
     ) -> None:
         """Symptom: a stranger on the list owns replicas.
 
@@ -102,15 +108,16 @@
         )
         fleet_fixtures.eventually(
             lambda: all(
-                stranger.name not in owners(daemon) for daemon in fleet.daemons
+                foreign_daemon.name not in owners(daemon)
+                for daemon in fleet.daemons
             )
         )
-        expect_healthy(fleet, fleet.daemons[0])
+        check_healthy(fleet, fleet.daemons[0])
 
 
 class TestCallers:
-    @pytest.mark.parametrize("key", NO_KEYS)
-    def test_no_key_that_counts(self, fleet: _fleet.Fleet, key: str) -> None:
+    @pytest.mark.parametrize("key", INVALID_KEYS)
+    def test_invalid_key(self, fleet: _fleet.Fleet, key: str) -> None:
         before = [len(fleet_calls.journal(e)) for e in fleet.engines]
         answer = fleet_fixtures.chat(fleet.daemons[0], key=key)
         assert (answer.status, answer.outcome) == (401, "not-run")
@@ -130,7 +137,7 @@
             ("GET", "/v1/status"),
         ],
     )
-    def test_no_token_that_counts(
+    def test_invalid_token(
         self, fleet: _fleet.Fleet, method: str, path: str, token: str
     ) -> None:
         daemon = fleet.daemons[0]
@@ -138,7 +145,7 @@
         assert answer.status == 401
 
 
-def refusals(daemon: _fleet.DaemonProcess) -> int:
+def rejected_connections(daemon: _fleet.DaemonProcess) -> int:
     """Count the logged refusals of connections from peers."""
     return daemon.process.log.count("warning topazlug.peers connection from")
 
--- a/tests/fleet/test_leaving_targets.py
+++ b/tests/fleet/test_leaving_targets.py
@@ -23,10 +23,10 @@
         self.name = name
         self._fleet = fleet
         self._incarnation = 0
-        self.process = self._started(0)
+        self.process = self._start_process(0)
         self.target = _fleet.TargetProcess(name=name, process=self.process)
 
-    def _started(self, port: int) -> processes.Process:
+    def _start_process(self, port: int) -> processes.Process:
         process = processes.Process(
             name=self.name,
             arguments=[
@@ -39,9 +39,9 @@
         process.start()
         return process
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
         """Start it anew where it was, after it has ended."""
-        self.process = self._started(self.target.port)
+        self.process = self._start_process(self.target.port)
 
     def list_as(self, state: str) -> None:
         """Put it on the list; each time it is live it is a new one."""
@@ -75,42 +75,44 @@
 
 
 @pytest.fixture
-def listed(nine: _fleet.Fleet) -> Iterator[ListedEngine]:
+def listed_engine(large_fleet: _fleet.Fleet) -> Iterator[ListedEngine]:
     """Give an engine beside the fleet's own, used by all daemons."""
     name = fleet_fixtures.new_key()
-    engine = ListedEngine(nine, name)
+    engine = ListedEngine(large_fleet, name)
     engine.list_as("live")
-    fleet_fixtures.eventually(lambda: is_used_by_all(nine, name))
+    fleet_fixtures.eventually(
+        lambda: is_live_on_all_daemons(large_fleet, name)
+    )
     yield engine
     engine.take_off_list()
     engine.process.kill()
-    fleet_fixtures.eventually(lambda: "live" not in states(nine, name))
+    fleet_fixtures.eventually(lambda: "live" not in states(large_fleet, name))
 
 
 def states(fleet: _fleet.Fleet, replica: str) -> set[str]:
     """Give what the daemons say of a replica."""
-    known = [fleet_calls.replicas(daemon) for daemon in fleet.daemons]
-    return {found[replica]["state"] for found in known if replica in found}
+    views = [fleet_calls.replicas(daemon) for daemon in fleet.daemons]
+    return {found[replica]["state"] for found in views if replica in found}
 
 
-def is_used_by_all(fleet: _fleet.Fleet, replica: str) -> bool:
+def is_live_on_all_daemons(fleet: _fleet.Fleet, replica: str) -> bool:
     """Tell whether all daemons give a replica new work."""
-    known = [fleet_calls.replicas(daemon) for daemon in fleet.daemons]
+    views = [fleet_calls.replicas(daemon) for daemon in fleet.daemons]
     return all(
         replica in found and found[replica]["state"] == "live"
-        for found in known
+        for found in views
     )
 
 
-def started(target: _fleet.TargetProcess) -> int:
+def chats_received(target: _fleet.TargetProcess) -> int:
     """Count the chats that an engine started or refused."""
     events = ("start", "refused")
     return sum(e["event"] in events for e in fleet_calls.journal(target))
 
 
-def ask_all(fleet: _fleet.Fleet) -> list[fleet_calls.Answer]:
+def chat_on_all_daemons(fleet: _fleet.Fleet) -> list[fleet_calls.Answer]:
     """Ask new chats through each daemon."""
-    return fleet_fixtures.at_once(
+    return fleet_fixtures.run_concurrently(
         [
             lambda daemon=daemon: fleet_fixtures.chat(daemon, tokens=1)
             for daemon in fleet.daemons * CHATS_PER_DAEMON
@@ -125,22 +127,22 @@
     fleet_fixtures.eventually(
         lambda: not states(fleet, target.name) & {"live", "suspected"}
     )
-    before = started(target)
-    answers = ask_all(fleet)
+    before = chats_received(target)
+    answers = chat_on_all_daemons(fleet)
     assert {a.ending for a in answers} == {fleet_calls.Ending.WHOLE}
-    assert started(target) == before
+    assert chats_received(target) == before
 
 
-class TestSign:
+class TestLeavingSignal:
     @pytest.fixture(autouse=True)
-    def gets_work_at_first(
-        self, nine: _fleet.Fleet, listed: ListedEngine
+    def receives_chats_at_first(
+        self, large_fleet: _fleet.Fleet, listed_engine: ListedEngine
     ) -> None:
-        ask_all(nine)
-        assert started(listed.target) > 0
+        chat_on_all_daemons(large_fleet)
+        assert chats_received(listed_engine.target) > 0
 
     def test_from_the_engine_itself(
-        self, nine: _fleet.Fleet, listed: ListedEngine
+        self, large_fleet: _fleet.Fleet, listed_engine: ListedEngine
     ) -> None:
         """Symptom: chats are cut off when an engine goes.
 
@@ -148,48 +150,50 @@
         nothing new for long. Cause: only the list is believed, or only
         the daemon that asked the engine knows.
         """
-        with fleet_fixtures.faults(nine.platform_url, down_list=True):
-            _fleet.post(f"{listed.target.url}/admin/leave", {})
-            expect_no_new_work(nine, listed.target)
+        with fleet_fixtures.faults(large_fleet.platform_url, down_list=True):
+            _fleet.post(f"{listed_engine.target.url}/admin/leave", {})
+            expect_no_new_work(large_fleet, listed_engine.target)
 
     def test_from_operators(
-        self, nine: _fleet.Fleet, listed: ListedEngine
+        self, large_fleet: _fleet.Fleet, listed_engine: ListedEngine
     ) -> None:
-        path = f"/v1/drains/{listed.name}"
-        daemon = nine.daemons[0]
+        path = f"/v1/drains/{listed_engine.name}"
+        daemon = large_fleet.daemons[0]
         answer = fleet_calls.operate(daemon, "PUT", path, {"kind": "replica"})
         assert answer.status == 201
-        expect_no_new_work(nine, listed.target)
+        expect_no_new_work(large_fleet, listed_engine.target)
         answer = fleet_calls.operate(daemon, "DELETE", path + "?force=true")
         assert answer.status == 200
-        fleet_fixtures.eventually(lambda: is_used_by_all(nine, listed.name))
+        fleet_fixtures.eventually(
+            lambda: is_live_on_all_daemons(large_fleet, listed_engine.name)
+        )
 
     def test_from_the_list(
-        self, nine: _fleet.Fleet, listed: ListedEngine
+        self, large_fleet: _fleet.Fleet, listed_engine: ListedEngine
     ) -> None:
-        listed.list_as("leaving")
-        expect_no_new_work(nine, listed.target)
+        listed_engine.list_as("leaving")
+        expect_no_new_work(large_fleet, listed_engine.target)
 
-    def test_from_its_silence(
-        self, nine: _fleet.Fleet, listed: ListedEngine
+    def test_from_unreachability(
+        self, large_fleet: _fleet.Fleet, listed_engine: ListedEngine
     ) -> None:
         """Symptom: some chats wait in vain for an engine that is gone.
 
         Sequence: an engine is killed, and the list goes on showing it.
         Cause: each daemon has to find out by itself, with a caller's chat.
         """
-        with fleet_fixtures.faults(nine.platform_url, down_list=True):
-            listed.process.kill()
+        with fleet_fixtures.faults(large_fleet.platform_url, down_list=True):
+            listed_engine.process.kill()
             fleet_fixtures.eventually(
-                lambda: states(nine, listed.name) == {"dead"}
+                lambda: states(large_fleet, listed_engine.name) == {"dead"}
             )
-            answers = ask_all(nine)
+            answers = chat_on_all_daemons(large_fleet)
         assert {a.ending for a in answers} == {fleet_calls.Ending.WHOLE}
 
 
 class TestFlapping:
-    def test_chats_are_not_pulled_back_and_forth(
-        self, nine: _fleet.Fleet, listed: ListedEngine
+    def test_chats_do_not_move_with_each_return(
+        self, large_fleet: _fleet.Fleet, listed_engine: ListedEngine
     ) -> None:
         """Symptom: chats lose their context again and again.
 
@@ -197,49 +201,62 @@
         chats go away and return with it each time. Cause: a return counts
         at once, however often the engine went before.
         """
-        chat_id = homed_chat(nine, listed.name)
-        seen = [listed.name]
+        chat_id = find_chat_with_home(large_fleet, listed_engine.name)
+        visited = [listed_engine.name]
         for _ in range(FLAPS):
-            listed.process.kill()
-            ask_until(nine, chat_id, seen, listed.name, is_dead=True)
-            listed.start_again()
-            ask_until(nine, chat_id, seen, listed.name, is_dead=False)
-            seen += [replica_of(nine, chat_id) for _ in range(CHATS_WHILE_UP)]
-        moves = sum(one != other for one, other in zip(seen, seen[1:]))
+            listed_engine.process.kill()
+            chat_until_state(
+                large_fleet, chat_id, visited, listed_engine.name, is_dead=True
+            )
+            listed_engine.restart()
+            chat_until_state(
+                large_fleet,
+                chat_id,
+                visited,
+                listed_engine.name,
+                is_dead=False,
+            )
+            visited += [
+                send_chat(large_fleet, chat_id) for _ in range(CHATS_WHILE_UP)
+            ]
+        moves = sum(
+            previous != current
+            for previous, current in zip(visited, visited[1:])
+        )
         # Away, back after the first return, and away for good: from the
         # second return on it must stay up for longer than it does here.
-        assert moves <= 3, " ".join(seen)
+        assert moves <= 3, " ".join(visited)
 
 
-def ask_until(
+def chat_until_state(
     fleet: _fleet.Fleet,
     chat_id: str,
-    seen: list[str],
+    visited: list[str],
     replica: str,
     *,
     is_dead: bool,
 ) -> None:
     """Go on asking a chat until its daemon knows how a replica does."""
 
-    def knows() -> bool:
-        seen.append(replica_of(fleet, chat_id))
+    def has_state() -> bool:
+        visited.append(send_chat(fleet, chat_id))
         found = fleet_calls.replicas(fleet.daemons[0])
         return (found[replica]["state"] == "dead") is is_dead
 
-    fleet_fixtures.eventually(knows)
+    fleet_fixtures.eventually(has_state)
 
 
-def replica_of(fleet: _fleet.Fleet, chat_id: str) -> str:
+def send_chat(fleet: _fleet.Fleet, chat_id: str) -> str:
     """Ask a chat through one daemon, and tell where it went."""
     answer = fleet_fixtures.chat(fleet.daemons[0], chat_id=chat_id, tokens=1)
     assert answer.ending is fleet_calls.Ending.WHOLE
     return answer.headers["topazlug-replica"]
 
 
-def homed_chat(fleet: _fleet.Fleet, replica: str) -> str:
+def find_chat_with_home(fleet: _fleet.Fleet, replica: str) -> str:
     """Find a chat whose home is a replica."""
     for _ in range(200):
-        chat_id = fleet_fixtures.question()
-        if replica_of(fleet, chat_id) == replica:
+        chat_id = fleet_fixtures.new_question()
+        if send_chat(fleet, chat_id) == replica:
             return chat_id
     raise AssertionError(f"no chat has its home on {replica}")
--- a/tests/fleet/test_owner_loss.py
+++ b/tests/fleet/test_owner_loss.py
@@ -17,10 +17,10 @@
 
 
 @pytest.fixture
-def spoiled() -> Iterator[_fleet.Fleet]:
+def own_fleet() -> Iterator[_fleet.Fleet]:
     """Give a fleet of its own to a test that ends or freezes daemons."""
-    described = fleet_fixtures.deployment(daemons=4, engines=4, services=1)
-    with _fleet.Fleet(described) as started:
+    deployment = fleet_fixtures.deployment(daemons=4, engines=4, services=1)
+    with _fleet.Fleet(deployment) as started:
         yield started
 
 
@@ -32,17 +32,17 @@
     return next(d for d in fleet.daemons if d.name == name)
 
 
-def expect_calm(daemons: list[_fleet.DaemonProcess]) -> None:
+def wait_until_idle(daemons: list[_fleet.DaemonProcess]) -> None:
     """Wait until all agree on the owners, and no place is counted."""
     fleet_fixtures.eventually(
         lambda: fleet_fixtures.agree_on_owners(daemons)
-        and all(fleet_fixtures.is_empty(daemon) for daemon in daemons)
+        and all(fleet_fixtures.is_idle(daemon) for daemon in daemons)
     )
 
 
 class TestOwnerKilled:
-    def test_no_request_is_lost_and_no_place_leaks(
-        self, spoiled: _fleet.Fleet
+    def test_no_request_is_lost_and_no_slot_leaks(
+        self, own_fleet: _fleet.Fleet
     ) -> None:
         """Symptom: calls fail, and a replica looks full for ever.
 
@@ -50,35 +50,35 @@
         nobody calls just then. Cause: entry daemons wait for it, or its
         successor never learns that places were given back.
         """
-        owner = busiest_owner(spoiled)
-        spoiled.daemons.remove(owner)
-        with fleet_load.Load(spoiled) as load:
+        owner = busiest_owner(own_fleet)
+        own_fleet.daemons.remove(owner)
+        with fleet_load.Load(own_fleet) as load:
             load.wait_for_more(20)
             owner.process.kill()
             load.wait_for_more(200)
         assert load.failures() == []
-        expect_calm(spoiled.daemons)
+        wait_until_idle(own_fleet.daemons)
 
 
 class TestEntryKilled:
-    def test_what_it_held_is_given_back(self, spoiled: _fleet.Fleet) -> None:
+    def test_its_slots_are_released(self, own_fleet: _fleet.Fleet) -> None:
         """Symptom: replicas look fuller with each instance that dies.
 
         Sequence: a daemon dies with streams open. Cause: nobody is left
         to give back its places.
         """
-        killed = spoiled.daemons.pop()
+        killed = own_fleet.daemons.pop()
         streams = [
             lambda: fleet_fixtures.chat(killed, tokens=2000) for _ in range(20)
         ]
         streams.append(lambda: kill_when_busy(killed, len(streams) - 1))
-        fleet_fixtures.at_once(streams)
-        expect_calm(spoiled.daemons)
+        fleet_fixtures.run_concurrently(streams)
+        wait_until_idle(own_fleet.daemons)
 
 
 class TestOwnerFrozen:
-    def test_no_request_is_lost_and_no_place_leaks(
-        self, spoiled: _fleet.Fleet
+    def test_no_request_is_lost_and_no_slot_leaks(
+        self, own_fleet: _fleet.Fleet
     ) -> None:
         """Symptom: calls stall, then a replica is swamped.
 
@@ -86,10 +86,10 @@
         wakes. Cause: its silence is waited for again and again, or it
         goes on admitting what another has taken over.
         """
-        owner = busiest_owner(spoiled)
-        everybody = list(spoiled.daemons)
-        spoiled.daemons.remove(owner)
-        with fleet_load.Load(spoiled) as load:
+        owner = busiest_owner(own_fleet)
+        all_daemons = list(own_fleet.daemons)
+        own_fleet.daemons.remove(owner)
+        with fleet_load.Load(own_fleet) as load:
             load.wait_for_more(20)
             owner.process.freeze()
             thaw_at = time.monotonic() + FROZEN_SECONDS
@@ -97,43 +97,52 @@
             owner.process.thaw()
             load.wait_for_more(200)
         assert load.failures() == []
-        expect_calm(everybody)
+        wait_until_idle(all_daemons)
 
 
-class TestLinksCut:
+class TestNetworkPartition:
     @pytest.fixture
-    def split(self) -> Iterator[_fleet.Fleet]:
+    def split_fleet(self) -> Iterator[_fleet.Fleet]:
         """Give a fleet of two groups whose links can be cut."""
-        described = fleet_fixtures.deployment(daemons=4)
+        deployment = fleet_fixtures.deployment(daemons=4)
         groups = ((0, 1), (2, 3))
-        with _fleet.Fleet(described, groups=groups) as started:
+        with _fleet.Fleet(deployment, groups=groups) as started:
             yield started
 
     @pytest.mark.parametrize("fault", ["cut", "blackhole"])
-    def test_groups_join_again(self, split: _fleet.Fleet, fault: str) -> None:
+    def test_groups_rejoin(
+        self, split_fleet: _fleet.Fleet, fault: str
+    ) -> None:
         """Symptom: after a cut, two daemons admit onto one replica.
 
         Sequence: two groups of daemons can't reach each other, each takes
         the other for dead, and both serve; then the links are whole again.
         Cause: nobody asks the dead whether they live.
         """
-        with fleet_load.Load(split) as load:
+        with fleet_load.Load(split_fleet) as load:
             load.wait_for_more(20)
-            split.switch_links(**{fault: True})
-            fleet_fixtures.eventually(lambda: sees(split, 0) == {0, 1})
-            fleet_fixtures.eventually(lambda: sees(split, 3) == {2, 3})
+            split_fleet.switch_links(**{fault: True})
+            fleet_fixtures.eventually(
+                lambda: live_daemons(split_fleet, 0) == {0, 1}
+            )
+            fleet_fixtures.eventually(
+                lambda: live_daemons(split_fleet, 3) == {2, 3}
+            )
             load.wait_for_more(100)
-            split.switch_links(**{fault: False})
-            everybody = set(range(4))
+            split_fleet.switch_links(**{fault: False})
+            all_daemons = set(range(4))
             fleet_fixtures.eventually(
-                lambda: all(sees(split, n) == everybody for n in everybody)
+                lambda: all(
+                    live_daemons(split_fleet, n) == all_daemons
+                    for n in all_daemons
+                )
             )
             load.wait_for_more(50)
         assert load.failures() == []
-        expect_calm(split.daemons)
+        wait_until_idle(split_fleet.daemons)
 
 
-def sees(fleet: _fleet.Fleet, number: int) -> set[int]:
+def live_daemons(fleet: _fleet.Fleet, number: int) -> set[int]:
     """Give the numbers of the daemons that one takes for live."""
     daemon = fleet.daemons[number]
     answer = fleet_calls.operate(daemon, "GET", "/v1/status")
--- a/tests/fleet/test_quiet_replicas.py
+++ b/tests/fleet/test_quiet_replicas.py
@@ -16,15 +16,15 @@
 _SEED = 67
 _DAEMONS = 3
 _REPLICAS = 4
-_ASKED = 40
-_MOST_ASKED = 400
+_REQUESTS = 40
+_MAX_REQUESTS = 400
 _PATHS = (_expected.READ, _expected.STREAM, _expected.ONCE)
 
 
 @pytest.fixture
 def world(tmp_path: pathlib.Path) -> Iterator[_world.World]:
     """Give daemons, and replicas that are listed as serving."""
-    made = _world.World(
+    created = _world.World(
         folder=tmp_path,
         daemons=_DAEMONS,
         replicas=_REPLICAS,
@@ -32,22 +32,22 @@
         direct=True,
     )
     try:
-        for daemon in made.daemons:
+        for daemon in created.daemons:
             wait_until_served(daemon)
-        yield made
+        yield created
     finally:
-        made.stop()
+        created.stop()
 
 
 def wait_until_served(daemon: _world.Daemon) -> None:
     daemon.process.wait_for_line(f"{_REPLICAS} replicas listed")
-    for _ in range(_MOST_ASKED):
-        if ask(daemon, _expected.READ)[1] == 200:
+    for _ in range(_MAX_REQUESTS):
+        if send_request(daemon, _expected.READ)[1] == 200:
             return
     raise AssertionError("a daemon serves nobody")
 
 
-def ask(daemon: _world.Daemon, path: str) -> tuple[str, int]:
+def send_request(daemon: _world.Daemon, path: str) -> tuple[str, int]:
     """Send a request; give its attempt and status, 0 if there is none."""
     attempt = uuid.uuid4().hex
     fields = {
@@ -70,15 +70,15 @@
         connection.close()
 
 
-def ask_until_said(
+def send_until_reported(
     world: _world.World, daemon: _world.Daemon, kind: str
 ) -> float:
     """Ask until an answer to a daemon says a word; give when it did."""
-    own: set[str] = set()
-    for number in range(_MOST_ASKED):
-        own.add(ask(daemon, _PATHS[number % len(_PATHS)])[0])
+    attempts: set[str] = set()
+    for number in range(_MAX_REQUESTS):
+        attempts.add(send_request(daemon, _PATHS[number % len(_PATHS)])[0])
         for one in world.reports():
-            if one.kind == kind and one.attempt in own:
+            if one.kind == kind and one.attempt in attempts:
                 return one.at
     raise AssertionError(f"no answer said {kind!r}")
 
@@ -96,34 +96,32 @@
 
 
 class TestLeaving:
-    def test_one_that_says_so_gets_nothing_more(
+    def test_no_request_after_leaving_was_reported(
         self, world: _world.World
     ) -> None:
         """Requests reach a replica for as long as its entry is old."""
         leaving = world.replicas[0]
         leaving.process.send(signal.SIGUSR2)
         for daemon in world.daemons:
-            ask_until_said(world, daemon, "leaving")
-            asked = [
-                ask(daemon, _PATHS[number % len(_PATHS)])[0]
-                for number in range(_ASKED)
+            send_until_reported(world, daemon, "leaving")
+            attempts = [
+                send_request(daemon, _PATHS[number % len(_PATHS)])[0]
+                for number in range(_REQUESTS)
             ]
-            assert arrivals(world, leaving, asked) == []
+            assert arrivals(world, leaving, attempts) == []
 
 
 class TestBackoff:
-    def test_one_that_asks_for_it_gets_nothing_meanwhile(
-        self, world: _world.World
-    ) -> None:
+    def test_no_request_during_a_backoff(self, world: _world.World) -> None:
         """Requests reach a replica that has asked for a backoff."""
-        shedding = world.replicas[0]
-        shedding.process.send(signal.SIGUSR1)
+        rejecting = world.replicas[0]
+        rejecting.process.send(signal.SIGUSR1)
         for daemon in world.daemons:
-            said_at = ask_until_said(world, daemon, "backoff")
-            asked = [
-                ask(daemon, _PATHS[number % len(_PATHS)])[0]
-                for number in range(_ASKED)
+            reported_at = send_until_reported(world, daemon, "backoff")
+            attempts = [
+                send_request(daemon, _PATHS[number % len(_PATHS)])[0]
+                for number in range(_REQUESTS)
             ]
-            until = said_at + _expected.BACKOFF_SECONDS
-            found = arrivals(world, shedding, asked)
+            until = reported_at + _expected.BACKOFF_SECONDS
+            found = arrivals(world, rejecting, attempts)
             assert [at for at in found if at < until] == []
--- a/tests/fleet/test_store_outage.py
+++ b/tests/fleet/test_store_outage.py
@@ -14,7 +14,7 @@
 
 
 class TestOutage:
-    def test_chats_go_on_and_claims_are_refused_as_not_run(
+    def test_chats_succeed_and_claims_are_rejected(
         self, fleet: _fleet.Fleet
     ) -> None:
         """Symptom: all callers hear silence while the store is down.
@@ -24,26 +24,26 @@
         that it does not need.
         """
         key = fleet_fixtures.new_key()
-        refused = []
+        rejected = []
         down = {"down": True, "down_list": True}
         with fleet_fixtures.faults(fleet.platform_url, **down):
             end = time.monotonic() + OUTAGE_SECONDS
             with fleet_load.Load(fleet) as load:
                 while time.monotonic() < end:
-                    daemon = fleet.daemons[len(refused) % 3]
-                    refused.append(fleet_fixtures.order(daemon, key))
+                    daemon = fleet.daemons[len(rejected) % 3]
+                    rejected.append(fleet_fixtures.order(daemon, key))
                     load.wait_for_more(5)
         assert load.failures() == []
-        assert {answer.status for answer in refused} == {503}
-        assert {answer.outcome for answer in refused} == {"not-run"}
-        assert all("retry-after" in answer.headers for answer in refused)
-        assert fleet_fixtures.runs(fleet, key) == 0
+        assert {answer.status for answer in rejected} == {503}
+        assert {answer.outcome for answer in rejected} == {"not-run"}
+        assert all("retry-after" in answer.headers for answer in rejected)
+        assert fleet_fixtures.run_count(fleet, key) == 0
         fleet_fixtures.eventually(
             lambda: fleet_fixtures.order(fleet.daemons[0], key).status == 200
         )
-        assert fleet_fixtures.runs(fleet, key) == 1
+        assert fleet_fixtures.run_count(fleet, key) == 1
 
-    def test_only_daemon_that_reads_is_told_of_a_slow_store(
+    def test_chats_succeed_with_a_slow_store(
         self, fleet: _fleet.Fleet
     ) -> None:
         """Symptom: chats crawl while the store is slow.
