--- a/tests/fleet/fleet_fixtures.py
+++ b/tests/fleet/fleet_fixtures.py
@@ -1,4 +1,4 @@
-"""Deployments for the tests of whole fleets, and how to wait on them."""
+"""Deployments, requests and wait conditions for the tests of whole fleets."""
 
 from collections.abc import Callable
 from concurrent import futures
@@ -66,22 +66,22 @@
     """Wait until a condition holds."""
     end = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, "it never came about"
+        assert time.monotonic() < end, "condition not met in time"
         time.sleep(0.02)
 
 
 def new_key() -> str:
-    """Give an Idempotency-Key that no other test uses."""
+    """Return an Idempotency-Key that no other test uses."""
     return f"key-{next(_numbers)}"
 
 
 def new_question() -> str:
-    """Give a question that no other test asks."""
+    """Return a question that no other test sends."""
     return f"question {next(_numbers)}"
 
 
 def chat(daemon: _fleet.DaemonProcess, **options: Any) -> fleet_calls.Answer:
-    """Ask a question of its own."""
+    """Send a chat with a new question unless one is given."""
     request = {"key": KEY, "model": MODEL, "question": new_question()}
     return fleet_calls.chat(daemon.url, **(request | options))
 
@@ -100,7 +100,7 @@
 
 
 def run_count(fleet: _fleet.Fleet, idempotency_key: str) -> int:
-    """Tell how often a key's request ran, on all services together."""
+    """Return how often all services together ran a key's request."""
     return sum(
         run["idempotency_key"] == idempotency_key
         for service in fleet.services
@@ -109,7 +109,7 @@
 
 
 def claim_states(fleet: _fleet.Fleet, idempotency_key: str) -> list[str]:
-    """Give the state of a key's claim in the table service, if any."""
+    """Return the states of a key's claims in the table service."""
     digest = hashlib.sha256(idempotency_key.encode()).hexdigest()
     found = _fleet.get(f"{fleet.platform_url}/table/rows/claims")
     return [
@@ -122,7 +122,7 @@
 def run_concurrently(
     calls: list[Callable[[], fleet_calls.Answer]],
 ) -> list[fleet_calls.Answer]:
-    """Make calls at the same time."""
+    """Make calls concurrently."""
     with futures.ThreadPoolExecutor(len(calls)) as executor:
         return list(executor.map(lambda call: call(), calls))
 
@@ -130,13 +130,13 @@
 def submit_order(
     executor: futures.Executor, *arguments: Any, **options: Any
 ) -> "futures.Future[fleet_calls.Answer]":
-    """Send a request that may run only once, and don't wait for it."""
+    """Send a request that may run only once, without waiting for it."""
     return executor.submit(order, *arguments, **options)
 
 
 @contextlib.contextmanager
 def faults(url: str, **switches: Any) -> Iterator[None]:
-    """Switch faults of a stand-in on, and off again."""
+    """Enable faults of a stand-in, and disable them on exit."""
     defaults: dict[type, Any] = {bool: False, int: 0, float: 0.0}
     fleet_calls.fault(url, **switches)
     try:
@@ -147,13 +147,13 @@
 
 
 def is_idle(daemon: _fleet.DaemonProcess) -> bool:
-    """Tell whether no place is counted on any replica, and all are owned."""
+    """Return whether a daemon counts no slot as held on any replica."""
     found = fleet_calls.replicas(daemon).values()
     return all(replica["load"] == 0 for replica in found)
 
 
 def agree_on_owners(daemons: list[_fleet.DaemonProcess]) -> bool:
-    """Tell whether all daemons name the same owners."""
+    """Return whether all daemons report the same owners."""
     views = [
         {
             name: entry["owner"]
@@ -165,7 +165,7 @@
 
 
 def in_flight(daemon: _fleet.DaemonProcess) -> int:
-    """Give the number of requests in progress on a daemon."""
+    """Return the number of requests in progress on a daemon."""
     text = _fleet.get(f"{daemon.administration_url}/metrics").decode()
     for line in text.splitlines():
         name, _, value = line.rpartition(" ")
@@ -175,10 +175,11 @@
 
 
 def unaccepted_connections(daemon: _fleet.DaemonProcess) -> int:
-    """Count the callers' connections with a request that nobody accepted.
+    """Count the connections of callers that the daemon hasn't accepted yet.
 
-    The kernel shows them as established, with bytes to read, and without
-    an inode, as no process holds them yet.
+    Only those count on which a request has arrived. The kernel lists them as
+    established, with bytes to read, and without an inode, as no process has
+    opened them yet.
     """
     local = f":{daemon.callers_port:04X}"
     lines = pathlib.Path("/proc/net/tcp").read_text().splitlines()[1:]
--- a/tests/fleet/fleet_load.py
+++ b/tests/fleet/fleet_load.py
@@ -1,4 +1,4 @@
-"""A light load on a fleet, that goes on until it is told to stop."""
+"""A light load on a fleet that runs until it is stopped."""
 
 from concurrent import futures
 import threading
@@ -11,14 +11,14 @@
 
 @final
 class Load:
-    """Callers that ask one question after the other.
+    """Callers that each send one chat after the other.
 
     Parameters
     ----------
     fleet : Fleet
-        Its daemons are asked in turn, those that take its place too.
+        The fleet; its daemons are called in turn, including replacements.
     callers : int
-        How many ask at once.
+        Number of concurrent callers.
     tokens : int
         Length of an answer.
     """
@@ -42,15 +42,15 @@
         self.stop()
 
     def stop(self) -> None:
-        """Ask no more, and wait for the answers."""
+        """Send no further chats, and wait for the pending answers."""
         self._stop_requested.set()
         self._executor.shutdown()
 
     def failures(self) -> list[str]:
-        """Give how calls ended that got no whole answer.
+        """Return a description of each call without a complete answer.
 
-        A connection refused before any byte was sent is none: the caller's
-        library goes to the next address.
+        A connection refused before any byte was sent doesn't count, as the
+        caller's library then tries the next address.
         """
         accepted = (fleet_calls.Ending.WHOLE, fleet_calls.Ending.REFUSED)
         return [
@@ -60,7 +60,7 @@
         ]
 
     def wait_for_more(self, count: int) -> None:
-        """Wait until so many more answers have come."""
+        """Wait until this many further calls have ended."""
         expected = len(self.answers) + count
         fleet_fixtures.eventually(lambda: len(self.answers) >= expected)
 
--- a/tests/fleet/test_at_most_once.py
+++ b/tests/fleet/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A request that may not be repeated runs at most once."""
+"""A request that must not be repeated runs at most once."""
 
 from concurrent import futures
 import time
@@ -28,10 +28,11 @@
     def test_same_key_on_all_daemons(
         self, fleet: _fleet.Fleet, key: str
     ) -> None:
-        """Symptom: two confirmations for one registration.
+        """Concurrent requests with one key must not run twice.
 
-        Sequence: a caller's library sends the same request to several
-        daemons at once. Cause: each daemon finds the key free and sends.
+        A caller's library sent the same request to several daemons at once.
+        Each found the key unclaimed and forwarded it, and one registration
+        was confirmed twice.
         """
         calls = [
             lambda daemon=daemon: fleet_fixtures.order(daemon, key)
@@ -68,11 +69,10 @@
 
 class TestTableService:
     def test_down(self, fleet: _fleet.Fleet, key: str) -> None:
-        """Symptom: a charge runs twice after an outage.
+        """A request without a written claim must not be forwarded.
 
-        Sequence: the table service is down; a daemon sends without a
-        claim; the caller repeats through another. Cause: sending goes
-        before knowing that the claim stands.
+        If a daemon forwards it while the table service is down, a repeat
+        through another daemon runs it again.
         """
         with fleet_fixtures.faults(fleet.platform_url, down=True):
             answers = [fleet_fixtures.order(d, key) for d in fleet.daemons]
@@ -91,10 +91,10 @@
     def test_slower_than_the_deadline(
         self, fleet: _fleet.Fleet, key: str
     ) -> None:
-        """Symptom: a caller is told not-run, and it runs.
+        """A request must not run after its caller got the outcome not-run.
 
-        Sequence: the claim takes longer than the caller waits; the caller
-        is answered; the claim lands. Cause: the daemon sends on it.
+        The claim is written only after the caller's deadline. A daemon that
+        then goes on forwards a request that it has answered already.
         """
         with fleet_fixtures.faults(fleet.platform_url, delay=1.0):
             answer = fleet_fixtures.order(fleet.daemons[0], key, deadline=0.5)
@@ -109,10 +109,10 @@
     def test_response_lost_after_the_claim_was_written(
         self, fleet: _fleet.Fleet, key: str
     ) -> None:
-        """Symptom: a key is unusable, or its request runs twice.
+        """A daemon must recognize its claim after the response was lost.
 
-        Sequence: the claim is written and the answer is lost. Cause: the
-        daemon takes its own claim for another's, or for none.
+        If it takes the claim for another daemon's, the key becomes unusable;
+        if it assumes that no claim was written, the request may run twice.
         """
         lost_responses = {"lose_answers": 1, "lose_answers_table": "claims"}
         fleet_calls.fault(fleet.platform_url, **lost_responses)
@@ -130,10 +130,11 @@
 
 @pytest.fixture
 def own_fleet() -> Iterator[_fleet.Fleet]:
-    """Give a fleet of its own to a test that ends daemons.
+    """Return a fleet for a single test, which may end daemons.
 
-    Its service runs one request at a time: the next waits with its claim
-    in hand, which holds it between the claim and the first byte.
+    Its service runs one request at a time. The next one waits for the slot
+    with its claim written, so that it stays between the claim and the first
+    byte.
     """
     deployment = fleet_fixtures.deployment(
         daemons=3, engines=0, services=1, service_slots=1
@@ -146,7 +147,7 @@
 def running_order(
     own_fleet: _fleet.Fleet, executor: futures.Executor
 ) -> "futures.Future[fleet_calls.Answer]":
-    """Take up the only slot of the service for a while."""
+    """Occupy the only slot of the service for a while."""
     fleet_calls.fault(own_fleet.services[0].url, late=1.5, late_count=1)
     other_key = fleet_fixtures.new_key()
     first = fleet_fixtures.submit_order(
@@ -162,11 +163,11 @@
     def test_before_the_claim_is_written(
         self, own_fleet: _fleet.Fleet, key: str, executor: futures.Executor
     ) -> None:
-        """Symptom: a registration is lost, or made twice.
+        """A claim written after its daemon died must not cause a second run.
 
-        Sequence: the table service is slow; the daemon dies while it
-        waits; the caller repeats elsewhere. Cause: the claim of the dead
-        daemon lands, or not, after the repeat.
+        The daemon is killed while it waits for a slow table service, and the
+        caller repeats at another daemon. The dead daemon's claim may be
+        written before or after the repeat, or not at all.
         """
         fleet_calls.fault(own_fleet.platform_url, delay=1.5)
         first = fleet_fixtures.submit_order(
@@ -191,11 +192,11 @@
         executor: futures.Executor,
         running_order: "futures.Future[fleet_calls.Answer]",
     ) -> None:
-        """Symptom: a caller is told not-run of what another daemon may send.
+        """The outcome of a claim without a stored answer is unknown.
 
-        Sequence: a daemon has claimed, waits for a slot and dies; the
-        caller repeats elsewhere. Cause: a claim without an answer is taken
-        for one that was not sent.
+        A daemon writes its claim, waits for a slot and is killed. The daemon
+        that receives the repeat can't tell whether the request was forwarded,
+        so it must not report not-run.
         """
         first = fleet_fixtures.submit_order(
             executor, own_fleet.daemons[0], key
@@ -213,11 +214,11 @@
     def test_while_the_service_runs_it(
         self, own_fleet: _fleet.Fleet, key: str, executor: futures.Executor
     ) -> None:
-        """Symptom: a pick slip is printed twice.
+        """The claim of a dead daemon must not be taken over.
 
-        Sequence: the service runs the request; the daemon dies before the
-        answer; the caller repeats elsewhere. Cause: the dead daemon's
-        claim is taken over.
+        The service runs the request and the daemon is killed before the
+        answer. If another daemon takes over the claim on a repeat, the
+        request runs twice.
         """
         fleet_calls.fault(own_fleet.services[0].url, late=30.0, late_count=1)
         first = fleet_fixtures.submit_order(
@@ -238,11 +239,11 @@
     def test_past_its_deadline_and_thawed(
         self, fleet: _fleet.Fleet, key: str, executor: futures.Executor
     ) -> None:
-        """Symptom: a request runs after its caller was told otherwise.
+        """A resumed daemon must check the deadline before it forwards.
 
-        Sequence: a daemon waits for its claim and is frozen; the deadline
-        passes; it thaws with the claim in hand. Cause: it looks at the
-        claim, not at the time, and sends.
+        It is frozen while it waits for its claim to be written, and resumes
+        after the deadline with a valid claim. If it checks only the claim,
+        the request runs although its caller gets not-run.
         """
         daemon = fleet.daemons[2]
         with fleet_fixtures.faults(fleet.platform_url, delay=0.8):
@@ -273,11 +274,12 @@
         running_order: "futures.Future[fleet_calls.Answer]",
         owns_the_service: bool,
     ) -> None:
-        """Symptom: a charge runs minutes after its caller gave up.
+        """A slot granted after the deadline must not be used.
 
-        Sequence: a daemon has claimed and waits for a slot; it is frozen
-        past the deadline; the slot is granted; it thaws. Cause: the grant
-        is taken as leave to send.
+        A daemon with a written claim waits for a slot and is frozen until
+        after the deadline, while the slot is granted. If it relies on the
+        grant alone when it resumes, the request runs long after its caller
+        has given up.
         """
         entry = fleet_calls.replicas(own_fleet.daemons[0])["letters-0"]
         daemon = next(
--- a/tests/fleet/test_configuration_in_force.py
+++ b/tests/fleet/test_configuration_in_force.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere and stays."""
+"""An accepted configuration takes effect on all daemons and is kept."""
 
 from collections.abc import Callable
 from typing import Any
@@ -29,7 +29,7 @@
 
 
 def get_weight(daemon: _fleet.DaemonProcess, name: str) -> float | None:
-    """Give a team's weight as a daemon holds it, None without the row."""
+    """Return a team's weight on a daemon, None if it lacks the row."""
     answer = fleet_calls.operate(daemon, "GET", f"/v1/teams/{name}")
     if answer.status != 200:
         return None
@@ -38,7 +38,7 @@
 
 
 def get_revision(daemon: _fleet.DaemonProcess) -> int:
-    """Give the revision that a daemon holds."""
+    """Return the revision of a daemon's configuration."""
     answer = fleet_calls.operate(daemon, "GET", "/v1/config/status")
     revision: int = answer.document["revision"]
     return revision
@@ -47,7 +47,7 @@
 def wait_for_weight(
     daemons: list[_fleet.DaemonProcess], name: str, weight: float
 ) -> None:
-    """Wait until all daemons hold a weight."""
+    """Wait until all daemons have a team's weight."""
     fleet_fixtures.eventually(
         lambda: all(get_weight(d, name) == weight for d in daemons)
     )
@@ -62,11 +62,10 @@
     def test_in_force_on_all_daemons_while_the_store_flaps(
         self, large_fleet: _fleet.Fleet, team: str
     ) -> None:
-        """Symptom: an accepted edit holds on some daemons only.
+        """An accepted edit must reach all daemons while the store flaps.
 
-        Sequence: an edit is accepted; the store is up and down by turns.
-        Cause: a daemon learns of edits from the store alone, or takes a
-        failed read for an empty table.
+        It reached only some of them if daemons received edits from the store
+        alone, or treated a failed read as an empty table.
         """
         assert put_team(large_fleet.daemons[0], team, weight=2).status == 201
         revisions = []
@@ -90,10 +89,10 @@
     def test_survives_reads_of_an_older_revision(
         self, large_fleet: _fleet.Fleet, team: str
     ) -> None:
-        """Symptom: an accepted edit is gone again.
+        """A read of an older revision must not revert an accepted edit.
 
-        Sequence: a replica of the store lags and answers reads with the
-        rows of some revisions ago. Cause: what the store says last wins.
+        A lagging replica of the store answers reads with the rows of earlier
+        revisions. The edit is lost if the latest read always wins.
         """
         for weight in (2, 3, 4):
             answer = put_team(
@@ -115,10 +114,11 @@
     def test_concurrent_edits_of_one_row_conflict(
         self, large_fleet: _fleet.Fleet, team: str
     ) -> None:
-        """Symptom: an operator's edit disappears without a word.
+        """Of two concurrent edits of a row, one must be rejected.
 
-        Sequence: two operators read a row and send it back changed, each
-        to a daemon of their own. Cause: the later write wins.
+        Two operators read the same row and send different changes to
+        different daemons. If the later write wins, the first operator's edit
+        is lost without an error.
         """
         etag = put_team(large_fleet.daemons[0], team, weight=2).headers["etag"]
         wait_for_weight(large_fleet.daemons, team, 2)
@@ -139,11 +139,11 @@
     def test_store_response_lost_after_the_edit_was_committed(
         self, large_fleet: _fleet.Fleet, team: str
     ) -> None:
-        """Symptom: an edit is refused and in force, or made twice.
+        """A repeated edit must be recognized after its response was lost.
 
-        Sequence: the store commits the edit and its answer is lost; the
-        operator sends it again. Cause: the repeat is taken for another
-        edit.
+        The store commits the edit, its response is lost, and the operator
+        sends the edit again. If the repeat counts as another edit, it is
+        rejected as a conflict or applied twice.
         """
         before = get_revision(large_fleet.daemons[0])
         fleet_calls.fault(large_fleet.platform_url, lose_answers=1)
@@ -182,7 +182,7 @@
     def late_daemon(
         self, large_fleet: _fleet.Fleet
     ) -> Iterator[_fleet.DaemonProcess]:
-        """Replace a daemon while the store is down, the list still up."""
+        """Replace a daemon while only the store is down, not the list."""
         ended = large_fleet.daemons[-1]
         ended.process.kill()
         with fleet_fixtures.faults(large_fleet.platform_url, down=True):
@@ -195,10 +195,10 @@
     def test_table_is_read_from_peers(
         self, large_fleet: _fleet.Fleet, late_daemon: _fleet.DaemonProcess
     ) -> None:
-        """Symptom: an instance replaced during an outage refuses callers.
+        """A daemon that starts while the store is down must serve callers.
 
-        Sequence: a daemon starts while the store is down. Cause: it asks
-        only the store for its table.
+        If it reads the table only from the store, an instance replaced
+        during an outage rejects all of them.
         """
         fleet_fixtures.eventually(lambda: is_answering(late_daemon))
         assert get_revision(late_daemon) == get_revision(
@@ -225,7 +225,7 @@
 
 
 def wait_for_reads(fleet: _fleet.Fleet, count: int) -> None:
-    """Wait until the table service has answered so many reads more."""
+    """Wait until the table service has answered this many further reads."""
     expected = read_count(fleet) + count
     fleet_fixtures.eventually(lambda: read_count(fleet) >= expected)
 
--- a/tests/fleet/test_crashing_chats.py
+++ b/tests/fleet/test_crashing_chats.py
@@ -1,4 +1,4 @@
-"""A chat that ends engines, in a fleet of the product's own daemons."""
+"""A chat that crashes engines is blocked across a fleet of daemons."""
 
 import itertools
 from typing import Iterator
@@ -15,14 +15,14 @@
 _QUESTION = "the one that ends engines"
 _ENGINES = 4
 _ASKED = 8
-# Three attempts show it; the first of them may end a second engine, and each
-# of the others one before its daemon has been told.
+# Three attempts identify the chat. The first of them may crash a second
+# engine, and each of the others one before its daemon is notified.
 _MOST_ENDED = 6
 
 
 @pytest.fixture
 def fleet() -> Iterator[_fleet.Fleet]:
-    """Give daemons before engines that one question ends."""
+    """Return a fleet whose engines crash on one question."""
     described = fleet_fixtures.deployment(
         daemons=3, engines=_ENGINES, services=0
     )
@@ -33,12 +33,12 @@
 
 
 def arm(engine: _fleet.TargetProcess) -> None:
-    """Have an engine end at the question."""
+    """Have an engine crash on the question."""
     fleet_calls.fault(engine.url, crash_text=_QUESTION)
 
 
 def replace_ended(fleet: _fleet.Fleet) -> int:
-    """Start a new engine for each that has ended; give how many there were."""
+    """Replace each engine that has exited; return how many there were."""
     (pool,) = fleet.deployment.pools
     ended = [one for one in fleet.engines if not one.process.is_running()]
     for engine in ended:
@@ -49,7 +49,7 @@
 
 
 def is_served(daemon: _fleet.DaemonProcess) -> bool:
-    """Say whether an ordinary chat is answered."""
+    """Return whether a daemon answers an ordinary chat."""
     return fleet_fixtures.chat(daemon).ending is fleet_calls.Ending.WHOLE
 
 
@@ -57,9 +57,10 @@
     def test_few_engines_get_it_whichever_daemon_it_comes_to(
         self, fleet: _fleet.Fleet
     ) -> None:
-        """A chat ended up to four engines at each of its attempts.
+        """A chat that crashes engines must be blocked by all daemons.
 
-        Its caller asked again at another daemon, which knew nothing of it.
+        Each attempt crashed up to four engines. The caller then retried at
+        another daemon, which had no record of the earlier crashes.
         """
         ended = 0
         answers = []
@@ -76,7 +77,10 @@
     def test_daemon_that_starts_later_blocks_it(
         self, fleet: _fleet.Fleet
     ) -> None:
-        """What daemons have learnt must outlast them."""
+        """A daemon started later must block the chat from its crash records.
+
+        The records must outlive the daemons that made them.
+        """
         for number in range(_ASKED):
             daemon = fleet.daemons[number % 3]
             fleet_fixtures.eventually(lambda: is_served(daemon))
--- a/tests/fleet/test_crashing_requests.py
+++ b/tests/fleet/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that ends replicas reaches few of them, in a fleet of daemons."""
+"""A request that crashes replicas reaches few of them across a fleet."""
 
 from http import client as http_client
 import os
@@ -20,14 +20,14 @@
 _DAEMONS = 3
 _REPLICAS = 4
 _REQUESTS = 10
-# Three ends show what the request does. Three more may come before every
-# daemon has heard of them.
+# Three crashes identify the request. Three more may happen before every daemon
+# has received the records of them.
 _MAX_CRASHED = 6
 
 
 @pytest.fixture
 def world(tmp_path: pathlib.Path) -> Iterator[_world.World]:
-    """Give daemons, and replicas that they connect to without a link."""
+    """Return a world whose daemons connect to replicas without a link."""
     created = _world.World(
         folder=tmp_path,
         daemons=_DAEMONS,
@@ -42,7 +42,7 @@
 
 
 def send_request(daemon: _world.Daemon, path: str, body: bytes) -> int:
-    """Send a request; give the answer's status, 0 if there is no whole one."""
+    """Send a request; return its status, 0 without a complete response."""
     connection = http_client.HTTPConnection(
         daemon.host, daemon.port, timeout=10.0
     )
@@ -64,7 +64,7 @@
 
 
 def wait_until_served(world: _world.World, daemon: _world.Daemon) -> None:
-    """Wait until a daemon has a replica for an ordinary request."""
+    """Wait until a daemon serves an ordinary request."""
 
     def is_served() -> bool:
         world.replace_ended()
@@ -76,7 +76,7 @@
 def send_to_daemons_in_turn(
     world: _world.World, path: str, times: int
 ) -> None:
-    """Send a request that ends replicas to one daemon after the other."""
+    """Send the crashing request to one daemon after the other."""
     for number in range(times):
         daemon = world.daemons[number % _DAEMONS]
         wait_until_served(world, daemon)
@@ -84,7 +84,7 @@
 
 
 def crashed_replicas(world: _world.World, path: str) -> int:
-    """Count the replicas that began to run the requests of a path."""
+    """Count the replicas that began to run requests of a path."""
     lines = (world.folder / "runs.txt").read_text().splitlines()
     return len({line.split()[1] for line in lines if line.endswith(path)})
 
@@ -93,12 +93,13 @@
     def test_few_replicas_crash_with_several_daemons(
         self, world: _world.World
     ) -> None:
-        """Ten replicas ended in eleven seconds, and two more series followed.
+        """A request sent to several daemons must crash only few replicas.
 
-        At each end one and the same request had just begun to run: "failed
-        with target_truncated after 0.153 s", the head of an answer and no
-        event. It came again from its caller under a new id each time, at
-        seven of nine daemons, and each daemon took it for a new request.
+        Ten replicas crashed within eleven seconds, and two more series
+        followed. Each crash came just after the same request had begun to
+        run: "failed with target_truncated after 0.153 s", with the head of a
+        response and no event. The caller retried it under a new id each time,
+        at seven of nine daemons, and each daemon treated it as a new request.
         """
         path = f"{_expected.STREAM}plan"
         send_to_daemons_in_turn(world, path, _REQUESTS)
@@ -107,11 +108,11 @@
     def test_few_replicas_crash_when_it_is_retried(
         self, world: _world.World
     ) -> None:
-        """One attempt of a caller ended three replicas.
+        """Retries by the daemon must not multiply the crashes.
 
-        Where a request may be repeated, the daemon that took it sends it to
-        a second and a third replica when the first one ends: "another
-        replica of soak is tried".
+        One attempt of a caller crashed three replicas. The daemon retries an
+        idempotent request on a second and a third replica when the first one
+        crashes: "another replica of soak is tried".
         """
         path = f"{_expected.READ}plan"
         send_to_daemons_in_turn(world, path, _REQUESTS)
@@ -120,10 +121,11 @@
     def test_few_replicas_crash_after_all_daemons_restart(
         self, world: _world.World
     ) -> None:
-        """What a daemon learns of a request ends with its process.
+        """Crash records must survive a restart of all daemons.
 
-        Daemons have no disk, and all may be killed in one moment. A request
-        that was known to end replicas would then end as many again.
+        Daemons have no disk, and all may be killed at the same time. Without
+        stored records, an identified request would crash as many replicas
+        again.
         """
         path = f"{_expected.ONCE}plan"
         send_to_daemons_in_turn(world, path, _REQUESTS // 2)
@@ -157,7 +159,7 @@
 
 
 def run_command(world: _world.World, flag: str) -> str:
-    """Run the daemon's program on an instance to look or to release."""
+    """Run the daemon's program with a flag that lists or releases requests."""
     completed = subprocess.run(
         [sys.executable, "platform/topazlugd.py", flag],
         cwd=_world.ROOT,
--- a/tests/fleet/test_graceful_stop.py
+++ b/tests/fleet/test_graceful_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts off nothing."""
+"""A planned stop interrupts no call."""
 
 from concurrent import futures
 from typing import Iterator
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def own_fleet() -> Iterator[_fleet.Fleet]:
-    """Give a fleet of its own to a test that ends daemons."""
+    """Return a fleet for a single test, which may end daemons."""
     deployment = fleet_fixtures.deployment(
         daemons=3, slots=200, token_interval=0.01
     )
@@ -29,10 +29,10 @@
 
 class TestStopUnderStreams:
     def test_open_streams_finish_whole(self, own_fleet: _fleet.Fleet) -> None:
-        """Symptom: calls fall silent whenever an instance is replaced.
+        """A daemon that is asked to stop must finish its open streams.
 
-        Sequence: a daemon with 200 streams is told to stop. Cause: it ends
-        with the process, and not with the last stream.
+        If the process exits before the last of 200 streams has ended, callers
+        lose their calls whenever an instance is replaced.
         """
         daemon = own_fleet.daemons[0]
         with futures.ThreadPoolExecutor(STREAMS) as executor:
@@ -54,11 +54,11 @@
 
 class TestStopWithUnacceptedConnections:
     def test_they_are_served(self, own_fleet: _fleet.Fleet) -> None:
-        """Symptom: during a release some calls break without any answer.
+        """Connections in the accept queue must be served before a stop.
 
-        Sequence: callers have connected and sent their requests; the
-        daemon, busy, has not accepted all of them; it is told to stop.
-        Cause: with its listener, the kernel resets what waits there.
+        A busy daemon is asked to stop while callers have connected and sent
+        requests that it has not accepted. When the listener is closed, the
+        kernel resets these connections, so calls break without a response.
         """
         daemon = own_fleet.daemons[0]
         daemon.process.freeze()
@@ -86,11 +86,10 @@
 
 class TestRollingReplacement:
     def test_no_call_fails(self, own_fleet: _fleet.Fleet) -> None:
-        """Symptom: calls fail during each release.
+        """No call may fail while each daemon is replaced under load.
 
-        Sequence: under load, each daemon is stopped and another takes its
-        place. Cause: a connection that waits to be accepted is reset, or
-        work is sent to a daemon that has gone.
+        Calls fail if a connection in the accept queue is reset, or if a
+        request is sent to a daemon that has exited.
         """
         with fleet_load.Load(own_fleet, callers=12) as load:
             for number in range(len(own_fleet.daemons)):
@@ -108,7 +107,7 @@
 def open_streams(
     executor: futures.Executor, daemon: _fleet.DaemonProcess
 ) -> list["futures.Future[fleet_calls.Answer]"]:
-    """Ask until enough streams are open; who is refused asks again."""
+    """Open streams until there are enough, retrying rejected ones."""
     requests = []
     while len(requests) < STREAMS:
         missing = min(BATCH_SIZE, STREAMS - len(requests))
--- a/tests/fleet/test_intruders.py
+++ b/tests/fleet/test_intruders.py
@@ -1,4 +1,4 @@
-"""Nobody gets in without the secret, a key or a token."""
+"""Access is denied without the peer secret, an API key or a token."""
 
 import socket
 import struct
@@ -25,7 +25,7 @@
 
 
 def send_to_peer_port(daemon: _fleet.DaemonProcess, data: bytes) -> bytes:
-    """Send bytes to the peers' port, and give all until it is closed."""
+    """Send bytes to the peer port; return all bytes received until close."""
     address = (_fleet.HOST, daemon.peers_port)
     received = b""
     with socket.create_connection(address, timeout=10.0) as sock:
@@ -39,7 +39,7 @@
 
 
 def check_healthy(fleet: _fleet.Fleet, daemon: _fleet.DaemonProcess) -> None:
-    """Check that a daemon serves and counts exactly."""
+    """Check that a daemon serves chats and its counts return to zero."""
     assert fleet_fixtures.chat(daemon).ending is fleet_calls.Ending.WHOLE
     fleet_fixtures.eventually(lambda: fleet_fixtures.is_idle(daemon))
     assert fleet_fixtures.agree_on_owners(fleet.daemons)
@@ -57,10 +57,10 @@
         check_healthy(fleet, daemon)
 
     def test_hello_without_proof(self, fleet: _fleet.Fleet) -> None:
-        """Symptom: a stranger's words count as a daemon's.
+        """Messages must be rejected until the peer has proven the secret.
 
-        Sequence: somebody says hello under a daemon's name and goes on
-        with messages at once. Cause: the hello is taken for the proof.
+        An intruder sends Hello under a daemon's name, followed at once by
+        other messages. Accepting Hello as authentication would let them in.
         """
         daemon = fleet.daemons[0]
         hello = {
@@ -85,7 +85,7 @@
     def foreign_daemon(
         self, fleet: _fleet.Fleet
     ) -> Iterator[_fleet.DaemonProcess]:
-        """Start a daemon with another secret, on the same platform."""
+        """Start a daemon with a different secret on the same platform."""
         settings = fleet.daemon_settings(90)
         settings["peers"]["secret"] = "not-the-secret-of-this-fleet"
         daemon = fleet.start_daemon(90, settings)
@@ -97,10 +97,10 @@
     def test_daemon_with_the_wrong_secret(
         self, fleet: _fleet.Fleet, foreign_daemon: _fleet.DaemonProcess
     ) -> None:
-        """Symptom: a stranger on the list owns replicas.
+        """A daemon with a different secret must not own replicas.
 
-        Sequence: a daemon with another secret enters itself on the list.
-        Cause: whom the list shows is taken for a peer for good.
+        It registers itself in the instance list. It becomes an owner if every
+        listed daemon stays a peer whether or not it can authenticate.
         """
         wrong = "wrong proof"
         fleet_fixtures.eventually(
@@ -146,7 +146,7 @@
 
 
 def rejected_connections(daemon: _fleet.DaemonProcess) -> int:
-    """Count the logged refusals of connections from peers."""
+    """Count the log lines about rejected connections from peers."""
     return daemon.process.log.count("warning topazlug.peers connection from")
 
 
--- a/tests/fleet/test_leaving_targets.py
+++ b/tests/fleet/test_leaving_targets.py
@@ -1,4 +1,4 @@
-"""A target that is leaving gets no new work on any daemon."""
+"""A target that is leaving gets no new chats from any daemon."""
 
 import json
 from typing import Iterator
@@ -17,7 +17,7 @@
 
 
 class ListedEngine:
-    """An engine that is on the list only as the test says."""
+    """An engine whose entry in the instance list is set by the test."""
 
     def __init__(self, fleet: _fleet.Fleet, name: str) -> None:
         self.name = name
@@ -40,11 +40,11 @@
         return process
 
     def restart(self) -> None:
-        """Start it anew where it was, after it has ended."""
+        """Start it again on the same port after it has ended."""
         self.process = self._start_process(self.target.port)
 
     def list_as(self, state: str) -> None:
-        """Put it on the list; each time it is live it is a new one."""
+        """List it with a state; each `live` is a new incarnation."""
         self._incarnation += state == "live"
         instance = {
             "id": self.name,
@@ -62,7 +62,7 @@
         self._send("PUT", body)
 
     def take_off_list(self) -> None:
-        """Take it off the list."""
+        """Remove it from the list."""
         self._send("DELETE", b"")
 
     def _send(self, method: str, body: bytes) -> None:
@@ -76,7 +76,7 @@
 
 @pytest.fixture
 def listed_engine(large_fleet: _fleet.Fleet) -> Iterator[ListedEngine]:
-    """Give an engine beside the fleet's own, used by all daemons."""
+    """Return an additional engine that all daemons use."""
     name = fleet_fixtures.new_key()
     engine = ListedEngine(large_fleet, name)
     engine.list_as("live")
@@ -90,13 +90,13 @@
 
 
 def states(fleet: _fleet.Fleet, replica: str) -> set[str]:
-    """Give what the daemons say of a replica."""
+    """Return the states that the daemons report for a replica."""
     views = [fleet_calls.replicas(daemon) for daemon in fleet.daemons]
     return {found[replica]["state"] for found in views if replica in found}
 
 
 def is_live_on_all_daemons(fleet: _fleet.Fleet, replica: str) -> bool:
-    """Tell whether all daemons give a replica new work."""
+    """Return whether all daemons report a replica as live."""
     views = [fleet_calls.replicas(daemon) for daemon in fleet.daemons]
     return all(
         replica in found and found[replica]["state"] == "live"
@@ -105,13 +105,13 @@
 
 
 def chats_received(target: _fleet.TargetProcess) -> int:
-    """Count the chats that an engine started or refused."""
+    """Count the chats that an engine started or rejected."""
     events = ("start", "refused")
     return sum(e["event"] in events for e in fleet_calls.journal(target))
 
 
 def chat_on_all_daemons(fleet: _fleet.Fleet) -> list[fleet_calls.Answer]:
-    """Ask new chats through each daemon."""
+    """Send new chats through each daemon."""
     return fleet_fixtures.run_concurrently(
         [
             lambda daemon=daemon: fleet_fixtures.chat(daemon, tokens=1)
@@ -123,7 +123,7 @@
 def expect_no_new_work(
     fleet: _fleet.Fleet, target: _fleet.TargetProcess
 ) -> None:
-    """Wait until all daemons know; then nothing may come."""
+    """Check that a target gets no chats once all daemons are notified."""
     fleet_fixtures.eventually(
         lambda: not states(fleet, target.name) & {"live", "suspected"}
     )
@@ -144,11 +144,11 @@
     def test_from_the_engine_itself(
         self, large_fleet: _fleet.Fleet, listed_engine: ListedEngine
     ) -> None:
-        """Symptom: chats are cut off when an engine goes.
+        """All daemons must respect an engine's own report that it is leaving.
 
-        Sequence: an engine says that it leaves while the list shows
-        nothing new for long. Cause: only the list is believed, or only
-        the daemon that asked the engine knows.
+        The engine reports it while the list is down. Chats are interrupted
+        when it exits if daemons rely on the list alone, or if only the daemon
+        that polled the engine is notified.
         """
         with fleet_fixtures.faults(large_fleet.platform_url, down_list=True):
             _fleet.post(f"{listed_engine.target.url}/admin/leave", {})
@@ -177,10 +177,10 @@
     def test_from_unreachability(
         self, large_fleet: _fleet.Fleet, listed_engine: ListedEngine
     ) -> None:
-        """Symptom: some chats wait in vain for an engine that is gone.
+        """All daemons must be notified of an engine that was killed.
 
-        Sequence: an engine is killed, and the list goes on showing it.
-        Cause: each daemon has to find out by itself, with a caller's chat.
+        The list still shows it. If each daemon has to detect the failure by
+        itself, a chat at each of them waits for a dead engine first.
         """
         with fleet_fixtures.faults(large_fleet.platform_url, down_list=True):
             listed_engine.process.kill()
@@ -195,11 +195,11 @@
     def test_chats_do_not_move_with_each_return(
         self, large_fleet: _fleet.Fleet, listed_engine: ListedEngine
     ) -> None:
-        """Symptom: chats lose their context again and again.
+        """Chats must not follow each restart of a flapping engine.
 
-        Sequence: an engine dies and comes back, several times over; its
-        chats go away and return with it each time. Cause: a return counts
-        at once, however often the engine went before.
+        An engine dies and returns several times. If each return takes effect
+        at once, its chats move away and back every time and lose their
+        context.
         """
         chat_id = find_chat_with_home(large_fleet, listed_engine.name)
         visited = [listed_engine.name]
@@ -223,8 +223,9 @@
             previous != current
             for previous, current in zip(visited, visited[1:])
         )
-        # Away, back after the first return, and away for good: from the
-        # second return on it must stay up for longer than it does here.
+        # Three moves: away, back after the first return, and away for good.
+        # From the second return on, the engine would have to stay up longer
+        # than it does here.
         assert moves <= 3, " ".join(visited)
 
 
@@ -236,7 +237,7 @@
     *,
     is_dead: bool,
 ) -> None:
-    """Go on asking a chat until its daemon knows how a replica does."""
+    """Repeat a chat until its daemon has detected a replica's state."""
 
     def has_state() -> bool:
         visited.append(send_chat(fleet, chat_id))
@@ -247,14 +248,14 @@
 
 
 def send_chat(fleet: _fleet.Fleet, chat_id: str) -> str:
-    """Ask a chat through one daemon, and tell where it went."""
+    """Send a chat through one daemon; return the replica that served it."""
     answer = fleet_fixtures.chat(fleet.daemons[0], chat_id=chat_id, tokens=1)
     assert answer.ending is fleet_calls.Ending.WHOLE
     return answer.headers["topazlug-replica"]
 
 
 def find_chat_with_home(fleet: _fleet.Fleet, replica: str) -> str:
-    """Find a chat whose home is a replica."""
+    """Return a chat whose home is a replica."""
     for _ in range(200):
         chat_id = fleet_fixtures.new_question()
         if send_chat(fleet, chat_id) == replica:
--- a/tests/fleet/test_owner_loss.py
+++ b/tests/fleet/test_owner_loss.py
@@ -1,4 +1,4 @@
-"""An owner that dies, freezes or is cut off loses no request."""
+"""No request is lost when an owner dies, freezes or is partitioned."""
 
 from collections import Counter
 import time
@@ -18,14 +18,14 @@
 
 @pytest.fixture
 def own_fleet() -> Iterator[_fleet.Fleet]:
-    """Give a fleet of its own to a test that ends or freezes daemons."""
+    """Return a fleet for a single test, which may end or freeze daemons."""
     deployment = fleet_fixtures.deployment(daemons=4, engines=4, services=1)
     with _fleet.Fleet(deployment) as started:
         yield started
 
 
 def busiest_owner(fleet: _fleet.Fleet) -> _fleet.DaemonProcess:
-    """Give the daemon that owns the most engines."""
+    """Return the daemon that owns the most engines."""
     found = fleet_calls.replicas(fleet.daemons[0]).values()
     owners = Counter(e["owner"] for e in found if e["group"] == "pool")
     name = owners.most_common(1)[0][0]
@@ -33,7 +33,7 @@
 
 
 def wait_until_idle(daemons: list[_fleet.DaemonProcess]) -> None:
-    """Wait until all agree on the owners, and no place is counted."""
+    """Wait until all agree on the owners and count no slot as held."""
     fleet_fixtures.eventually(
         lambda: fleet_fixtures.agree_on_owners(daemons)
         and all(fleet_fixtures.is_idle(daemon) for daemon in daemons)
@@ -44,11 +44,11 @@
     def test_no_request_is_lost_and_no_slot_leaks(
         self, own_fleet: _fleet.Fleet
     ) -> None:
-        """Symptom: calls fail, and a replica looks full for ever.
+        """The death of an owner must not fail calls or leak slots.
 
-        Sequence: the owner of replicas dies under load, through which
-        nobody calls just then. Cause: entry daemons wait for it, or its
-        successor never learns that places were given back.
+        The owner, through which no call enters just then, is killed under
+        load. Calls fail if entry daemons wait for it, and a replica seems
+        full forever if its successor isn't notified of released slots.
         """
         owner = busiest_owner(own_fleet)
         own_fleet.daemons.remove(owner)
@@ -62,10 +62,11 @@
 
 class TestEntryKilled:
     def test_its_slots_are_released(self, own_fleet: _fleet.Fleet) -> None:
-        """Symptom: replicas look fuller with each instance that dies.
+        """Slots held by a daemon that died must be released.
 
-        Sequence: a daemon dies with streams open. Cause: nobody is left
-        to give back its places.
+        A daemon is killed with streams open and can't release their slots
+        itself. If nothing else does, replicas appear fuller with each
+        instance that dies.
         """
         killed = own_fleet.daemons.pop()
         streams = [
@@ -80,11 +81,12 @@
     def test_no_request_is_lost_and_no_slot_leaks(
         self, own_fleet: _fleet.Fleet
     ) -> None:
-        """Symptom: calls stall, then a replica is swamped.
+        """A frozen owner must not stall calls or overload replicas.
 
-        Sequence: an owner stops running for seconds, is passed over, and
-        wakes. Cause: its silence is waited for again and again, or it
-        goes on admitting what another has taken over.
+        The owner is frozen for seconds, replaced by another and resumed.
+        Calls stall if each waits for the unresponsive owner again. A replica
+        is overloaded if the resumed owner still admits requests to replicas
+        that another owner has taken over.
         """
         owner = busiest_owner(own_fleet)
         all_daemons = list(own_fleet.daemons)
@@ -103,7 +105,7 @@
 class TestNetworkPartition:
     @pytest.fixture
     def split_fleet(self) -> Iterator[_fleet.Fleet]:
-        """Give a fleet of two groups whose links can be cut."""
+        """Return a fleet of two groups whose links can be cut."""
         deployment = fleet_fixtures.deployment(daemons=4)
         groups = ((0, 1), (2, 3))
         with _fleet.Fleet(deployment, groups=groups) as started:
@@ -113,11 +115,11 @@
     def test_groups_rejoin(
         self, split_fleet: _fleet.Fleet, fault: str
     ) -> None:
-        """Symptom: after a cut, two daemons admit onto one replica.
+        """Daemons must rediscover each other after a network partition.
 
-        Sequence: two groups of daemons can't reach each other, each takes
-        the other for dead, and both serve; then the links are whole again.
-        Cause: nobody asks the dead whether they live.
+        Two groups of daemons can't reach each other, regard each other as
+        dead, and both serve until the links work again. If no daemon contacts
+        those regarded as dead, two owners go on admitting to one replica.
         """
         with fleet_load.Load(split_fleet) as load:
             load.wait_for_more(20)
@@ -143,7 +145,7 @@
 
 
 def live_daemons(fleet: _fleet.Fleet, number: int) -> set[int]:
-    """Give the numbers of the daemons that one takes for live."""
+    """Return the numbers of the daemons that one daemon reports as live."""
     daemon = fleet.daemons[number]
     answer = fleet_calls.operate(daemon, "GET", "/v1/status")
     return {
@@ -156,7 +158,7 @@
 def kill_when_busy(
     daemon: _fleet.DaemonProcess, count: int
 ) -> fleet_calls.Answer:
-    """Kill a daemon once so many requests are in progress."""
+    """Kill a daemon once this many requests are in progress."""
     fleet_fixtures.eventually(
         lambda: fleet_fixtures.in_flight(daemon) == count
     )
--- a/tests/fleet/test_quiet_replicas.py
+++ b/tests/fleet/test_quiet_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas say in answers that they want nothing, and get nothing."""
+"""Replicas that report leaving or a backoff in a response get no requests."""
 
 from http import client as http_client
 import pathlib
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def world(tmp_path: pathlib.Path) -> Iterator[_world.World]:
-    """Give daemons, and replicas that are listed as serving."""
+    """Return a world whose replicas are all listed as serving."""
     created = _world.World(
         folder=tmp_path,
         daemons=_DAEMONS,
@@ -44,11 +44,11 @@
     for _ in range(_MAX_REQUESTS):
         if send_request(daemon, _expected.READ)[1] == 200:
             return
-    raise AssertionError("a daemon serves nobody")
+    raise AssertionError("daemon served no request")
 
 
 def send_request(daemon: _world.Daemon, path: str) -> tuple[str, int]:
-    """Send a request; give its attempt and status, 0 if there is none."""
+    """Send a request; return its attempt and status, 0 without a response."""
     attempt = uuid.uuid4().hex
     fields = {
         "Host": _clients.HOST,
@@ -73,20 +73,20 @@
 def send_until_reported(
     world: _world.World, daemon: _world.Daemon, kind: str
 ) -> float:
-    """Ask until an answer to a daemon says a word; give when it did."""
+    """Send requests until a replica reports a state; return the time."""
     attempts: set[str] = set()
     for number in range(_MAX_REQUESTS):
         attempts.add(send_request(daemon, _PATHS[number % len(_PATHS)])[0])
         for one in world.reports():
             if one.kind == kind and one.attempt in attempts:
                 return one.at
-    raise AssertionError(f"no answer said {kind!r}")
+    raise AssertionError(f"no response reported {kind!r}")
 
 
 def arrivals(
     world: _world.World, replica: _world.Replica, attempts: list[str]
 ) -> list[float]:
-    """Give when a replica got some attempts, whether it ran them or not."""
+    """Return when attempts reached a replica, also those it rejected."""
     rejected = [(one.at, one.replica, one.attempt) for one in world.reports()]
     return sorted(
         at
@@ -99,7 +99,10 @@
     def test_no_request_after_leaving_was_reported(
         self, world: _world.World
     ) -> None:
-        """Requests reach a replica for as long as its entry is old."""
+        """A daemon must respect a report of leaving before the entry changes.
+
+        Requests went on reaching the replica until its entry was updated.
+        """
         leaving = world.replicas[0]
         leaving.process.send(signal.SIGUSR2)
         for daemon in world.daemons:
@@ -113,7 +116,10 @@
 
 class TestBackoff:
     def test_no_request_during_a_backoff(self, world: _world.World) -> None:
-        """Requests reach a replica that has asked for a backoff."""
+        """A daemon must send no request to a replica during its backoff.
+
+        Requests went on reaching replicas that had requested a backoff.
+        """
         rejecting = world.replicas[0]
         rejecting.process.send(signal.SIGUSR1)
         for daemon in world.daemons:
--- a/tests/fleet/test_store_outage.py
+++ b/tests/fleet/test_store_outage.py
@@ -1,4 +1,4 @@
-"""While the table service is down, only claims are refused."""
+"""While the table service is down, only claims are rejected."""
 
 import time
 
@@ -17,11 +17,11 @@
     def test_chats_succeed_and_claims_are_rejected(
         self, fleet: _fleet.Fleet
     ) -> None:
-        """Symptom: all callers hear silence while the store is down.
+        """A long outage of the platform must not stop chats.
 
-        Sequence: the platform's services are down for long, the list of
-        instances among them. Cause: a request waits for a read or a write
-        that it does not need.
+        All platform services are down, including the instance list. Callers
+        get no response if a request waits for a read or a write that it
+        doesn't need.
         """
         key = fleet_fixtures.new_key()
         rejected = []
@@ -46,10 +46,10 @@
     def test_chats_succeed_with_a_slow_store(
         self, fleet: _fleet.Fleet
     ) -> None:
-        """Symptom: chats crawl while the store is slow.
+        """A slow platform must not slow down chats.
 
-        Sequence: each answer of the platform takes seconds. Cause: the
-        chat's path waits for the platform.
+        Each response of the platform takes seconds. Chats are delayed if
+        handling them includes waiting for the platform.
         """
         with fleet_fixtures.faults(fleet.platform_url, delay=5.0):
             answers = [fleet_fixtures.chat(d) for d in fleet.daemons * 3]
