--- a/bench/experiments/proofs.py
+++ b/bench/experiments/proofs.py
@@ -128,7 +128,7 @@
 
 def _stall(fleet: _fleet.Fleet, stalled: bool) -> None:
     for engine in fleet.engines:
-        fleet_calls.fault(engine.url, stalled=stalled)
+        fleet_calls.set_faults(engine.url, stalled=stalled)
 
 
 def prove_leaving(*, list_lag: float) -> dict[str, Any]:
@@ -317,13 +317,17 @@
         with proof_load.Load(fleet.daemons, callers=18, pause=0.05) as load:
             time.sleep(5.0)
             begin = time.monotonic()
-            fleet_calls.fault(fleet.platform_url, down=True, down_list=True)
+            fleet_calls.set_faults(
+                fleet.platform_url, down=True, down_list=True
+            )
             while time.monotonic() < begin + seconds:
                 daemon = fleet.daemons[len(orders) % len(fleet.daemons)]
                 orders.append(_order(daemon))
                 time.sleep(0.1)
             end = time.monotonic()
-            fleet_calls.fault(fleet.platform_url, down=False, down_list=False)
+            fleet_calls.set_faults(
+                fleet.platform_url, down=False, down_list=False
+            )
             recovered = _wait(lambda: _order(fleet.daemons[0]).status == 200)
         ran = sum(len(fleet_calls.journal(s)) for s in fleet.services)
     refused = sum(
--- a/bench/experiments/routing.py
+++ b/bench/experiments/routing.py
@@ -116,7 +116,7 @@
             for load in self._loads:
                 load.kill()
         for engine in self._fleet.engines:
-            self._watcher.take_journal(engine)
+            self._watcher.collect_journal(engine)
         self._tell_ended()
         return self._sum_up(phases, readings, results)
 
@@ -174,7 +174,7 @@
 
     def _go_through(
         self, phases: list[workload.Phase]
-    ) -> list[watching.Reading]:
+    ) -> list[watching.UsageSnapshot]:
         readings = []
         for phase in phases:
             gevent.sleep(max(0.0, phase.start - time.time()))
@@ -199,7 +199,7 @@
     def _sum_up(
         self,
         phases: list[workload.Phase],
-        readings: list[watching.Reading],
+        readings: list[watching.UsageSnapshot],
         results: list[records.LoadResult],
     ) -> records.RunResult:
         span = phases[-1].end - phases[0].start
--- a/bench/experiments/scenarios.py
+++ b/bench/experiments/scenarios.py
@@ -134,7 +134,7 @@
         return engine
 
     def _end(self, engine: _fleet.TargetProcess) -> None:
-        self._watcher.take_journal(engine)
+        self._watcher.collect_journal(engine)
         engine.process.kill()
         self._watcher.note(engine, journals.GONE)
         self._fleet.engines.remove(engine)
--- a/bench/fleets/fleet_calls.py
+++ b/bench/fleets/fleet_calls.py
@@ -237,6 +237,6 @@
     return found
 
 
-def fault(url: str, **switches: Any) -> None:
+def set_faults(url: str, **switches: Any) -> None:
     """Set fault switches of a stand-in."""
     _fleet.post(f"{url}/faults", switches)
--- a/bench/fleets/watching.py
+++ b/bench/fleets/watching.py
@@ -25,7 +25,7 @@
     waiting: int
 
 
-class Spent(msgspec.Struct, frozen=True, kw_only=True):
+class ResourceUsage(msgspec.Struct, frozen=True, kw_only=True):
     """What a process had spent at a time."""
 
     processor: float = 0.0
@@ -34,12 +34,12 @@
     received: float = 0.0
 
 
-class Reading(msgspec.Struct, frozen=True, kw_only=True):
+class UsageSnapshot(msgspec.Struct, frozen=True, kw_only=True):
     """What all processes had spent at a time, by name."""
 
     at: float
-    daemons: dict[str, Spent]
-    engines: dict[str, Spent]
+    daemons: dict[str, ResourceUsage]
+    engines: dict[str, ResourceUsage]
 
 
 @final
@@ -76,7 +76,7 @@
             journals.Sample(at, engine.name, load.running, load.waiting)
         )
 
-    def take_journal(self, engine: _fleet.TargetProcess) -> None:
+    def collect_journal(self, engine: _fleet.TargetProcess) -> None:
         """Keep an engine's journal; call it before the engine ends."""
         data = _fleet.get(f"{engine.url}/journal", timeout=10.0)
         for event in msgspec.json.decode(data, type=list[journals.Event]):
@@ -88,9 +88,9 @@
         """Note that an engine now leaves or has gone."""
         self.events.append(journals.Event(time.time(), event, 0, engine.name))
 
-    def read(self) -> Reading:
+    def read(self) -> UsageSnapshot:
         """Read what all processes have spent."""
-        return Reading(
+        return UsageSnapshot(
             at=time.time(),
             daemons={
                 daemon.name: _spent_by_daemon(daemon)
@@ -103,23 +103,25 @@
         )
 
 
-def _spent(pid: int) -> Spent:
+def _spent(pid: int) -> ResourceUsage:
     try:
         process = psutil.Process(pid)
         times = process.cpu_times()
         resident = process.memory_info().rss / _MEGABYTE
     except psutil.Error:
-        return Spent()
-    return Spent(processor=times.user + times.system, resident=resident)
+        return ResourceUsage()
+    return ResourceUsage(
+        processor=times.user + times.system, resident=resident
+    )
 
 
-def _spent_by_daemon(daemon: _fleet.DaemonProcess) -> Spent:
+def _spent_by_daemon(daemon: _fleet.DaemonProcess) -> ResourceUsage:
     spent = _spent(daemon.process.pid)
     try:
         url = f"{daemon.administration_url}/metrics"
         text = _fleet.get(url, timeout=_TIMEOUT).decode()
     except OSError:
-        return Spent()
+        return ResourceUsage()
     return msgspec.structs.replace(
         spent, sent=metric(text, _SENT), received=metric(text, _RECEIVED)
     )
@@ -132,7 +134,7 @@
 
 
 def daemon_figures(
-    before: Reading, after: Reading
+    before: UsageSnapshot, after: UsageSnapshot
 ) -> dict[str, records.ProcessFigures]:
     """Give what each daemon spent between two readings, a second.
 
@@ -141,7 +143,7 @@
     seconds = after.at - before.at
     figures = {}
     for name, late in after.daemons.items():
-        early = before.daemons.get(name, Spent())
+        early = before.daemons.get(name, ResourceUsage())
         if not late.sent or not early.sent:
             continue
         figures[name] = records.ProcessFigures(
@@ -153,10 +155,10 @@
     return figures
 
 
-def engines_processor(before: Reading, after: Reading) -> float:
+def engines_processor(before: UsageSnapshot, after: UsageSnapshot) -> float:
     """Give the cores that the engines kept busy between two readings."""
     spent = 0.0
     for name, late in after.engines.items():
-        early = before.engines.get(name, Spent())
+        early = before.engines.get(name, ResourceUsage())
         spent += max(0.0, late.processor - early.processor)
     return spent / (after.at - before.at)
--- a/bench/reports/summary.py
+++ b/bench/reports/summary.py
@@ -42,8 +42,8 @@
     phase: workload.Phase,
     seen: Seen,
     *,
-    before: watching.Reading,
-    after: watching.Reading,
+    before: watching.UsageSnapshot,
+    after: watching.UsageSnapshot,
     faulted: str,
 ) -> records.PhaseResult:
     """Work out the figures of one phase.
@@ -56,7 +56,7 @@
         Which phase.
     seen : Seen
         The whole run.
-    before, after : Reading
+    before, after : UsageSnapshot
         At the phase's beginning and end.
     faulted : str
         The daemon that was killed or frozen; empty for none. Requests that
--- a/tests/bench/reports/test_report.py
+++ b/tests/bench/reports/test_report.py
@@ -92,14 +92,16 @@
         assert watching.metric(text, "other") == 3.5
 
     def test_a_daemon_that_died_is_left_out(self) -> None:
-        spent = watching.Spent(sent=1000.0, received=1000.0, processor=1.0)
-        before = watching.Reading(
+        spent = watching.ResourceUsage(
+            sent=1000.0, received=1000.0, processor=1.0
+        )
+        before = watching.UsageSnapshot(
             at=0.0, daemons={"a": spent, "b": spent}, engines={}
         )
         late = msgspec.structs.replace(spent, sent=3000.0)
-        after = watching.Reading(
+        after = watching.UsageSnapshot(
             at=2.0,
-            daemons={"a": late, "b": watching.Spent()},
+            daemons={"a": late, "b": watching.ResourceUsage()},
             engines={},
         )
         figures = watching.daemon_figures(before, after)
--- a/tests/fleet/fleet_fixtures.py
+++ b/tests/fleet/fleet_fixtures.py
@@ -138,12 +138,12 @@
 def faults(url: str, **switches: Any) -> Iterator[None]:
     """Enable faults of a stand-in, and disable them on exit."""
     defaults: dict[type, Any] = {bool: False, int: 0, float: 0.0}
-    fleet_calls.fault(url, **switches)
+    fleet_calls.set_faults(url, **switches)
     try:
         yield
     finally:
         off = {name: defaults[type(value)] for name, value in switches.items()}
-        fleet_calls.fault(url, **off)
+        fleet_calls.set_faults(url, **off)
 
 
 def is_idle(daemon: _fleet.DaemonProcess) -> bool:
--- a/tests/fleet/test_at_most_once.py
+++ b/tests/fleet/test_at_most_once.py
@@ -115,9 +115,9 @@
         if it assumes that no claim was written, the request may run twice.
         """
         lost_responses = {"lose_answers": 1, "lose_answers_table": "claims"}
-        fleet_calls.fault(fleet.platform_url, **lost_responses)
+        fleet_calls.set_faults(fleet.platform_url, **lost_responses)
         answer = fleet_fixtures.order(fleet.daemons[0], key)
-        fleet_calls.fault(
+        fleet_calls.set_faults(
             fleet.platform_url, lose_answers=0, lose_answers_table=None
         )
         ran = fleet_fixtures.run_count(fleet, key)
@@ -148,7 +148,7 @@
     own_fleet: _fleet.Fleet, executor: futures.Executor
 ) -> "futures.Future[fleet_calls.Answer]":
     """Occupy the only slot of the service for a while."""
-    fleet_calls.fault(own_fleet.services[0].url, late=1.5, late_count=1)
+    fleet_calls.set_faults(own_fleet.services[0].url, late=1.5, late_count=1)
     other_key = fleet_fixtures.new_key()
     first = fleet_fixtures.submit_order(
         executor, own_fleet.daemons[1], other_key
@@ -169,7 +169,7 @@
         caller repeats at another daemon. The dead daemon's claim may be
         written before or after the repeat, or not at all.
         """
-        fleet_calls.fault(own_fleet.platform_url, delay=1.5)
+        fleet_calls.set_faults(own_fleet.platform_url, delay=1.5)
         first = fleet_fixtures.submit_order(
             executor, own_fleet.daemons[0], key
         )
@@ -179,7 +179,7 @@
         )
         daemon.process.kill()
         assert first.result().ending is fleet_calls.Ending.BROKEN
-        fleet_calls.fault(own_fleet.platform_url, delay=0.0)
+        fleet_calls.set_faults(own_fleet.platform_url, delay=0.0)
         answer = fleet_fixtures.order(own_fleet.daemons[1], key)
         ran = fleet_fixtures.run_count(own_fleet, key)
         assert (answer.status, ran) in ((200, 1), (409, 0))
@@ -220,7 +220,9 @@
         answer. If another daemon takes over the claim on a repeat, the
         request runs twice.
         """
-        fleet_calls.fault(own_fleet.services[0].url, late=30.0, late_count=1)
+        fleet_calls.set_faults(
+            own_fleet.services[0].url, late=30.0, late_count=1
+        )
         first = fleet_fixtures.submit_order(
             executor, own_fleet.daemons[0], key
         )
--- a/tests/fleet/test_configuration_in_force.py
+++ b/tests/fleet/test_configuration_in_force.py
@@ -70,7 +70,9 @@
         assert put_team(large_fleet.daemons[0], team, weight=2).status == 201
         revisions = []
         for flap in range(FLAPS):
-            fleet_calls.fault(large_fleet.platform_url, down=flap % 2 == 0)
+            fleet_calls.set_faults(
+                large_fleet.platform_url, down=flap % 2 == 0
+            )
             wait_for_weight(large_fleet.daemons, team, 2)
             revisions.append(
                 [get_revision(daemon) for daemon in large_fleet.daemons]
@@ -146,13 +148,13 @@
         rejected as a conflict or applied twice.
         """
         before = get_revision(large_fleet.daemons[0])
-        fleet_calls.fault(large_fleet.platform_url, lose_answers=1)
+        fleet_calls.set_faults(large_fleet.platform_url, lose_answers=1)
         headers = {"X-Edit-Id": f"edit-{team}-of-this-test"}
         answers = [
             put_team(daemon, team, weight=2, headers=headers)
             for daemon in large_fleet.daemons[:2]
         ]
-        fleet_calls.fault(large_fleet.platform_url, lose_answers=0)
+        fleet_calls.set_faults(large_fleet.platform_url, lose_answers=0)
         assert answers[0].status in (201, 503)
         assert answers[1].status in (200, 201)
         wait_for_weight(large_fleet.daemons, team, 2)
--- a/tests/fleet/test_crashing_chats.py
+++ b/tests/fleet/test_crashing_chats.py
@@ -34,7 +34,7 @@
 
 def arm(engine: _fleet.TargetProcess) -> None:
     """Have an engine crash on the question."""
-    fleet_calls.fault(engine.url, crash_text=_QUESTION)
+    fleet_calls.set_faults(engine.url, crash_text=_QUESTION)
 
 
 def replace_ended(fleet: _fleet.Fleet) -> int:
--- a/tests/fleet/test_graceful_stop.py
+++ b/tests/fleet/test_graceful_stop.py
@@ -125,7 +125,7 @@
 
 def set_engines(fleet: _fleet.Fleet, **switches: bool) -> None:
     for engine in fleet.engines:
-        fleet_calls.fault(engine.url, **switches)
+        fleet_calls.set_faults(engine.url, **switches)
 
 
 def is_ready(daemon: _fleet.DaemonProcess) -> bool:
