--- a/bench/fleets/__init__.py
+++ b/bench/fleets/__init__.py
@@ -1,1 +1,1 @@
-"""Deployments as processes on loopback, their links and their watchers."""
+"""Deployments as processes on loopback, with their links and monitoring."""
--- a/bench/fleets/deployment.py
+++ b/bench/fleets/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment as a file describes it: what to start, and the table."""
+"""The description of a deployment in a file, and its table rows."""
 
 import pathlib
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 class Team(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """One team; its key is in clear, so such a file is for trials only."""
+    """One team; for trials only, as its key is stored in plain text."""
 
     name: str
     key: str
@@ -41,7 +41,7 @@
 
 
 class Engine(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """How a stand-in engine behaves; assumed, no figure was measured."""
+    """The behavior of a stand-in engine; the values are assumptions."""
 
     token_interval: float = 0.02
     token_interval_per_running: float = 0.0
@@ -67,12 +67,12 @@
 
 
 def load(path: pathlib.Path) -> Deployment:
-    """Read a deployment's file."""
+    """Read a deployment from a file."""
     return msgspec.convert(yaml.safe_load(path.read_text()), Deployment)
 
 
 def rows(deployment: Deployment) -> dict[str, list[dict[str, Any]]]:
-    """Give the operators' table of a deployment, by table."""
+    """Return the operators' rows of a deployment by table."""
     pools = [
         {
             "name": pool.name,
--- a/bench/fleets/fleet.py
+++ b/bench/fleets/fleet.py
@@ -1,4 +1,4 @@
-"""A whole deployment as processes on loopback."""
+"""A complete deployment as processes on loopback."""
 
 import functools
 import json
@@ -66,18 +66,18 @@
 
     @property
     def name(self) -> str:
-        """Give the daemon's id."""
+        """Return the daemon's id."""
         name: str = self.settings["daemon"]["id"]
         return name
 
     @property
     def url(self) -> str:
-        """Give the callers' address."""
+        """Return the URL for callers."""
         return f"http://{HOST}:{self.callers_port}"
 
     @property
     def administration_url(self) -> str:
-        """Give the administration's address."""
+        """Return the URL of the administration."""
         return f"http://{HOST}:{self.administration_port}"
 
 
@@ -91,12 +91,12 @@
 
     @functools.cached_property
     def port(self) -> int:
-        """Give its port, once it listens."""
-        return _port_of(self.process)
+        """Return the port, waiting until the process listens."""
+        return _read_port(self.process)
 
     @property
     def url(self) -> str:
-        """Give its address."""
+        """Return the URL of the target."""
         return f"http://{HOST}:{self.port}"
 
 
@@ -107,9 +107,9 @@
     Parameters
     ----------
     deployment : Deployment
-        What to start.
+        The deployment to start.
     daemons : int or None
-        How many daemons, where the deployment's number is too many.
+        Number of daemons, where it differs from the deployment's.
     groups : sequence of sequence of int
         Numbers of daemons in groups whose links can be cut.
     """
@@ -122,10 +122,10 @@
         groups: Sequence[Sequence[int]] = (),
     ) -> None:
         self.deployment = deployment
-        self._count = daemons or deployment.daemons
+        self._daemon_count = daemons or deployment.daemons
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="topazlug-"))
         self.platform_port = 0
-        self._started: list[processes.Process] = []
+        self._processes: list[processes.Process] = []
         self.platform: processes.Process | None = None
         self.daemons: list[DaemonProcess] = []
         self.engines: list[TargetProcess] = []
@@ -145,7 +145,7 @@
 
     @property
     def platform_url(self) -> str:
-        """Give the platform's address."""
+        """Return the platform's URL."""
         return f"http://{HOST}:{self.platform_port}"
 
     def start(self) -> None:
@@ -163,18 +163,20 @@
             target.port
         self.wait_ready()
 
-    def _run(self, name: str, arguments: list[str]) -> processes.Process:
+    def _start_process(
+        self, name: str, arguments: list[str]
+    ) -> processes.Process:
         process = processes.Process(
             name=name, arguments=arguments, folder=self.folder
         )
         process.start()
-        # Tests take daemons out of the list, or start one more; whatever
-        # was started here must end with the fleet all the same.
-        self._started.append(process)
+        # Tests remove daemons from the list or start others. All processes
+        # started here must end with the fleet nevertheless.
+        self._processes.append(process)
         return process
 
     def _start_platform(self) -> None:
-        self.platform = self._run(
+        self.platform = self._start_process(
             "platform",
             [
                 "-m",
@@ -186,7 +188,7 @@
                 str(self.deployment.list_lag),
             ],
         )
-        self.platform_port = _port_of(self.platform)
+        self.platform_port = _read_port(self.platform)
 
     def _zone(self, number: int) -> str:
         zones = self.deployment.zones
@@ -216,7 +218,9 @@
             "--prefix-cache-tokens": str(engine.prefix_cache_tokens),
             "--load-lag": str(engine.load_lag),
         }
-        process = self._run(name, _stand_in("engine", options))
+        process = self._start_process(
+            name, _stand_in_arguments("engine", options)
+        )
         return TargetProcess(name=name, process=process)
 
     def _start_service(
@@ -232,19 +236,21 @@
             "--platform": f"{HOST}:{self.platform_port}",
             "--slots": str(service.slots),
         }
-        process = self._run(name, _stand_in("service", options))
+        process = self._start_process(
+            name, _stand_in_arguments("service", options)
+        )
         return TargetProcess(name=name, process=process)
 
     def _start_daemons(self) -> None:
         settings_by_number = {
             number: self.daemon_settings(number)
-            for number in range(self._count)
+            for number in range(self._daemon_count)
         }
         if self._links is not None:
             self._links.start(
                 settings_by_number=settings_by_number,
                 folder=self.folder,
-                start=self._run,
+                start=self._start_process,
             )
         for number, settings in settings_by_number.items():
             self.daemons.append(self.start_daemon(number, settings))
@@ -252,7 +258,7 @@
     def start_daemon(
         self, number: int, settings: dict[str, Any] | None = None
     ) -> DaemonProcess:
-        """Start one daemon, with settings of its own where some are given."""
+        """Start one daemon, with the default settings if none are given."""
         settings = settings or self.daemon_settings(number)
         name = settings["daemon"]["id"]
         path = self.folder / f"{name}.yaml"
@@ -260,7 +266,9 @@
         command = ["-m", "topazlug._daemon_command"]
         if self._links is not None:
             command = self._links.command(number)
-        process = self._run(name, [*command, "--settings", str(path)])
+        process = self._start_process(
+            name, [*command, "--settings", str(path)]
+        )
         return DaemonProcess(process=process, settings=settings)
 
     def switch_links(self, **faults: object) -> None:
@@ -269,7 +277,7 @@
             post(f"{url}/faults", faults)
 
     def daemon_settings(self, number: int) -> dict[str, Any]:
-        """Make the settings of one daemon."""
+        """Return the default settings of a daemon."""
         platform = {"host": HOST, "port": self.platform_port}
         listen = {
             name: {"host": HOST, "port": processes.free_port()}
@@ -295,7 +303,7 @@
         return settings
 
     def seed(self) -> None:
-        """Put the deployment's rows into the table."""
+        """Write the deployment's rows to the table."""
         clock = _clock.SystemClock()
         holder = _configuration.ConfigurationHolder()
         store = _table_client.TableClient(
@@ -333,18 +341,19 @@
             )
 
     def _is_serving(self, daemon: DaemonProcess) -> bool:
-        """Say whether a daemon sees all others.
+        """Return whether a daemon reports all daemons and targets.
 
         Raises
         ------
         NotReady
-            Some daemon has ended, so none will ever see them all. Without
-            its log only the wait of another one would show.
+            If any daemon has exited, as then no daemon can report them all.
+            The error shows the log of that daemon rather than a time-out of
+            another one.
         """
         for one in self.daemons:
             if not one.process.is_running():
                 raise processes.NotReady(
-                    f"{one.process.name} has ended: {one.process.log[-3000:]}"
+                    f"{one.process.name} exited: {one.process.log[-3000:]}"
                 )
         return _is_serving(
             daemon,
@@ -354,22 +363,22 @@
 
     def stop(self) -> None:
         """End everything that this fleet started."""
-        started = list(self._started)
+        started = list(self._processes)
         if self._links is not None:
-            started += self._links.started
+            started += self._links.relay_processes
         for process in started:
             process.kill()
         shutil.rmtree(self.folder, ignore_errors=True)
 
 
-def _stand_in(kind: str, options: dict[str, str]) -> list[str]:
+def _stand_in_arguments(kind: str, options: dict[str, str]) -> list[str]:
     arguments = ["-m", "standins", kind]
     for name, value in options.items():
         arguments += [name, value]
     return arguments
 
 
-def _port_of(process: processes.Process) -> int:
+def _read_port(process: processes.Process) -> int:
     return int(process.wait_for_line("READY").split()[1])
 
 
@@ -389,11 +398,11 @@
         text = get(f"{daemon.administration_url}/metrics").decode()
     except OSError:
         return False
-    wanted = [
+    expected = [
         f"topazlug_members {daemons}.0",
         f"topazlug_replicas_known {targets}.0",
     ]
-    return all(line in text.splitlines() for line in wanted)
+    return all(line in text.splitlines() for line in expected)
 
 
 def get(url: str, *, timeout: float = 5.0) -> bytes:
--- a/bench/fleets/fleet_calls.py
+++ b/bench/fleets/fleet_calls.py
@@ -1,4 +1,4 @@
-"""Calls to a fleet, by callers and operators, each judged whole or not."""
+"""Calls of callers and operators to a fleet, checked for completeness."""
 
 import enum
 import hashlib
@@ -14,8 +14,8 @@
 
 DONE = b"data: [DONE]\n\n"
 OPERATOR_TOKEN = "demo-operator-token"
-_OUTCOME = "topazlug-outcome"
-_CONTENT = b'"content":"'
+_OUTCOME_HEADER = "topazlug-outcome"
+_CONTENT_MARKER = b'"content":"'
 
 
 class Ending(enum.Enum):
@@ -28,21 +28,21 @@
 
 
 class Answer(msgspec.Struct, kw_only=True):
-    """What a caller got.
+    """The answer to a call, as its caller received it.
 
     Attributes
     ----------
     ending : Ending
-        REFUSED: the connection was, before any byte was sent. BROKEN: no
-        whole answer came on an open connection.
+        REFUSED: the connection was refused before any byte was sent. BROKEN:
+        no complete answer was received on an open connection.
     status : int
         HTTP status, 0 without one.
     headers : dict
-        By name in small letters.
+        By name in lower case.
     body : bytes
-        What came of it.
+        The part of the body that was received.
     started, first, ended : float
-        Monotonic seconds; `first` is when the first token came.
+        Monotonic seconds; `first` is when the first token was received.
     """
 
     ending: Ending
@@ -55,12 +55,12 @@
 
     @property
     def outcome(self) -> str:
-        """Give what the daemon says about whether it ran."""
-        return self.headers.get(_OUTCOME, "")
+        """Return the daemon's outcome header: whether the request ran."""
+        return self.headers.get(_OUTCOME_HEADER, "")
 
     @property
     def code(self) -> str:
-        """Give the error's code, empty without one."""
+        """Return the error's code, empty without one."""
         try:
             found: str = json.loads(self.body)["error"]["code"]
         except (ValueError, KeyError, TypeError):
@@ -69,7 +69,7 @@
 
     @property
     def document(self) -> Any:
-        """Give the decoded body."""
+        """Return the decoded body."""
         return json.loads(self.body)
 
 
@@ -82,7 +82,7 @@
     headers: dict[str, str] | None = None,
     timeout: float = 60.0,
 ) -> Answer:
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection."""
     address = parse.urlsplit(url)
     connection = http.client.HTTPConnection(
         str(address.hostname), address.port, timeout=timeout
@@ -119,9 +119,9 @@
     }
     while block := response.read1(65536):
         answer.body += block
-        if not answer.first and _CONTENT in answer.body:
+        if not answer.first and _CONTENT_MARKER in answer.body:
             answer.first = time.monotonic()
-    # read1() takes an early end of a body of known length for its end.
+    # read1() doesn't raise if a body ends before its declared length.
     if response.length:
         return Ending.BROKEN
     return Ending.WHOLE if answer.status < 400 else Ending.ERROR
@@ -137,7 +137,7 @@
     tokens: int = 16,
     timeout: float = 60.0,
 ) -> Answer:
-    """Ask a streamed question; WHOLE only with each of its own tokens."""
+    """Send a streamed chat; WHOLE only if all expected tokens arrived."""
     document = {
         "model": model,
         "stream": True,
@@ -152,7 +152,9 @@
         headers=_headers(key) | {"X-Chat-Id": chat_id or question},
         timeout=timeout,
     )
-    if answer.ending is Ending.WHOLE and not _is_own(answer, question, tokens):
+    if answer.ending is Ending.WHOLE and not _has_expected_tokens(
+        answer, question, tokens
+    ):
         answer.ending = Ending.BROKEN
     return answer
 
@@ -164,7 +166,7 @@
     }
 
 
-def _is_own(answer: Answer, question: str, tokens: int) -> bool:
+def _has_expected_tokens(answer: Answer, question: str, tokens: int) -> bool:
     if not answer.body.endswith(DONE):
         return False
     text = ""
@@ -188,7 +190,7 @@
     deadline: float = 0.0,
     timeout: float = 60.0,
 ) -> Answer:
-    """Send a request that may not be repeated; `deadline` in seconds."""
+    """Send a request that must not be repeated; `deadline` in seconds."""
     headers = _headers(key) | {"Idempotency-Key": idempotency_key}
     if deadline:
         headers["X-Request-Timeout"] = str(deadline)
@@ -223,14 +225,14 @@
 
 
 def replicas(daemon: _fleet.DaemonProcess) -> dict[str, dict[str, Any]]:
-    """Give the replicas as a daemon sees them, by id."""
+    """Return the replicas that a daemon reports, by id."""
     answer = operate(daemon, "GET", "/v1/status")
     found = answer.document["replicas"]
     return {replica["id"]: replica for replica in found}
 
 
 def journal(target: _fleet.TargetProcess) -> list[dict[str, Any]]:
-    """Give what a target ran."""
+    """Return the journal of what a target ran."""
     found: list[dict[str, Any]] = json.loads(
         _fleet.get(f"{target.url}/journal")
     )
@@ -238,5 +240,5 @@
 
 
 def set_faults(url: str, **switches: Any) -> None:
-    """Set fault switches of a stand-in."""
+    """Set faults of a stand-in."""
     _fleet.post(f"{url}/faults", switches)
--- a/bench/fleets/group_links.py
+++ b/bench/fleets/group_links.py
@@ -1,8 +1,8 @@
-"""Relays on the links between groups of daemons, to cut them by.
+"""Relays on the links between groups of daemons, to simulate partitions.
 
-Daemons of one group reach those of another through a relay for each that is
-reached. The relays are cut together, so that each group sees the other gone
-while both go on serving.
+The daemons of a group reach each daemon of another group through a relay. All
+relays are cut together, so that the groups can't reach each other while both
+go on serving.
 """
 
 import json
@@ -18,7 +18,7 @@
 from bench.fleets import processes
 
 HOST = "127.0.0.1"
-Start = Callable[[str, list[str]], processes.Process]
+StartProcess = Callable[[str, list[str]], processes.Process]
 
 
 class _Relay(msgspec.Struct, kw_only=True):
@@ -43,13 +43,13 @@
         self._path_by_number: dict[int, pathlib.Path] = {}
 
     @property
-    def started(self) -> list[processes.Process]:
-        """Give the relays' processes."""
+    def relay_processes(self) -> list[processes.Process]:
+        """Return the relays' processes."""
         return [relay.process for relay in self._relays]
 
     @property
     def control_urls(self) -> list[str]:
-        """Give where the relays' faults are switched."""
+        """Return the URLs at which the relays' faults are set."""
         return [f"http://{HOST}:{r.control_port}" for r in self._relays]
 
     def start(
@@ -57,9 +57,9 @@
         *,
         settings_by_number: Mapping[int, dict[str, Any]],
         folder: pathlib.Path,
-        start: Start,
+        start: StartProcess,
     ) -> None:
-        """Start the relays, and write down what leads through them."""
+        """Start the relays, and write a file of redirects for each group."""
         for index, group in enumerate(self._groups):
             redirects = {}
             for number, settings in settings_by_number.items():
@@ -67,7 +67,7 @@
                     continue
                 peers = settings["listen"]["peers"]
                 address = f"{peers['host']}:{peers['port']}"
-                relay = _relay(f"relay-{index}-{number}", address, start)
+                relay = _start_relay(f"relay-{index}-{number}", address, start)
                 self._relays.append(relay)
                 redirects[address] = relay.port
             path = folder / f"redirects-{index}.json"
@@ -76,14 +76,14 @@
                 self._path_by_number[number] = path
 
     def command(self, number: int) -> list[str]:
-        """Give how to start a daemon, up to its settings."""
+        """Return the arguments that start a daemon, without its settings."""
         path = self._path_by_number[number]
         return ["-m", "bench.fleets.redirected_daemon", str(path)]
 
 
-def _relay(name: str, address: str, start: Start) -> _Relay:
+def _start_relay(name: str, address: str, start: StartProcess) -> _Relay:
     process = start(name, ["-m", "standins", "relay", "--to", address])
-    words = process.wait_for_line("READY").split()
+    fields = process.wait_for_line("READY").split()
     return _Relay(
-        process=process, port=int(words[1]), control_port=int(words[2])
+        process=process, port=int(fields[1]), control_port=int(fields[2])
     )
--- a/bench/fleets/processes.py
+++ b/bench/fleets/processes.py
@@ -1,4 +1,4 @@
-"""Starts, pauses and ends processes that this program started itself."""
+"""Starting, pausing and ending child processes of this program."""
 
 import fcntl
 import itertools
@@ -13,38 +13,36 @@
 import time
 from typing import final
 
-_LOWEST_PORT = 10000
-_HIGHEST_PORT = 32000
+_MIN_PORT = 10000
+_MAX_PORT = 32000
 _PORTS = itertools.cycle(
-    random.sample(
-        range(_LOWEST_PORT, _HIGHEST_PORT), _HIGHEST_PORT - _LOWEST_PORT
-    )
+    random.sample(range(_MIN_PORT, _MAX_PORT), _MAX_PORT - _MIN_PORT)
 )
-# A lock for each port that a process of ours has given out, for as long as
-# that process runs.
-_LOCKS = pathlib.Path(tempfile.gettempdir()) / "topazlug-ports"
-_HELD_LOCKS: list[int] = []
+# Holds a lock file for each port that one of our processes has handed out; it
+# stays locked while that process runs.
+_LOCK_FOLDER = pathlib.Path(tempfile.gettempdir()) / "topazlug-ports"
+_LOCK_DESCRIPTORS: list[int] = []
 
 
 class NotReady(RuntimeError):
-    """A process did not say in time that it is ready."""
+    """A process was not ready in time."""
 
 
 def free_port() -> int:
-    """Give a port on loopback that nobody listens on just now.
+    """Return a port on loopback that no process listens on.
 
-    The ports lie below those that the kernel hands out by itself: one of
-    those may be some connection's own before its new owner binds it, seen
-    as a daemon that fails to start now and then in a large fleet.
+    The ports lie below the kernel's ephemeral range. The kernel may assign a
+    port of that range to some connection before the daemon binds it, so that
+    in a large fleet a daemon fails to start now and then.
 
-    A port is given out once, whatever other processes ask too. It is bound
-    only when its daemon has started, half a second later; of three fleets
-    that start at once with fifty ports each, a third would share one, seen
-    as a fleet that is never ready.
+    No port is handed out twice, also across processes. A port is bound only
+    when its daemon has started, half a second later. When three fleets with
+    fifty ports each start together, without locks two of them would share a
+    port about a third of the time, and one would never get ready.
     """
     while True:
         port = next(_PORTS)
-        if not _is_claimed(port):
+        if not _try_claim(port):
             continue
         with socket.socket() as probe:
             try:
@@ -54,33 +52,35 @@
         return port
 
 
-def _is_claimed(port: int) -> bool:
-    """Claim a port for this process; say whether that succeeded."""
-    _LOCKS.mkdir(exist_ok=True)
-    lock = os.open(_LOCKS / str(port), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC)
+def _try_claim(port: int) -> bool:
+    """Try to claim a port for this process; return whether it succeeded."""
+    _LOCK_FOLDER.mkdir(exist_ok=True)
+    lock = os.open(
+        _LOCK_FOLDER / str(port), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC
+    )
     try:
         fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
         os.close(lock)
         return False
-    _HELD_LOCKS.append(lock)
+    _LOCK_DESCRIPTORS.append(lock)
     return True
 
 
 @final
 class Process:
-    """One process of ours.
+    """A Python child process.
 
     Parameters
     ----------
     name : str
-        For messages, and for the name of its log.
+        Name in messages, and of its log file.
     arguments : list of str
-        What follows the interpreter.
+        Arguments of the interpreter.
     folder : pathlib.Path
-        Where its log goes.
+        Directory of its log file.
     environment : dict or None
-        Variables besides those of this process.
+        Variables in addition to those of this process.
     """
 
     def __init__(
@@ -99,18 +99,18 @@
 
     @property
     def pid(self) -> int:
-        """Give the process number."""
+        """Return the process id."""
         if self._process is None:
-            raise NotReady(f"{self.name} was not started")
+            raise NotReady(f"{self.name} has not been started")
         return self._process.pid
 
     @property
     def log(self) -> str:
-        """Give what it wrote so far."""
+        """Return the output so far."""
         return self._log_path.read_text(errors="replace")
 
     def start(self) -> None:
-        """Start it; its output goes to its log."""
+        """Start the process with its output appended to its log file."""
         with self._log_path.open("ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, *self._arguments],
@@ -118,41 +118,41 @@
                 stderr=subprocess.STDOUT,
                 stdin=subprocess.DEVNULL,
                 env={**os.environ, **self.environment},
-                # Ctrl-C in a terminal goes to a whole process group. The
-                # platform would end before the daemons that still need it
-                # to leave the list; so whoever started them ends them.
+                # Ctrl-C in a terminal signals a whole process group. The
+                # platform would exit before the daemons, which need it to
+                # leave the list. So the parent ends each process itself.
                 process_group=0,
             )
 
     def is_running(self) -> bool:
-        """Say whether it still runs."""
+        """Return whether the process runs."""
         return self._process is not None and self._process.poll() is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal if the process runs."""
         if self.is_running():
             os.kill(self.pid, number)
 
     def kill(self) -> None:
-        """End it at once, as a failing instance would."""
+        """Kill the process, as a failing instance would end."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
         self.wait(10.0)
 
     def freeze(self) -> None:
-        """Stop it from running, without ending it."""
+        """Suspend the process."""
         self.send(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen one go on."""
+        """Resume the process after `freeze`."""
         self.send(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it to stop as planned."""
+        """Request a graceful stop."""
         self.send(signal.SIGTERM)
 
     def wait(self, seconds: float) -> int | None:
-        """Wait until it has ended; give its exit code, None if it runs."""
+        """Wait for the process to exit; return its code, None if it runs."""
         if self._process is None:
             return None
         try:
@@ -161,7 +161,7 @@
             return None
 
     def wait_for_line(self, text: str, *, seconds: float = 30.0) -> str:
-        """Wait until its log has a line with a text, and give the line."""
+        """Wait until the log has a line with a text; return the line."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             for line in self.log.splitlines() if self._has_log() else []:
@@ -170,7 +170,9 @@
             if not self.is_running():
                 break
             time.sleep(0.02)
-        raise NotReady(f"{self.name} never said {text!r}: {self.log[-2000:]}")
+        raise NotReady(
+            f"{self.name} never logged {text!r}: {self.log[-2000:]}"
+        )
 
     def _has_log(self) -> bool:
         return self._log_path.exists()
--- a/bench/fleets/redirected_daemon.py
+++ b/bench/fleets/redirected_daemon.py
@@ -1,7 +1,7 @@
-"""A daemon whose connections to some peers lead through relays.
+"""A daemon whose connections to some peers go through relays.
 
-The first argument names a JSON file with the relays' ports, by the address
-that they stand for; the others are the daemon's own.
+The first argument is a JSON file that maps the addresses of these peers to the
+relays' ports. The remaining arguments are those of the daemon.
 """
 
 from gevent import monkey
@@ -30,8 +30,8 @@
         port: int,
         **options: Any,
     ) -> Any:
-        used = port_by_address.get(f"{host}:{port}", port)
-        return dial(connector, host, used, **options)
+        relay_port = port_by_address.get(f"{host}:{port}", port)
+        return dial(connector, host, relay_port, **options)
 
     setattr(_peer_connections.Connector, "dial", redirected)
     _daemon_command.main()
--- a/bench/fleets/watching.py
+++ b/bench/fleets/watching.py
@@ -1,4 +1,4 @@
-"""Watches a fleet while it runs: engines' load, bytes, processor time."""
+"""Monitoring of a running fleet: load of engines, bytes, processor time."""
 
 import re
 import time
@@ -14,7 +14,7 @@
 from bench.reports import records
 
 _SAMPLE_SECONDS = 0.2
-_TIMEOUT = 3.0
+_TIMEOUT_SECONDS = 3.0
 _MEGABYTE = 1 << 20
 _SENT = "topazlug_control_sent_bytes_total"
 _RECEIVED = "topazlug_control_received_bytes_total"
@@ -26,7 +26,7 @@
 
 
 class ResourceUsage(msgspec.Struct, frozen=True, kw_only=True):
-    """What a process had spent at a time."""
+    """The resources that a process had used up to some time."""
 
     processor: float = 0.0
     resident: float = 0.0
@@ -35,7 +35,7 @@
 
 
 class UsageSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """What all processes had spent at a time, by name."""
+    """The resource usage of all processes at some time, by name."""
 
     at: float
     daemons: dict[str, ResourceUsage]
@@ -44,7 +44,7 @@
 
 @final
 class Watcher:
-    """Reads figures off a running fleet.
+    """Collects measurements of a running fleet.
 
     Parameters
     ----------
@@ -58,17 +58,17 @@
         self.events: list[journals.Event] = []
 
     def sample_forever(self) -> None:
-        """Ask all engines for their load, again and again."""
+        """Poll the load of all engines periodically."""
         while True:
             for engine in list(self._fleet.engines):
                 gevent.spawn(self._sample, engine)
             gevent.sleep(_SAMPLE_SECONDS)
 
     def _sample(self, engine: _fleet.TargetProcess) -> None:
-        # The engine shows what was so long ago; the sample is dated back.
+        # Engines report their load with this lag, so backdate the sample.
         at = time.time() - self._fleet.deployment.engine.load_lag
         try:
-            data = _fleet.get(f"{engine.url}/load", timeout=_TIMEOUT)
+            data = _fleet.get(f"{engine.url}/load", timeout=_TIMEOUT_SECONDS)
         except (OSError, urllib.error.URLError):
             return
         load = msgspec.json.decode(data, type=_Load)
@@ -77,7 +77,7 @@
         )
 
     def collect_journal(self, engine: _fleet.TargetProcess) -> None:
-        """Keep an engine's journal; call it before the engine ends."""
+        """Store an engine's journal; must be called before it exits."""
         data = _fleet.get(f"{engine.url}/journal", timeout=10.0)
         for event in msgspec.json.decode(data, type=list[journals.Event]):
             self.events.append(
@@ -85,25 +85,25 @@
             )
 
     def note(self, engine: _fleet.TargetProcess, event: str) -> None:
-        """Note that an engine now leaves or has gone."""
+        """Record that an engine is leaving or has exited."""
         self.events.append(journals.Event(time.time(), event, 0, engine.name))
 
     def read(self) -> UsageSnapshot:
-        """Read what all processes have spent."""
+        """Read the resource usage of all processes."""
         return UsageSnapshot(
             at=time.time(),
             daemons={
-                daemon.name: _spent_by_daemon(daemon)
+                daemon.name: _daemon_usage(daemon)
                 for daemon in self._fleet.daemons
             },
             engines={
-                engine.name: _spent(engine.process.pid)
+                engine.name: _process_usage(engine.process.pid)
                 for engine in self._fleet.engines
             },
         )
 
 
-def _spent(pid: int) -> ResourceUsage:
+def _process_usage(pid: int) -> ResourceUsage:
     try:
         process = psutil.Process(pid)
         times = process.cpu_times()
@@ -115,11 +115,11 @@
     )
 
 
-def _spent_by_daemon(daemon: _fleet.DaemonProcess) -> ResourceUsage:
-    spent = _spent(daemon.process.pid)
+def _daemon_usage(daemon: _fleet.DaemonProcess) -> ResourceUsage:
+    spent = _process_usage(daemon.process.pid)
     try:
         url = f"{daemon.administration_url}/metrics"
-        text = _fleet.get(url, timeout=_TIMEOUT).decode()
+        text = _fleet.get(url, timeout=_TIMEOUT_SECONDS).decode()
     except OSError:
         return ResourceUsage()
     return msgspec.structs.replace(
@@ -128,7 +128,10 @@
 
 
 def metric(text: str, name: str) -> float:
-    """Give a number without labels of its own from an exposition."""
+    """Return the first value of a metric in an exposition, 0.0 without one.
+
+    Labels of the sample are ignored.
+    """
     found = re.search(rf"^{name}(?:{{[^}}]*}})? (\S+)$", text, re.MULTILINE)
     return float(found.group(1)) if found else 0.0
 
@@ -136,9 +139,9 @@
 def daemon_figures(
     before: UsageSnapshot, after: UsageSnapshot
 ) -> dict[str, records.ProcessFigures]:
-    """Give what each daemon spent between two readings, a second.
+    """Return what each daemon used per second between two snapshots.
 
-    A daemon that could not be read at one of the two is left out.
+    A daemon that could not be read for one of the two is left out.
     """
     seconds = after.at - before.at
     figures = {}
@@ -156,7 +159,7 @@
 
 
 def engines_processor(before: UsageSnapshot, after: UsageSnapshot) -> float:
-    """Give the cores that the engines kept busy between two readings."""
+    """Return the cores that the engines kept busy between two snapshots."""
     spent = 0.0
     for name, late in after.engines.items():
         early = before.engines.get(name, ResourceUsage())
--- a/tests/bench/fleets/test_processes.py
+++ b/tests/bench/fleets/test_processes.py
@@ -1,4 +1,4 @@
-"""Ports that several fleets under test choose at the same time."""
+"""Tests of the choice of ports by several fleets at the same time."""
 
 import itertools
 import pathlib
@@ -10,8 +10,8 @@
 from bench.fleets import processes
 
 ROOT = pathlib.Path(__file__).parents[3]
-# Gives the first free one of its arguments, and holds it until it is ended.
-OTHER = """
+# Prints the first free port of its arguments, and claims it until it exits.
+CLAIM_SCRIPT = """
 import itertools, sys
 from bench.fleets import processes
 processes._PORTS = itertools.cycle(map(int, sys.argv[1:]))
@@ -21,37 +21,37 @@
 
 
 @pytest.fixture
-def other():
-    made = []
+def start_other():
+    children = []
 
     def start(*ports):
         process = subprocess.Popen(
-            [sys.executable, "-c", OTHER, *map(str, ports)],
+            [sys.executable, "-c", CLAIM_SCRIPT, *map(str, ports)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
             cwd=ROOT,
         )
-        made.append(process)
+        children.append(process)
         return process
 
     yield start
-    for process in made:
+    for process in children:
         process.communicate()
 
 
 class TestFreePort:
-    def test_two_processes_get_two_ports(self, other, monkeypatch):
-        """Symptom: a fleet of nine under test is never ready.
+    def test_two_processes_get_different_ports(self, start_other, monkeypatch):
+        """A port must not be handed out to two fleets.
 
-        Sequence: another fleet is given the same port before either daemon
-        has bound it; one daemon fails to start. Cause: a port counted as
-        free until somebody listened on it.
+        A port counted as free until a process listened on it. Another fleet
+        got the same port before either daemon had bound it, one daemon failed
+        to start, and a fleet of nine daemons never got ready.
         """
         ports = [processes.free_port() for _ in range(2)]
         for _ in range(2):
-            processes.os.close(processes._HELD_LOCKS.pop())
-        first = other(*ports)
+            processes.os.close(processes._LOCK_DESCRIPTORS.pop())
+        first = start_other(*ports)
         assert int(first.stdout.readline()) == ports[0]
         monkeypatch.setattr(processes, "_PORTS", itertools.cycle(ports))
         assert processes.free_port() == ports[1]
