--- a/bench/experiments/stream_cost.py
+++ b/bench/experiments/stream_cost.py
@@ -101,7 +101,10 @@
         port=fleet.daemons[0].callers_port, key=_KEY
     )
     found: dict[str, Any] = {}
-    heard: dict[str, list[stream_client.Heard]] = {"direct": [], "daemon": []}
+    heard: dict[str, list[stream_client.StreamTimes]] = {
+        "direct": [],
+        "daemon": [],
+    }
     for number in range(calls):
         order = [("direct", engine), ("daemon", daemon)]
         if number % 2:
@@ -190,7 +193,7 @@
     at_rest = psutil.Process(pid).memory_info().rss
     address = stream_client.Address(port=daemon.callers_port, key=_KEY)
     kept = [
-        stream_client.opened(
+        stream_client.open_chat(
             address,
             stream_client.chat_body(
                 _MODEL, f"open {number} {random.random()}", tokens=3000
@@ -198,7 +201,7 @@
         )
         for number in range(count)
     ]
-    readers = [gevent.spawn(stream_client.drained, one) for one in kept]
+    readers = [gevent.spawn(stream_client.drain, one) for one in kept]
     gevent.sleep(_SETTLE_SECONDS)
     sample = _measured(pid, lambda: gevent.sleep(5.0))
     open_now = sum(not reader.ready() for reader in readers)
--- a/bench/load/stream_client.py
+++ b/bench/load/stream_client.py
@@ -31,7 +31,7 @@
 
 
 @final
-class Heard(msgspec.Struct, frozen=True, kw_only=True):
+class StreamTimes(msgspec.Struct, frozen=True, kw_only=True):
     """Seconds to the first event and to the end."""
 
     first: float
@@ -58,7 +58,7 @@
     return head.encode() + body
 
 
-def connected(address: Address) -> socket.socket:
+def connect(address: Address) -> socket.socket:
     """Open a connection."""
     made = socket.create_connection(
         ("127.0.0.1", address.port), _TIMEOUT_SECONDS
@@ -67,9 +67,9 @@
     return made
 
 
-def opened(address: Address, body: dict[str, Any]) -> socket.socket:
+def open_chat(address: Address, body: dict[str, Any]) -> socket.socket:
     """Send a chat and give the connection, its answer unread."""
-    made = connected(address)
+    made = connect(address)
     made.sendall(
         _request(
             address, "POST", "/v1/chat/completions", json.dumps(body).encode()
@@ -78,7 +78,7 @@
     return made
 
 
-def drained(connection: socket.socket) -> None:
+def drain(connection: socket.socket) -> None:
     """Read until the answer or the connection ends."""
     tail = b""
     try:
@@ -90,9 +90,9 @@
         return
 
 
-def stream(address: Address, body: dict[str, Any]) -> Heard:
+def stream(address: Address, body: dict[str, Any]) -> StreamTimes:
     """Make one chat call on a connection of its own."""
-    connection = connected(address)
+    connection = connect(address)
     try:
         return _stream_on(connection, address, body)
     finally:
@@ -101,7 +101,7 @@
 
 def _stream_on(
     connection: socket.socket, address: Address, body: dict[str, Any]
-) -> Heard:
+) -> StreamTimes:
     sent = json.dumps(body).encode()
     began = time.monotonic()
     connection.sendall(_request(address, "POST", "/v1/chat/completions", sent))
@@ -116,7 +116,7 @@
             first = time.monotonic() - began
     total = time.monotonic() - began
     whole = b"data: [DONE]" in got and got.endswith(_END_CHUNK)
-    return Heard(first=first or total, total=total, whole=whole)
+    return StreamTimes(first=first or total, total=total, whole=whole)
 
 
 def _get_on(connection: socket.socket, address: Address, service: str) -> bool:
@@ -176,12 +176,12 @@
     def _keep(self, end: float) -> None:
         # Spread out, so that the answers don't end all at once.
         gevent.sleep(random.random())
-        connection = connected(self._address)
+        connection = connect(self._address)
         while time.monotonic() < end:
             if not self._is_well(connection):
                 self.failed += 1
                 connection.close()
-                connection = connected(self._address)
+                connection = connect(self._address)
             self.made += 1
         connection.close()
 
