--- a/bench/load/__init__.py
+++ b/bench/load/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: chats that return, and streams that cost little."""
+"""Load generators: chats of several turns, and a low-overhead client."""
--- a/bench/load/chat_caller.py
+++ b/bench/load/chat_caller.py
@@ -1,7 +1,7 @@
-"""A caller: sends one chat request on a connection of its own.
+"""A client that sends each chat request on a new connection.
 
-A client with a pool would send a request again when a kept connection had
-closed, and hide what this bench counts.
+A client with a connection pool would resend a request if a pooled connection
+had been closed, and so hide failures that this benchmark counts.
 """
 
 import json
@@ -18,12 +18,12 @@
 
 _HOST = "127.0.0.1"
 _BLOCK = 65536
-_PATIENCE = 5.0
+_TIMEOUT_MARGIN = 5.0
 _HEALTH_TIMEOUT = 0.5
 
 
-class Refused(OSError):
-    """The daemon took no connection; nothing was sent."""
+class ConnectionRefused(OSError):
+    """The daemon did not accept the connection; nothing was sent."""
 
 
 class ChatRequest(msgspec.Struct, frozen=True, kw_only=True):
@@ -36,7 +36,7 @@
 
 
 class ChatAnswer(msgspec.Struct, kw_only=True):
-    """What came back."""
+    """The answer to a request, as far as it was received."""
 
     code: str = records.CUT
     text: str = ""
@@ -47,7 +47,7 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether the whole answer came."""
+        """Whether the complete answer was received."""
         return self.code == records.OK
 
 
@@ -73,16 +73,16 @@
 
 @final
 class _Parser(_response.HTTPResponse):
-    """Takes an answer's bytes as they come."""
+    """Parses an answer incrementally."""
 
-    def take_body(self) -> bytes:
-        """Give what came of the body since the last time."""
+    def read_body(self) -> bytes:
+        """Return the part of the body received since the last call."""
         data = bytes(self._body_buffer)
         del self._body_buffer[:]
         return data
 
 
-def _head(method: str, path: str, headers: dict[str, str]) -> bytes:
+def _format_head(method: str, path: str, headers: dict[str, str]) -> bytes:
     lines = [f"{method} {path} HTTP/1.1", "Host: balancer"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     return "\r\n".join([*lines, "Connection: close", "", ""]).encode()
@@ -92,10 +92,10 @@
     try:
         return socket.create_connection((_HOST, port), timeout=timeout)
     except OSError as error:
-        raise Refused(str(error)) from error
+        raise ConnectionRefused(str(error)) from error
 
 
-def ask(port: int, request: ChatRequest) -> ChatAnswer:
+def send(port: int, request: ChatRequest) -> ChatAnswer:
     """Send a request and follow its answer to the end.
 
     Raises
@@ -104,7 +104,7 @@
         Nothing was sent.
     """
     body = msgspec.json.encode(request.body)
-    head = _head(
+    head = _format_head(
         "POST",
         "/v1/chat/completions",
         {
@@ -118,9 +118,9 @@
     connection = _connect(port, request.deadline)
     answer = ChatAnswer()
     try:
-        connection.settimeout(request.deadline + _PATIENCE)
+        connection.settimeout(request.deadline + _TIMEOUT_MARGIN)
         connection.sendall(head + body)
-        _follow(connection, answer)
+        _read_answer(connection, answer)
     except TimeoutError:
         answer.code = records.CLIENT_TIMEOUT
     except (OSError, _response.HTTPParseError):
@@ -130,29 +130,29 @@
     return answer
 
 
-def _follow(connection: Any, answer: ChatAnswer) -> None:
+def _read_answer(connection: Any, answer: ChatAnswer) -> None:
     parser = _Parser()
-    rest = b""
-    plain = b""
-    last = 0.0
+    incomplete_event = b""
+    error_body = b""
+    last_token_at = 0.0
     answer.gaps = []
     for data in _blocks(connection, parser):
         if parser.status_code != 200:
-            plain += data
+            error_body += data
             continue
-        *events, rest = (rest + data).split(b"\n\n")
+        *events, incomplete_event = (incomplete_event + data).split(b"\n\n")
         now = time.time()
-        if sum(_take_event(event, answer) for event in events):
-            if last:
-                answer.gaps.append(now - last)
-            last = now
+        if sum(_handle_event(event, answer) for event in events):
+            if last_token_at:
+                answer.gaps.append(now - last_token_at)
+            last_token_at = now
             answer.first_at = answer.first_at or now
     if not parser.headers_complete:
         return
     answer.replica = str(parser.get("Topazlug-Replica", ""))
     answer.cached = int(str(parser.get("Topazlug-Cached-Tokens", "0")))
     if parser.status_code != 200 and parser.message_complete:
-        answer.code = _error_code(plain)
+        answer.code = _error_code(error_body)
 
 
 def _blocks(connection: Any, parser: _Parser) -> Iterator[bytes]:
@@ -162,11 +162,11 @@
             return
         parser.feed(data)
         if parser.headers_complete:
-            yield parser.take_body()
+            yield parser.read_body()
 
 
-def _take_event(event: bytes, answer: ChatAnswer) -> bool:
-    """Take one event in; say whether it brought a token."""
+def _handle_event(event: bytes, answer: ChatAnswer) -> bool:
+    """Handle one event; return whether it contained a token."""
     _, _, data = event.rpartition(b"data: ")
     if data == b"[DONE]":
         answer.code = records.OK
@@ -190,15 +190,15 @@
 
 
 def is_ready(port: int) -> bool:
-    """Ask a daemon's administration whether callers may be sent there."""
+    """Return whether a daemon's administration reports it as ready."""
     try:
         connection = _connect(port, _HEALTH_TIMEOUT)
-    except Refused:
+    except ConnectionRefused:
         return False
     parser = _Parser()
     try:
         connection.settimeout(_HEALTH_TIMEOUT)
-        connection.sendall(_head("GET", "/health/ready", {}))
+        connection.sendall(_format_head("GET", "/health/ready", {}))
         for _ in _blocks(connection, parser):
             continue
     except (OSError, _response.HTTPParseError):
--- a/bench/load/load.py
+++ b/bench/load/load.py
@@ -1,4 +1,4 @@
-"""A load generator: returning chats against the daemons' callers' port."""
+"""A load generator that runs chats against the daemons' port for callers."""
 
 from gevent import monkey
 
@@ -20,21 +20,21 @@
 from bench.load import workload  # noqa: E402
 from bench.reports import records  # noqa: E402
 
-_HEALTH_SECONDS = 0.5
-_FAILURES_UNTIL_OUT = 2
+_HEALTH_INTERVAL = 0.5
+_UNHEALTHY_FAILURES = 2
 _DRAIN_SECONDS = 12.0
 
 
 @final
 class Balancer:
-    """Spreads requests over the daemons at random, like the platform's.
+    """Selects daemons at random, as the platform's load balancer does.
 
     Parameters
     ----------
     entries : list of Entry
         The daemons.
     randomness : random.Random
-        Seeded.
+        A seeded generator.
     """
 
     def __init__(
@@ -45,36 +45,36 @@
         self._failures = collections.Counter[str]()
 
     def choose(self) -> workload.Entry:
-        """Choose a daemon that answered its last health checks."""
-        good = [
+        """Return a random healthy daemon, or any if none is healthy."""
+        healthy = [
             entry
             for entry in self._entries
-            if self._failures[entry.name] < _FAILURES_UNTIL_OUT
+            if self._failures[entry.name] < _UNHEALTHY_FAILURES
         ]
-        return self._randomness.choice(good or self._entries)
+        return self._randomness.choice(healthy or self._entries)
 
-    def note_refused(self, entry: workload.Entry) -> None:
-        """Leave a daemon alone that takes no connection."""
-        self._failures[entry.name] = _FAILURES_UNTIL_OUT
+    def mark_unhealthy(self, entry: workload.Entry) -> None:
+        """Exclude a daemon until it passes a health check."""
+        self._failures[entry.name] = _UNHEALTHY_FAILURES
 
     def check_forever(self, entry: workload.Entry) -> None:
-        """Ask a daemon again and again whether it is ready."""
+        """Check the health of a daemon periodically."""
         while True:
             if chat_caller.is_ready(entry.administration_port):
                 self._failures[entry.name] = 0
             else:
                 self._failures[entry.name] += 1
-            gevent.sleep(_HEALTH_SECONDS)
+            gevent.sleep(_HEALTH_INTERVAL)
 
 
 @final
 class Generator:
-    """The chats of one load generator.
+    """Runs the chats of one load generator.
 
     Parameters
     ----------
     plan : Plan
-        What to do.
+        The chats to run and their schedule.
     """
 
     def __init__(self, plan: workload.Plan) -> None:
@@ -82,21 +82,21 @@
         randomness = random.Random(f"{plan.seed}/{plan.worker}")
         self._randomness = randomness
         self._balancer = Balancer(plan.entries, randomness=randomness)
-        self._made = 0
+        self._chat_count = 0
         self.turns: list[records.Turn] = []
         self.gaps = collections.Counter[int]()
 
     def run(self) -> None:
-        """Let all chats speak until the plan's end."""
+        """Run all chats until the plan's end."""
         checks = [
             gevent.spawn(self._balancer.check_forever, entry)
             for entry in self._plan.entries
         ]
         count = self._plan.sizes.chats // self._plan.workers
         teams = self._assigned_teams(count)
-        chats = [gevent.spawn(self._converse, team) for team in teams]
-        left = self._plan.end - time.time() + _DRAIN_SECONDS
-        gevent.joinall(chats, timeout=left)
+        chats = [gevent.spawn(self._run_chat, team) for team in teams]
+        remaining = self._plan.end - time.time() + _DRAIN_SECONDS
+        gevent.joinall(chats, timeout=remaining)
         gevent.killall(chats + checks)
 
     def _assigned_teams(self, count: int) -> list[workload.TeamShare]:
@@ -106,9 +106,9 @@
         return teams
 
     def _new_chat(self, team: workload.TeamShare) -> workload.Chat:
-        self._made += 1
+        self._chat_count += 1
         plan = self._plan
-        name = f"{plan.seed}-{plan.worker}-{self._made}"
+        name = f"{plan.seed}-{plan.worker}-{self._chat_count}"
         return workload.Chat(
             name=name,
             team=team,
@@ -116,29 +116,29 @@
             randomness=random.Random(name),
         )
 
-    def _converse(self, team: workload.TeamShare) -> None:
+    def _run_chat(self, team: workload.TeamShare) -> None:
         chat = self._new_chat(team)
         now = self._plan.start
         question = ""
         while True:
-            wake = workload.wake_time(
+            turn_at = workload.next_turn_time(
                 self._plan.phases,
                 team.name,
                 now=now,
-                thought=chat.think_seconds(),
+                think_time=chat.draw_think_time(),
             )
-            if wake >= self._plan.end:
+            if turn_at >= self._plan.end:
                 return
-            gevent.sleep(max(0.0, wake - time.time()))
+            gevent.sleep(max(0.0, turn_at - time.time()))
             question = question or chat.next_question()
-            if self._speak(chat, question):
+            if self._send_turn(chat, question):
                 question = ""
             if chat.is_over:
                 chat = self._new_chat(team)
             now = time.time()
 
-    def _speak(self, chat: workload.Chat, question: str) -> bool:
-        tokens = chat.tokens_wanted()
+    def _send_turn(self, chat: workload.Chat, question: str) -> bool:
+        tokens = chat.draw_answer_tokens()
         sent = time.time()
         request = chat_caller.ChatRequest(
             key=chat.team.key,
@@ -146,7 +146,7 @@
             body=chat.body(self._plan.model, question, tokens),
             deadline=self._plan.sizes.deadline,
         )
-        answer, entry = self._ask(request)
+        answer, entry = self._send_request(request)
         code = answer.code
         if answer.is_whole and answer.text != _expected(question, tokens):
             code = records.WRONG_ANSWER
@@ -168,19 +168,19 @@
         for gap in answer.gaps:
             self.gaps[min(records.LONGEST_GAP, round(gap * 1000))] += 1
         if answer.is_whole:
-            chat.take_answer(question, answer.text)
+            chat.add_answer(question, answer.text)
         return answer.is_whole
 
-    def _ask(
+    def _send_request(
         self, request: chat_caller.ChatRequest
     ) -> tuple[chat_caller.ChatAnswer, workload.Entry]:
-        """Ask a daemon; one that refuses the connection is passed over."""
+        """Send a request, trying another daemon if one refuses to connect."""
         for _ in self._plan.entries:
             entry = self._balancer.choose()
             try:
-                return chat_caller.ask(entry.callers_port, request), entry
-            except chat_caller.Refused:
-                self._balancer.note_refused(entry)
+                return chat_caller.send(entry.callers_port, request), entry
+            except chat_caller.ConnectionRefused:
+                self._balancer.mark_unhealthy(entry)
         return chat_caller.ChatAnswer(code=records.NO_ENTRY), entry
 
 
@@ -193,7 +193,7 @@
 @click.argument("plan_path", type=click.Path(path_type=pathlib.Path))
 @click.argument("result_path", type=click.Path(path_type=pathlib.Path))
 def main(plan_path: pathlib.Path, result_path: pathlib.Path) -> None:
-    """Carry out a plan and write what happened."""
+    """Run a plan and write the results."""
     plan = msgspec.json.decode(plan_path.read_bytes(), type=workload.Plan)
     generator = Generator(plan)
     generator.run()
--- a/bench/load/stream_client.py
+++ b/bench/load/stream_client.py
@@ -1,4 +1,4 @@
-"""A caller that costs little: raw sockets, one greenlet a connection."""
+"""A low-overhead client with raw sockets and one greenlet per connection."""
 
 from gevent import monkey
 
@@ -18,13 +18,13 @@
 
 _TIMEOUT_SECONDS = 60.0
 _BLOCK = 65536
-_END_CHUNK = b"0\r\n\r\n"
-_HEAD_END = b"\r\n\r\n"
+_LAST_CHUNK = b"0\r\n\r\n"
+_END_OF_HEAD = b"\r\n\r\n"
 
 
 @final
 class Address(msgspec.Struct, frozen=True, kw_only=True):
-    """Whom to call; an empty key where none is asked for."""
+    """The address to call, with an empty key if none is required."""
 
     port: int
     key: str
@@ -32,7 +32,7 @@
 
 @final
 class StreamTimes(msgspec.Struct, frozen=True, kw_only=True):
-    """Seconds to the first event and to the end."""
+    """Seconds to the first event and to the end of a stream."""
 
     first: float
     total: float
@@ -40,7 +40,7 @@
 
 
 def chat_body(model: str, question: str, *, tokens: int) -> dict[str, Any]:
-    """Give a streamed chat request."""
+    """Return the body of a streamed chat request."""
     return {
         "model": model,
         "messages": [{"role": "user", "content": question}],
@@ -49,7 +49,9 @@
     }
 
 
-def _request(address: Address, method: str, path: str, body: bytes) -> bytes:
+def _format_request(
+    address: Address, method: str, path: str, body: bytes
+) -> bytes:
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: x\r\n"
         f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
@@ -68,10 +70,10 @@
 
 
 def open_chat(address: Address, body: dict[str, Any]) -> socket.socket:
-    """Send a chat and give the connection, its answer unread."""
+    """Send a chat; return the connection without reading the answer."""
     made = connect(address)
     made.sendall(
-        _request(
+        _format_request(
             address, "POST", "/v1/chat/completions", json.dumps(body).encode()
         )
     )
@@ -79,56 +81,60 @@
 
 
 def drain(connection: socket.socket) -> None:
-    """Read until the answer or the connection ends."""
+    """Read and discard until the answer or the connection ends."""
     tail = b""
     try:
         while data := connection.recv(_BLOCK):
-            tail = (tail + data)[-len(_END_CHUNK) :]
-            if tail == _END_CHUNK:
+            tail = (tail + data)[-len(_LAST_CHUNK) :]
+            if tail == _LAST_CHUNK:
                 return
     except OSError:
         return
 
 
 def stream(address: Address, body: dict[str, Any]) -> StreamTimes:
-    """Make one chat call on a connection of its own."""
+    """Send one chat on a new connection."""
     connection = connect(address)
     try:
-        return _stream_on(connection, address, body)
+        return _stream_chat(connection, address, body)
     finally:
         connection.close()
 
 
-def _stream_on(
+def _stream_chat(
     connection: socket.socket, address: Address, body: dict[str, Any]
 ) -> StreamTimes:
     sent = json.dumps(body).encode()
     began = time.monotonic()
-    connection.sendall(_request(address, "POST", "/v1/chat/completions", sent))
-    got = b""
+    connection.sendall(
+        _format_request(address, "POST", "/v1/chat/completions", sent)
+    )
+    received = b""
     first = 0.0
-    while not got.endswith(_END_CHUNK):
+    while not received.endswith(_LAST_CHUNK):
         data = connection.recv(_BLOCK)
         if not data:
             break
-        got += data
-        if not first and b"data: " in got:
+        received += data
+        if not first and b"data: " in received:
             first = time.monotonic() - began
     total = time.monotonic() - began
-    whole = b"data: [DONE]" in got and got.endswith(_END_CHUNK)
+    whole = b"data: [DONE]" in received and received.endswith(_LAST_CHUNK)
     return StreamTimes(first=first or total, total=total, whole=whole)
 
 
-def _get_on(connection: socket.socket, address: Address, service: str) -> bool:
+def _get_service(
+    connection: socket.socket, address: Address, service: str
+) -> bool:
     path = f"/v1/services/{service}/visitors"
-    connection.sendall(_request(address, "GET", path, b""))
-    got = b""
-    while _HEAD_END not in got:
+    connection.sendall(_format_request(address, "GET", path, b""))
+    received = b""
+    while _END_OF_HEAD not in received:
         data = connection.recv(_BLOCK)
         if not data:
             return False
-        got += data
-    head, _, body = got.partition(_HEAD_END)
+        received += data
+    head, _, body = received.partition(_END_OF_HEAD)
     length = int(head.lower().partition(b"content-length: ")[2].split()[0])
     while len(body) < length:
         body += connection.recv(_BLOCK)
@@ -142,11 +148,11 @@
     Parameters
     ----------
     address : Address
-        Whom to call.
+        The address to call.
     kind : str
         ``chat`` or ``service``.
     model, service : str
-        What is asked for.
+        Names in the requests of the respective kind.
     tokens : int
         Length of a chat's answer.
     """
@@ -169,29 +175,31 @@
         self.failed = 0
 
     def run(self, *, clients: int, seconds: float) -> None:
-        """Keep asking until the time is over."""
+        """Send requests on all connections until the time is over."""
         end = time.monotonic() + seconds
-        gevent.joinall([gevent.spawn(self._keep, end) for _ in range(clients)])
+        gevent.joinall(
+            [gevent.spawn(self._run_client, end) for _ in range(clients)]
+        )
 
-    def _keep(self, end: float) -> None:
-        # Spread out, so that the answers don't end all at once.
+    def _run_client(self, end: float) -> None:
+        # Stagger the clients, so that their answers don't end all at once.
         gevent.sleep(random.random())
         connection = connect(self._address)
         while time.monotonic() < end:
-            if not self._is_well(connection):
+            if not self._send_request(connection):
                 self.failed += 1
                 connection.close()
                 connection = connect(self._address)
             self.made += 1
         connection.close()
 
-    def _is_well(self, connection: socket.socket) -> bool:
+    def _send_request(self, connection: socket.socket) -> bool:
         try:
             if self._kind == "service":
-                return _get_on(connection, self._address, self._service)
+                return _get_service(connection, self._address, self._service)
             question = f"question {random.random()}"
             body = chat_body(self._model, question, tokens=self._tokens)
-            return _stream_on(connection, self._address, body).whole
+            return _stream_chat(connection, self._address, body).whole
         except (OSError, ValueError, IndexError):
             return False
 
@@ -215,7 +223,7 @@
     tokens: int,
     seconds: float,
 ) -> None:
-    """Keep a daemon busy and print how many calls were made."""
+    """Load a daemon and print the number of calls made."""
     made = Clients(
         address=Address(port=port, key=key),
         kind=kind,
--- a/bench/load/workload.py
+++ b/bench/load/workload.py
@@ -1,4 +1,4 @@
-"""Returning chats, what they say, and when they speak next."""
+"""The chats of a load generator, their messages and their timing."""
 
 import random
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True):
-    """Where one daemon listens."""
+    """The ports on which one daemon listens."""
 
     name: str
     callers_port: int
@@ -22,7 +22,7 @@
 
 
 class TeamShare(msgspec.Struct, frozen=True, kw_only=True):
-    """A team and its part of the chats."""
+    """A team and its share of the chats."""
 
     name: str
     key: str
@@ -30,12 +30,13 @@
 
 
 class Phase(msgspec.Struct, frozen=True, kw_only=True):
-    """A stretch of the run.
+    """A time span of the run with its own request rates.
 
     Notes
     -----
-    `start` and `end` are in seconds since the epoch. A team's chats think
-    `rate` times as fast as in a quiet phase.
+    `start` and `end` are in seconds since the epoch. The think times of
+    chats are divided by `rate`, which is 1 in a quiet phase, and by their
+    team's entry in `rate_by_team`.
     """
 
     name: str
@@ -45,13 +46,13 @@
     rate_by_team: dict[str, float] = {}
     rate: float = 1.0
 
-    def rate_of(self, team: str) -> float:
-        """Give how fast a team's chats think."""
+    def team_rate(self, team: str) -> float:
+        """Return the factor by which a team's think times are divided."""
         return self.rate * self.rate_by_team.get(team, 1.0)
 
 
 class Sizes(msgspec.Struct, frozen=True, kw_only=True):
-    """How large chats and turns are; times in seconds."""
+    """The sizes of chats and turns; times in seconds."""
 
     chats: int = 600
     think: float = 6.0
@@ -64,7 +65,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """What one load generator does."""
+    """The work of one load generator."""
 
     seed: int
     worker: int
@@ -77,12 +78,12 @@
 
     @property
     def start(self) -> float:
-        """Give the beginning in seconds since the epoch."""
+        """Return the start time in seconds since the epoch."""
         return self.phases[0].start
 
     @property
     def end(self) -> float:
-        """Give the end in seconds since the epoch."""
+        """Return the end time in seconds since the epoch."""
         return self.phases[-1].end
 
 
@@ -93,27 +94,27 @@
     content: str
 
 
-def tokens_of(text: str) -> int:
-    """Count tokens as the stand-in engine does."""
+def count_tokens(text: str) -> int:
+    """Return the number of tokens, as the stand-in engine counts them."""
     return len(text) // CHARACTERS_PER_TOKEN + 1
 
 
-def wake_time(
-    phases: list[Phase], team: str, *, now: float, thought: float
+def next_turn_time(
+    phases: list[Phase], team: str, *, now: float, think_time: float
 ) -> float:
-    """Give when a chat speaks again.
+    """Return when a chat sends its next turn.
 
     Parameters
     ----------
     phases : list of Phase
-        One after the other without gaps.
+        Consecutive phases without gaps.
     team : str
-        Whose chat it is.
+        The chat's team.
     now : float
         Seconds since the epoch.
-    thought : float
-        Seconds that it would think in a quiet phase. A phase that begins
-        meanwhile changes the pace for what is left.
+    think_time : float
+        Seconds of pause in a quiet phase. If another phase begins during the
+        pause, its rate applies to the remaining part.
 
     Returns
     -------
@@ -124,26 +125,26 @@
     for phase in phases:
         if phase.end <= at:
             continue
-        pace = phase.rate_of(team)
-        room = (phase.end - at) * pace
-        if thought <= room:
-            return at + thought / pace
-        thought -= room
+        pace = phase.team_rate(team)
+        capacity = (phase.end - at) * pace
+        if think_time <= capacity:
+            return at + think_time / pace
+        think_time -= capacity
         at = phase.end
-    return at + thought
+    return at + think_time
 
 
 def surge_rates(teams: list[TeamShare], *, share: float) -> dict[str, float]:
-    """Give paces that move load onto the largest team.
+    """Return the rates by team that shift load to the largest team.
 
-    The load of all teams together stays about what it was.
+    The total load of all teams stays about the same.
 
     Parameters
     ----------
     teams : list of TeamShare
         All teams.
     share : float
-        Part of the load that the largest team makes.
+        Share of the load that the largest team is to generate.
     """
     largest = max(teams, key=lambda team: team.share)
     rest = (1 - share) / (1 - largest.share)
@@ -154,18 +155,18 @@
 
 @final
 class Chat:
-    """One conversation that returns.
+    """A chat with several turns.
 
     Parameters
     ----------
     name : str
-        Its id.
+        The chat's id.
     team : TeamShare
-        Whose it is.
+        The team that it belongs to.
     sizes : Sizes
-        How large its turns are.
+        The sizes of its turns.
     randomness : random.Random
-        Seeded.
+        A seeded generator.
     """
 
     def __init__(
@@ -182,24 +183,26 @@
         self._sizes = sizes
         self._randomness = randomness
         self._history: list[Message] = []
-        self._last = max(1, round(randomness.expovariate(1 / sizes.turns)))
+        self._turn_count = max(
+            1, round(randomness.expovariate(1 / sizes.turns))
+        )
 
     @property
     def is_over(self) -> bool:
-        """Whether it has had its last turn."""
-        return self.turn >= self._last
+        """Whether the last turn is complete."""
+        return self.turn >= self._turn_count
 
     @property
     def reusable_tokens(self) -> int:
-        """Give the tokens an engine may hold from earlier turns."""
-        return sum(tokens_of(message.content) for message in self._history)
+        """Return the tokens that an engine may have cached from earlier."""
+        return sum(count_tokens(message.content) for message in self._history)
 
-    def think_seconds(self) -> float:
-        """Draw a pause."""
+    def draw_think_time(self) -> float:
+        """Draw the pause before the next turn in seconds."""
         return self._randomness.expovariate(1 / self._sizes.think)
 
     def next_question(self) -> str:
-        """Make the next thing that its person says."""
+        """Return the user's next message."""
         size = self._sizes.turn_characters
         if not self._history:
             size = self._sizes.first_characters
@@ -211,35 +214,35 @@
             length += len(word) + 1
         return " ".join(words)
 
-    def tokens_wanted(self) -> int:
-        """Draw the length of the next answer."""
+    def draw_answer_tokens(self) -> int:
+        """Draw the length of the next answer in tokens."""
         sizes = self._sizes
         return self._randomness.randint(sizes.tokens_least, sizes.tokens_most)
 
     def body(self, model: str, question: str, tokens: int) -> dict[str, Any]:
-        """Make the request of a turn."""
-        said = [*self._history, Message("user", question)]
+        """Return the request body of a turn."""
+        messages = [*self._history, Message("user", question)]
         return {
             "model": model,
-            "messages": said,
+            "messages": messages,
             "max_tokens": tokens,
             "stream": True,
         }
 
-    def take_answer(self, question: str, answer: str) -> None:
-        """Note a whole answer; the turn is over."""
+    def add_answer(self, question: str, answer: str) -> None:
+        """Add a complete answer to the history, which ends the turn."""
         self._history.append(Message("user", question))
         self._history.append(Message("assistant", answer))
         self.turn += 1
 
 
 def team_shares(names_and_keys: list[tuple[str, str]]) -> list[TeamShare]:
-    """Share chats out: the first three teams are large.
+    """Return each team's share of the chats; the first three are large.
 
     Parameters
     ----------
     names_and_keys : list of tuple
-        Teams in the deployment's order.
+        Names and keys of the teams, in the deployment's order.
     """
     large = [0.25, 0.18, 0.15][: len(names_and_keys)]
     small = len(names_and_keys) - len(large)
--- a/tests/bench/load/test_chat_caller.py
+++ b/tests/bench/load/test_chat_caller.py
@@ -1,4 +1,4 @@
-"""Tests of the bench's caller against answers made by hand."""
+"""Tests of the benchmark's client against handwritten answers."""
 
 from typing import Any
 from typing import Callable
@@ -17,7 +17,7 @@
 ERROR = b'data: {"error":{"code":"target_silent"}}\n\n'
 DONE = b"data: [DONE]\n\n"
 END = b"0\r\n\r\n"
-Ask = Callable[[bytes], chat_caller.ChatAnswer]
+Send = Callable[[bytes], chat_caller.ChatAnswer]
 
 
 def _chunk(data: bytes) -> bytes:
@@ -25,8 +25,11 @@
 
 
 @pytest.fixture
-def ask() -> Iterator[Ask]:
-    """Ask a server that answers with given bytes and hangs up."""
+def send_request() -> Iterator[Send]:
+    """Return a function that sends a request to a server.
+
+    The server answers with the given bytes and closes the connection.
+    """
     answers: list[bytes] = []
 
     def serve(connection: Any, _address: Any) -> None:
@@ -37,45 +40,45 @@
     listening = server.StreamServer(("127.0.0.1", 0), serve)
     listening.start()
 
-    def asked(data: bytes) -> chat_caller.ChatAnswer:
+    def send_chat(data: bytes) -> chat_caller.ChatAnswer:
         answers.append(data)
         request = chat_caller.ChatRequest(
             key="key", chat="chat", body={"model": "m"}, deadline=5.0
         )
-        return chat_caller.ask(listening.server_port, request)
+        return chat_caller.send(listening.server_port, request)
 
-    yield asked
+    yield send_chat
     listening.stop()
 
 
-class TestAsk:
-    def test_a_whole_answer(self, ask: Ask) -> None:
-        answer = ask(HEAD + _chunk(TOKEN + TOKEN + DONE) + END)
+class TestSend:
+    def test_complete_answer(self, send_request: Send) -> None:
+        answer = send_request(HEAD + _chunk(TOKEN + TOKEN + DONE) + END)
         assert answer.is_whole
         assert answer.text == "hola hola "
         assert (answer.replica, answer.cached) == ("asistente-1", 7)
 
-    def test_events_split_over_blocks(self, ask: Ask) -> None:
+    def test_events_split_over_blocks(self, send_request: Send) -> None:
         data = TOKEN + DONE
         body = b"".join(
             _chunk(data[i : i + 5]) for i in range(0, len(data), 5)
         )
-        answer = ask(HEAD + body + END)
+        answer = send_request(HEAD + body + END)
         assert answer.is_whole
 
-    def test_an_answer_without_its_end_is_cut(self, ask: Ask) -> None:
-        assert ask(HEAD + _chunk(TOKEN)).code == records.CUT
+    def test_answer_without_its_end_is_cut(self, send_request: Send) -> None:
+        assert send_request(HEAD + _chunk(TOKEN)).code == records.CUT
 
-    def test_an_error_in_the_stream_is_a_proper_error(self, ask: Ask) -> None:
-        answer = ask(HEAD + _chunk(TOKEN + ERROR) + END)
+    def test_error_event_gives_its_code(self, send_request: Send) -> None:
+        answer = send_request(HEAD + _chunk(TOKEN + ERROR) + END)
         assert answer.code == "in stream: target_silent"
 
-    def test_a_refusal_gives_its_code(self, ask: Ask) -> None:
+    def test_error_response_gives_its_code(self, send_request: Send) -> None:
         body = b'{"error":{"code":"overloaded"}}'
         head = b"HTTP/1.1 503 X\r\nContent-Length: %d\r\n\r\n" % len(body)
-        assert ask(head + body).code == "overloaded"
+        assert send_request(head + body).code == "overloaded"
 
-    def test_no_connection_means_nothing_was_sent(self) -> None:
+    def test_refused_connection_raises(self) -> None:
         closed = server.StreamServer(("127.0.0.1", 0), lambda *_: None)
         closed.start()
         port = closed.server_port
@@ -84,5 +87,5 @@
         request = chat_caller.ChatRequest(
             key="key", chat="chat", body={}, deadline=1.0
         )
-        with pytest.raises(chat_caller.Refused):
-            chat_caller.ask(port, request)
+        with pytest.raises(chat_caller.ConnectionRefused):
+            chat_caller.send(port, request)
--- a/tests/bench/load/test_workload.py
+++ b/tests/bench/load/test_workload.py
@@ -1,4 +1,4 @@
-"""Tests of the returning chats."""
+"""Tests of the chats of the load generator."""
 
 import random
 
@@ -28,7 +28,7 @@
     def test_shares_add_up(self) -> None:
         assert sum(team.share for team in TEAMS) == pytest.approx(1.0)
 
-    def test_a_surge_keeps_the_load_and_moves_it(self) -> None:
+    def test_surge_shifts_load_and_keeps_its_total(self) -> None:
         rates = workload.surge_rates(TEAMS, share=0.6)
         load = {team.name: team.share * rates[team.name] for team in TEAMS}
         assert sum(load.values()) == pytest.approx(1.0)
@@ -38,38 +38,38 @@
 class TestWakeTime:
     def test_within_one_phase(self) -> None:
         phases = [_phase("quiet", 0.0, 10.0, 2.0)]
-        at = workload.wake_time(phases, "team", now=1.0, thought=4.0)
+        at = workload.next_turn_time(phases, "team", now=1.0, think_time=4.0)
         assert at == pytest.approx(3.0)
 
-    def test_a_new_phase_changes_the_pace_of_what_is_left(self) -> None:
+    def test_new_phase_changes_the_pace_of_the_rest(self) -> None:
         phases = [
             _phase("quiet", 0.0, 2.0, 1.0),
             _phase("overload", 2.0, 10.0, 4.0),
         ]
-        at = workload.wake_time(phases, "team", now=1.0, thought=5.0)
+        at = workload.next_turn_time(phases, "team", now=1.0, think_time=5.0)
         assert at == pytest.approx(3.0)
 
     def test_after_the_last_phase(self) -> None:
         phases = [_phase("quiet", 0.0, 2.0, 1.0)]
-        at = workload.wake_time(phases, "team", now=1.0, thought=5.0)
+        at = workload.next_turn_time(phases, "team", now=1.0, think_time=5.0)
         assert at > phases[-1].end
 
 
 class TestChat:
-    def test_a_first_turn_has_nothing_to_reuse(self) -> None:
+    def test_first_turn_has_no_reusable_tokens(self) -> None:
         assert _chat().reusable_tokens == 0
 
-    def test_a_later_turn_reuses_question_and_answer(self) -> None:
+    def test_later_turn_reuses_question_and_answer(self) -> None:
         chat = _chat()
-        chat.take_answer("q" * 40, "a" * 20)
+        chat.add_answer("q" * 40, "a" * 20)
         assert chat.reusable_tokens == 11 + 6
 
-    def test_a_turn_carries_what_was_said(self) -> None:
+    def test_request_contains_earlier_messages(self) -> None:
         chat = _chat()
-        chat.take_answer("first", "answer")
+        chat.add_answer("first", "answer")
         body = chat.body("model", "second", 5)
-        said = [message.content for message in body["messages"]]
-        assert said == ["first", "answer", "second"]
+        messages = [message.content for message in body["messages"]]
+        assert messages == ["first", "answer", "second"]
 
-    def test_the_same_seed_says_the_same(self) -> None:
+    def test_same_seed_gives_the_same_question(self) -> None:
         assert _chat(7).next_question() == _chat(7).next_question()
