--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,7 +1,7 @@
-"""A pytest plugin that keeps the tests of KNOWN-RED.txt apart.
+"""A pytest plugin that deselects the tests of KNOWN-RED.txt, or all others.
 
-pytest's own ``--deselect`` goes by the beginning of a test's name, and would
-pass over ``test_late_answer`` with ``test_late``. This goes by whole names.
+pytest's own ``--deselect`` matches prefixes of node ids, so ``test_late``
+would also deselect ``test_late_answer``. This plugin matches complete node ids.
 """
 
 import pathlib
@@ -16,7 +16,7 @@
 
 
 class KnownRed(NamedTuple):
-    """A test that fails for a real fault."""
+    """A test that is known to fail because of a real fault."""
 
     test: str
     cause: str
@@ -24,24 +24,24 @@
 
 
 def read(path: pathlib.Path) -> list[KnownRed]:
-    """Read the list; no file is an empty list.
+    """Return the listed tests, none if the file does not exist.
 
     Raises
     ------
     pytest.UsageError
-        If a line is not ``test | cause | issue``, or there are too many.
+        If a line is not ``test | cause | issue``, or there are too many lines.
     """
     if not path.exists():
         return []
     lines = [line for line in path.read_text().splitlines() if line.strip()]
     if len(lines) > MAX_TESTS:
         raise pytest.UsageError(
-            f"{FILE}: {len(lines)} tests, at most {MAX_TESTS}; mend some"
+            f"{FILE}: {len(lines)} tests, at most {MAX_TESTS}; fix some"
         )
-    return [_entry(line) for line in lines]
+    return [_parse_entry(line) for line in lines]
 
 
-def _entry(line: str) -> KnownRed:
+def _parse_entry(line: str) -> KnownRed:
     parts = [part.strip() for part in line.split(" | ")]
     if len(parts) != len(KnownRed._fields) or not all(parts):
         raise pytest.UsageError(
@@ -51,19 +51,19 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Add the option that says which tests run."""
+    """Add the option that selects the tests to run."""
     parser.addoption(
         "--known-red",
         choices=[PASS_OVER, ONLY],
         default=PASS_OVER,
-        help=f"what to do with the tests of {FILE}",
+        help=f"whether to deselect the tests of {FILE} or to run only them",
     )
 
 
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Take out the listed tests, or all others."""
+    """Deselect the listed tests, or all others."""
     listed = {entry.test for entry in read(config.rootpath / FILE)}
     missing = listed - {item.nodeid for item in items}
     if missing:
@@ -71,6 +71,6 @@
             f"{FILE}: no such test: {', '.join(sorted(missing))}"
         )
     only = config.getoption("--known-red") == ONLY
-    out = [item for item in items if (item.nodeid in listed) != only]
+    deselected = [item for item in items if (item.nodeid in listed) != only]
     items[:] = [item for item in items if (item.nodeid in listed) == only]
-    config.hook.pytest_deselected(items=out)
+    config.hook.pytest_deselected(items=deselected)
--- a/bench/load/chat_caller.py
+++ b/bench/load/chat_caller.py
@@ -96,12 +96,12 @@
 
 
 def send(port: int, request: ChatRequest) -> ChatAnswer:
-    """Send a request and follow its answer to the end.
+    """Send a request and read its answer to the end.
 
     Raises
     ------
-    Refused
-        Nothing was sent.
+    ConnectionRefused
+        If the daemon does not accept the connection; nothing was sent.
     """
     body = msgspec.json.encode(request.body)
     head = _format_head(
--- a/bench/load/workload.py
+++ b/bench/load/workload.py
@@ -194,7 +194,7 @@
 
     @property
     def reusable_tokens(self) -> int:
-        """Return the tokens that an engine may have cached from earlier."""
+        """Return the tokens that an engine may still have cached."""
         return sum(count_tokens(message.content) for message in self._history)
 
     def draw_think_time(self) -> float:
--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -19,30 +19,30 @@
             pass
         """)
 
-    def run_with(listed, which):
+    def run_pytest(entries, mode):
         path = pytester.path / "KNOWN-RED.txt"
-        path.write_text(listed)
+        path.write_text(entries)
         return pytester.runpytest(
-            "-p", "known_red", f"--known-red={which}", "-p", "no:cacheprovider"
+            "-p", "known_red", f"--known-red={mode}", "-p", "no:cacheprovider"
         )
 
-    return run_with
+    return run_pytest
 
 
 class TestKnownRed:
-    def test_passes_over_exactly_the_listed(self, run):
+    def test_deselects_only_listed_tests(self, run):
         result = run(LINE, "pass-over")
         result.assert_outcomes(passed=1, deselected=1)
 
-    def test_runs_only_the_listed(self, run):
+    def test_runs_only_listed_tests(self, run):
         result = run(LINE, "only")
         result.assert_outcomes(failed=1, deselected=1)
 
-    def test_counts_what_is_not_listed(self, run):
+    def test_unlisted_failure_counts(self, run):
         run("", "pass-over").assert_outcomes(passed=1, failed=1)
 
     @pytest.mark.parametrize(
-        "listed",
+        "entries",
         [
             "test_a.py::test_late\n",
             "test_a.py::test_late | | 9\n",
@@ -50,6 +50,6 @@
             LINE * 4,
         ],
     )
-    def test_refuses_a_bad_list(self, run, listed):
-        result = run(listed, "pass-over")
+    def test_rejects_an_invalid_list(self, run, entries):
+        result = run(entries, "pass-over")
         assert result.ret == pytest.ExitCode.USAGE_ERROR
--- a/tests/ci/test_timeouts.py
+++ b/tests/ci/test_timeouts.py
@@ -3,13 +3,13 @@
 
 
 class TestTimeouts:
-    def test_in_another_greenlet_fail_the_test(self):
-        """A test that hangs and is reported as passed.
+    def test_timeout_in_another_greenlet_fails_the_test(self):
+        """A timeout raised in another greenlet must fail the test.
 
-        Symptom: a run takes minutes longer than its timeouts allow, and is
-        green. Sequence: the signal of pytest-timeout comes while a greenlet
-        runs that the test waits for. Cause: the failure ends that greenlet
-        and is printed, and the test goes on.
+        The signal of pytest-timeout arrives while a greenlet runs that the
+        test waits for. The failure then ended only that greenlet and was
+        printed, the test continued, and a run passed although it took minutes
+        longer than its timeouts allow.
         """
         with pytest.raises(pytest.fail.Exception, match="too long"):
             gevent.spawn(pytest.fail, "too long").join()
--- a/tests/golden/conftest.py
+++ b/tests/golden/conftest.py
@@ -1,4 +1,4 @@
-"""One fleet for all sessions of this folder."""
+"""Fixtures: one fleet for all sessions of this folder, and recorders."""
 
 from typing import Iterator
 
@@ -26,7 +26,7 @@
         region="uy-sur",
         zones=["mvd-centro", "mvd-pocitos"],
         daemons=2,
-        # The bound is wide, so that a chat goes where its hash says.
+        # The bound is wide, so that each chat goes to its home by hash.
         pools=[
             _deployment.Pool(
                 name="asistente", model="asistente-1", replicas=2, bound=10
@@ -41,7 +41,7 @@
             _deployment.Team(name="udelar", key=golden_sessions.TEAM),
             _deployment.Team(name="ort", key=golden_sessions.OTHER_TEAM),
         ],
-        # Retries must not depend on how many sessions went before.
+        # Retries must not depend on the number of earlier sessions.
         settings={"limits": {"retry_ratio": 1.0}},
     )
     with _fleet.Fleet(deployment) as started:
@@ -50,6 +50,6 @@
 
 @pytest.fixture
 def recorder(fleet: _fleet.Fleet) -> Iterator[Recorder]:
-    made = Recorder(fleet)
-    yield made
-    made.set_faults(**NO_FAULTS)
+    created = Recorder(fleet)
+    yield created
+    created.set_faults(**NO_FAULTS)
--- a/tests/golden/golden_sessions.py
+++ b/tests/golden/golden_sessions.py
@@ -1,7 +1,8 @@
-"""The sessions that are kept as golden files.
+"""The sessions that are stored as golden files.
 
-Each takes a recorder, its texts are its own, so that no session finds
-another's context in an engine's cache.
+The docstring of a session is the title in its golden file, its name that of
+the file. No two sessions send the same text, so that none finds the context of
+another in an engine's cache.
 """
 
 import json
@@ -18,7 +19,7 @@
 
 
 def chat_body(question: str, **fields: Any) -> dict[str, Any]:
-    """Give a chat request of one question."""
+    """Return the body of a chat request with one question."""
     return {
         "model": "asistente-1",
         "messages": [{"role": "user", "content": question}],
@@ -61,17 +62,17 @@
     headers = {"Idempotency_Key": f"golden-{time.time_ns()}"}
     key = headers["Idempotency_Key"]
     recorder.call(SERVICE, body, key=TEAM, **headers)
-    recorder.wait_kept(SERVICE, body, key=TEAM, **headers)
+    recorder.wait_until_stored(SERVICE, body, key=TEAM, **headers)
     recorder.call(SERVICE, body, key=TEAM, daemon=1, **headers)
-    recorder.note("another body under the same key")
+    recorder.add_comment("another body under the same key")
     recorder.call(SERVICE, {"seats": 9}, key=TEAM, **headers)
-    recorder.note("the same key of another team is another key")
+    recorder.add_comment("the same key of another team is another key")
     recorder.call(SERVICE, body, key=OTHER_TEAM, **headers)
-    recorder.note("no key, where the row demands one")
+    recorder.add_comment("no key, where the row demands one")
     recorder.call(SERVICE, body, key=TEAM)
-    recorder.note("a method that may be repeated needs none")
+    recorder.add_comment("a method that may be repeated needs none")
     recorder.call(SERVICE, key=TEAM)
-    recorder.hide(key, "<key>")
+    recorder.add_replacement(key, "<key>")
 
 
 def bad_key(recorder: Recorder) -> None:
@@ -118,7 +119,9 @@
     """A document that ends in its middle is asked for again elsewhere."""
     body = chat_body("Who sleeps where?")
     recorder.call(CHAT, body, key=TEAM)
-    recorder.note("the replica that answered now breaks its next answer")
+    recorder.add_comment(
+        "the replica that answered now breaks its next answer"
+    )
     recorder.set_faults(recorder.replica, truncate_count=1)
     recorder.call(CHAT, body, key=TEAM)
 
@@ -127,11 +130,11 @@
     """A registration runs, its answer is lost: unknown, and never again."""
     recorder.set_service_faults(die_before_answer_count=1)
     headers = {"Idempotency_Key": f"golden-{time.time_ns()}"}
-    recorder.hide(headers["Idempotency_Key"], "<key>")
+    recorder.add_replacement(headers["Idempotency_Key"], "<key>")
     body = {"name": "Luis", "seats": 1}
     recorder.call(SERVICE, body, key=TEAM, **headers)
     recorder.call(SERVICE, body, key=TEAM, daemon=1, **headers)
-    recorder.note(f"the service ran {recorder.new_runs()} request")
+    recorder.add_comment(f"the service ran {recorder.new_runs()} request")
 
 
 def refused(recorder: Recorder) -> None:
--- a/tests/golden/test_alerts.py
+++ b/tests/golden/test_alerts.py
@@ -1,4 +1,4 @@
-"""The alert rules name metrics that a daemon gives, and pages there are."""
+"""The alert rules refer to exposed metrics and existing pages only."""
 
 import pathlib
 import re
@@ -24,8 +24,8 @@
 
 @pytest.fixture
 def exposed(fleet: _fleet.Fleet, recorder: Recorder) -> set[str]:
-    """Give the names of all series, once each kind of thing has happened."""
-    # Questions of its own: the golden sessions must find no context.
+    """Return the names of all series after calls of each kind."""
+    # Texts that no golden session sends, so that none finds a cached context.
     body = golden_sessions.chat_body("What of the alerts?", stream=True)
     recorder.call(golden_sessions.CHAT, body, key=golden_sessions.TEAM)
     body["messages"].append({"role": "assistant", "content": "Well."})
@@ -40,28 +40,24 @@
 
 
 class TestAlerts:
-    def test_each_metric_is_one_that_a_daemon_gives(
-        self, exposed: set[str]
-    ) -> None:
-        named = {
+    def test_rules_use_only_exposed_metrics(self, exposed: set[str]) -> None:
+        used_metrics = {
             name for rule in rules() for name in METRIC.findall(rule["expr"])
         }
 
-        assert named - exposed == set()
+        assert used_metrics - exposed == set()
 
-    def test_each_rule_leads_to_a_page(self) -> None:
+    def test_each_rule_names_an_existing_page(self) -> None:
         pages = [rule["annotations"]["page"] for rule in rules()]
 
         assert [page for page in pages if not (ROOT / page).exists()] == []
 
-    def test_each_metric_on_the_pages_is_one_that_a_daemon_gives(
-        self, exposed: set[str]
-    ) -> None:
-        named = {
+    def test_pages_use_only_exposed_metrics(self, exposed: set[str]) -> None:
+        used_metrics = {
             name
             for page in RULES.parent.glob("*.md")
             for name in METRIC.findall(page.read_text())
         }
         families = {name.removesuffix("_bucket") for name in exposed}
 
-        assert named - exposed - families == set()
+        assert used_metrics - exposed - families == set()
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -1,7 +1,7 @@
-"""Whole sessions against real daemons, compared with what was seen before.
+"""Sessions against real daemons, compared with golden files.
 
-With ``TOPAZLUG_GOLDEN=rewrite`` in the environment the files are written
-anew; read their difference before it is committed.
+With ``TOPAZLUG_GOLDEN=rewrite`` in the environment the files are rewritten;
+review the difference before committing it.
 """
 
 import os
@@ -18,7 +18,7 @@
 
 class TestGolden:
     @pytest.mark.parametrize("name", sorted(golden_sessions.BY_NAME))
-    def test_a_session_is_as_before(
+    def test_session_matches_golden_file(
         self, recorder: Recorder, name: str
     ) -> None:
         session = golden_sessions.BY_NAME[name]
