--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,7 +1,7 @@
 """A pytest plugin that deselects the tests of KNOWN-RED.txt, or all others.
 
 pytest's own ``--deselect`` matches prefixes of node ids, so ``test_late``
-would also deselect ``test_late_answer``. This plugin matches complete node ids.
+would also deselect ``test_late_answer``. This plugin matches complete ids.
 """
 
 import pathlib
