--- a/tests/fleet/test_owner_loss.py
+++ b/tests/fleet/test_owner_loss.py
@@ -113,7 +113,7 @@
 
     @pytest.mark.parametrize("fault", ["cut", "blackhole"])
     def test_groups_rejoin(
-        self, split_fleet: _fleet.Fleet, set_faults: str
+        self, split_fleet: _fleet.Fleet, fault: str
     ) -> None:
         """Daemons must rediscover each other after a network partition.
 
@@ -123,7 +123,7 @@
         """
         with fleet_load.Load(split_fleet) as load:
             load.wait_for_more(20)
-            split_fleet.switch_links(**{set_faults: True})
+            split_fleet.switch_links(**{fault: True})
             fleet_fixtures.eventually(
                 lambda: live_daemons(split_fleet, 0) == {0, 1}
             )
@@ -131,7 +131,7 @@
                 lambda: live_daemons(split_fleet, 3) == {2, 3}
             )
             load.wait_for_more(100)
-            split_fleet.switch_links(**{set_faults: False})
+            split_fleet.switch_links(**{fault: False})
             all_daemons = set(range(4))
             fleet_fixtures.eventually(
                 lambda: all(
