--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What a daemon costs, as slopes, and what they lead to at the target."""
+"""Cost of a daemon per unit of work, and projections for the target size."""
--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Measures fleets of real daemons: what each spends, idle and with load."""
+"""Measures resource usage of daemons in real fleets, idle and under load."""
 
 from collections.abc import Callable
 from concurrent import futures
@@ -37,7 +37,7 @@
 
 @final
 class Sample(msgspec.Struct, kw_only=True):
-    """One daemon at one moment."""
+    """Readings of one daemon at one time."""
 
     processor: float
     sent: float
@@ -45,8 +45,8 @@
 
 
 @final
-class Spent(msgspec.Struct, kw_only=True):
-    """What the daemons spent in a window, each on average."""
+class Usage(msgspec.Struct, kw_only=True):
+    """Resource usage of the daemons in a window, mean and maximum."""
 
     processor: float
     highest_processor: float
@@ -69,16 +69,16 @@
     return sum(found)
 
 
-def _bytes_of(daemon: _fleet.DaemonProcess) -> tuple[float, float]:
+def _control_bytes(daemon: _fleet.DaemonProcess) -> tuple[float, float]:
     return _metric(daemon, _SENT), _metric(daemon, _RECEIVED)
 
 
-def _processor_of(daemon: _fleet.DaemonProcess) -> float:
+def _processor_seconds(daemon: _fleet.DaemonProcess) -> float:
     times = psutil.Process(daemon.process.pid).cpu_times()
     return float(times.user + times.system)
 
 
-def _each(
+def _map_daemons(
     daemons: list[_fleet.DaemonProcess],
     function: Callable[[_fleet.DaemonProcess], object],
 ) -> list[object]:
@@ -86,7 +86,7 @@
         return list(pool.map(function, daemons))
 
 
-def _links_of(daemon: _fleet.DaemonProcess, peer_ports: set[int]) -> int:
+def _count_links(daemon: _fleet.DaemonProcess, peer_ports: set[int]) -> int:
     return sum(
         connection.status == psutil.CONN_ESTABLISHED
         and (
@@ -99,54 +99,54 @@
     )
 
 
-def _spent(
-    fleet: _fleet.Fleet, act: Callable[[], None]
-) -> tuple[Spent, float]:
+def _measure_usage(
+    fleet: _fleet.Fleet, work: Callable[[], None]
+) -> tuple[Usage, float]:
     daemons = fleet.daemons
-    # The scrapes stand outside the span over which processor time is
-    # taken: one costs a daemon as much as a second of idling.
-    bytes_before = [_bytes_of(daemon) for daemon in daemons]
+    # Metrics are scraped outside the interval in which processor time is
+    # measured: one scrape costs a daemon as much as a second of idling.
+    bytes_before = [_control_bytes(daemon) for daemon in daemons]
     bytes_at = time.monotonic()
-    processor_before = [_processor_of(daemon) for daemon in daemons]
+    processor_before = [_processor_seconds(daemon) for daemon in daemons]
     started = time.monotonic()
-    act()
+    work()
     seconds = time.monotonic() - started
     processor = [
-        (_processor_of(daemon) - before) / seconds
+        (_processor_seconds(daemon) - before) / seconds
         for daemon, before in zip(daemons, processor_before)
     ]
     bytes_seconds = time.monotonic() - bytes_at
-    moved = [
+    byte_rates = [
         ((now[0] - old[0]) / bytes_seconds, (now[1] - old[1]) / bytes_seconds)
-        for now, old in zip(map(_bytes_of, daemons), bytes_before)
+        for now, old in zip(map(_control_bytes, daemons), bytes_before)
     ]
     memory = [
         psutil.Process(daemon.process.pid).memory_full_info()
         for daemon in daemons
     ]
     ports = {daemon.peers_port for daemon in daemons}
-    links = [_links_of(daemon, ports) for daemon in daemons[:5]]
-    spent = Spent(
+    links = [_count_links(daemon, ports) for daemon in daemons[:5]]
+    usage = Usage(
         processor=statistics.mean(processor),
         highest_processor=max(processor),
-        sent=statistics.mean(sent for sent, _ in moved),
-        received=statistics.mean(received for _, received in moved),
-        highest_bytes=max(max(pair) for pair in moved),
+        sent=statistics.mean(sent for sent, _ in byte_rates),
+        received=statistics.mean(received for _, received in byte_rates),
+        highest_bytes=max(max(pair) for pair in byte_rates),
         resident=statistics.mean(found.rss for found in memory),
         unique=statistics.mean(found.uss for found in memory),
         highest_resident=max(found.rss for found in memory),
         links=statistics.mean(links),
     )
-    return spent, seconds
+    return usage, seconds
 
 
-def _print_spent(what: str, spent: Spent) -> None:
+def _print_usage(what: str, usage: Usage) -> None:
     click.echo(
-        f"| {what} | {spent.processor:.2%} ({spent.highest_processor:.2%}) "
-        f"| {spent.sent / 1e3:.2f} / {spent.received / 1e3:.2f} "
-        f"({spent.highest_bytes / 1e3:.2f}) "
-        f"| {spent.resident / 1e6:.1f} ({spent.highest_resident / 1e6:.1f}) "
-        f"| {spent.unique / 1e6:.1f} | {spent.links:.0f} "
+        f"| {what} | {usage.processor:.2%} ({usage.highest_processor:.2%}) "
+        f"| {usage.sent / 1e3:.2f} / {usage.received / 1e3:.2f} "
+        f"({usage.highest_bytes / 1e3:.2f}) "
+        f"| {usage.resident / 1e6:.1f} ({usage.highest_resident / 1e6:.1f}) "
+        f"| {usage.unique / 1e6:.1f} | {usage.links:.0f} "
         f"| {os.getloadavg()[0]:.1f} |"
     )
 
@@ -171,30 +171,30 @@
         )
         for number in range(workers)
     ]
-    asked = whole = 0
+    total = whole = 0
     for process in processes:
         output, _ = process.communicate()
         counts = [int(word) for word in output.split()]
-        asked += counts[0]
+        total += counts[0]
         whole += counts[1]
-    return f"{whole} of {asked} calls whole"
+    return f"{whole} of {total} calls whole"
 
 
 def _time_until(
     daemons: list[_fleet.DaemonProcess],
-    is_so: Callable[[_fleet.DaemonProcess], bool],
+    condition: Callable[[_fleet.DaemonProcess], bool],
     started: float,
 ) -> tuple[float, float]:
-    """Give when half, and when all, of the daemons were seen to be so."""
+    """Return after how long half, and all, daemons met the condition."""
     waiting = list(daemons)
     half = math.inf
     while waiting and time.monotonic() - started < _WATCH_SECONDS:
-        found = _each(waiting, is_so)
-        waiting = [one for one, so in zip(waiting, found) if not so]
-        passed = time.monotonic() - started
+        found = _map_daemons(waiting, condition)
+        waiting = [one for one, met in zip(waiting, found) if not met]
+        elapsed = time.monotonic() - started
         if len(waiting) <= len(daemons) / 2:
-            half = min(half, passed)
-    return half, passed if not waiting else math.inf
+            half = min(half, elapsed)
+    return half, elapsed if not waiting else math.inf
 
 
 def _change_configuration(fleet: _fleet.Fleet) -> tuple[float, float]:
@@ -224,8 +224,8 @@
     )
 
 
-def _started(count: int) -> _fleet.Fleet:
-    """Start a fleet, large ones in parts: their start is all processor."""
+def _start_fleet(count: int) -> _fleet.Fleet:
+    """Start a fleet, in batches if large: starting is processor-bound."""
     deployment = _deployment.load(_EXAMPLE)
     deployment.services = []
     deployment.pools[0].replicas = _ENGINES
@@ -240,7 +240,7 @@
 
 
 def _add_teams(fleet: _fleet.Fleet, teams: int) -> None:
-    """Give the table so many teams, and start one more daemon after that."""
+    """Import teams into the table, then start one more daemon."""
     started = time.monotonic()
     for first in range(0, teams, _TEAMS_AT_ONCE):
         rows = [
@@ -288,7 +288,7 @@
     teams: int,
 ) -> None:
     began = time.monotonic()
-    fleet = _started(count)
+    fleet = _start_fleet(count)
     try:
         click.echo(
             f"\n{count} daemons, {_ENGINES} engines, all ready after "
@@ -302,18 +302,20 @@
         )
         click.echo("|---|---|---|---|---|---|---|")
         time.sleep(settle)
-        spent, _ = _spent(fleet, lambda: time.sleep(seconds))
-        _print_spent("idle", spent)
+        usage, _ = _measure_usage(fleet, lambda: time.sleep(seconds))
+        _print_usage("idle", usage)
         for rate, tokens in loads:
-            said: list[str] = []
-            spent, passed = _spent(
+            load_results: list[str] = []
+            usage, elapsed = _measure_usage(
                 fleet,
-                lambda: said.append(
+                lambda: load_results.append(
                     _load(fleet, rate=rate, tokens=tokens, seconds=seconds)
                 ),
             )
             what = f"{rate:g} requests/s, {tokens} tokens"
-            _print_spent(f"{what} ({said[0]} in {passed:.1f} s)", spent)
+            _print_usage(
+                f"{what} ({load_results[0]} in {elapsed:.1f} s)", usage
+            )
         half, whole = _change_configuration(fleet)
         click.echo(
             f"\nchange in force on half {half:.2f} s, all {whole:.2f} s"
@@ -335,13 +337,13 @@
 @click.option("--daemons", default=[9, 50], multiple=True, type=int)
 @click.option("--seconds", default=15.0, show_default=True)
 @click.option("--settle", default=5.0, show_default=True)
-@click.option("--teams", default=0, help="Teams added to the table.")
+@click.option("--teams", default=0, help="Number of teams added to the table.")
 @click.option(
     "--load",
     "loads",
     default=["3:8"],
     multiple=True,
-    help="Requests a second and daemon, colon, tokens of an answer.",
+    help="Requests per second per daemon, colon, tokens per answer.",
 )
 def main(
     daemons: tuple[int, ...],
@@ -350,7 +352,7 @@
     teams: int,
     loads: tuple[str, ...],
 ) -> None:
-    """Print what a daemon spends in fleets of several sizes."""
+    """Print the resource usage of daemons in fleets of several sizes."""
     for count in daemons:
         _measure(
             count,
--- a/bench/capacity/capacity_far_end.py
+++ b/bench/capacity/capacity_far_end.py
@@ -1,7 +1,7 @@
-"""The far ends of a relay that is measured: engines, and callers.
+"""Far ends for measurements of a relay: engines and callers.
 
-They run in processes of their own, so that the processor time of the
-measured process is the relay's alone.
+They run in separate processes, so that the processor time of the measured
+process is that of the relay alone.
 """
 
 from gevent import monkey
@@ -16,7 +16,7 @@
 from gevent import server  # noqa: E402
 
 _HOST = "127.0.0.1"
-_LONGEST_SECONDS = 90.0
+_MAX_SECONDS = 90.0
 _LOAD = b'{"running": 7, "state": "live", "incarnation": 1700000000000}'
 _LOAD_ANSWER = (
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
@@ -46,19 +46,19 @@
 
     def serve(self, sock: socket.socket, address: object) -> None:
         """Answer requests on one connection."""
-        rest = b""
+        buffered = b""
         while True:
             data = sock.recv(16384)
             if not data:
                 return
-            rest += data
-            if b"\r\n\r\n" not in rest:
+            buffered += data
+            if b"\r\n\r\n" not in buffered:
                 continue
-            if rest.startswith(b"GET"):
+            if buffered.startswith(b"GET"):
                 sock.sendall(_LOAD_ANSWER)
             else:
                 self._stream(sock)
-            rest = b""
+            buffered = b""
 
     def _stream(self, sock: socket.socket) -> None:
         sock.sendall(_STREAM_HEAD)
@@ -71,7 +71,7 @@
 
 @click.group()
 def main() -> None:
-    """Run one kind of far end; it ends by itself after 90 s."""
+    """Run one kind of far end; it exits by itself after 90 s."""
 
 
 @main.command()
@@ -80,26 +80,26 @@
 @click.option("--tokens", default=100)
 def engine(ports: int, interval: float, tokens: int) -> None:
     """Serve streams of tokens and load documents."""
-    made = _Engine(interval=interval, tokens=tokens)
+    engine_server = _Engine(interval=interval, tokens=tokens)
     servers = [
-        server.StreamServer((_HOST, 0), made.serve, backlog=1024)
+        server.StreamServer((_HOST, 0), engine_server.serve, backlog=1024)
         for _ in range(ports)
     ]
-    for one in servers:
-        one.start()
-    listed = " ".join(str(one.server_port) for one in servers)
+    for each_server in servers:
+        each_server.start()
+    listed = " ".join(str(each_server.server_port) for each_server in servers)
     click.echo(f"READY {listed}")
-    gevent.sleep(_LONGEST_SECONDS)
+    gevent.sleep(_MAX_SECONDS)
 
 
 @main.command()
 @click.option("--port", required=True, type=int)
 @click.option("--count", required=True, type=int)
 def callers(port: int, count: int) -> None:
-    """Ask for so many streams at once and read them."""
-    asking = [gevent.spawn(_read_stream, port) for _ in range(count)]
-    gevent.joinall(asking, timeout=_LONGEST_SECONDS)
-    whole = sum(bool(greenlet.value) for greenlet in asking)
+    """Request streams concurrently and read them to the end."""
+    readers = [gevent.spawn(_read_stream, port) for _ in range(count)]
+    gevent.joinall(readers, timeout=_MAX_SECONDS)
+    whole = sum(bool(greenlet.value) for greenlet in readers)
     click.echo(f"WHOLE {whole}")
 
 
--- a/bench/capacity/capacity_load.py
+++ b/bench/capacity/capacity_load.py
@@ -1,4 +1,4 @@
-"""A small steady load on all daemons of a fleet, from one process."""
+"""Steady light load on all daemons of a fleet, from one process."""
 
 from gevent import monkey
 
@@ -14,14 +14,16 @@
 
 _CHATS = 400
 _DRAIN_SECONDS = 10.0
-_LONGEST_SECONDS = 120.0
+_MAX_SECONDS = 120.0
 
 
 @click.command()
 @click.argument("ports", nargs=-1, type=int, required=True)
 @click.option("--key", required=True)
 @click.option("--model", required=True)
-@click.option("--rate", required=True, type=float, help="A second and daemon.")
+@click.option(
+    "--rate", required=True, type=float, help="Requests per second per daemon."
+)
 @click.option("--tokens", required=True, type=int)
 @click.option("--seconds", required=True, type=float)
 def main(
@@ -32,12 +34,12 @@
     tokens: int,
     seconds: float,
 ) -> None:
-    """Ask each port at random times; print how many calls were whole."""
-    seconds = min(seconds, _LONGEST_SECONDS)
+    """Call each port at random times; print the total and complete calls."""
+    seconds = min(seconds, _MAX_SECONDS)
     end = time.monotonic() + seconds
     calls: list[gevent.Greenlet] = []
 
-    def ask(port: int, number: int) -> bool:
+    def call_daemon(port: int, number: int) -> bool:
         answer = fleet_calls.chat(
             f"http://127.0.0.1:{port}",
             key=key,
@@ -49,16 +51,16 @@
         )
         return answer.ending is fleet_calls.Ending.WHOLE
 
-    def keep_asking(port: int) -> None:
+    def send_calls(port: int) -> None:
         number = 0
         while True:
             gevent.sleep(random.expovariate(rate))
             if time.monotonic() > end:
                 return
             number += 1
-            calls.append(gevent.spawn(ask, port, number))
+            calls.append(gevent.spawn(call_daemon, port, number))
 
-    gevent.joinall([gevent.spawn(keep_asking, port) for port in ports])
+    gevent.joinall([gevent.spawn(send_calls, port) for port in ports])
     gevent.joinall(calls, timeout=_DRAIN_SECONDS)
     whole = sum(bool(call.value) for call in calls)
     click.echo(f"{len(calls)} {whole}")
--- a/bench/capacity/capacity_messages.py
+++ b/bench/capacity/capacity_messages.py
@@ -1,4 +1,4 @@
-"""What messages between daemons, and looks at targets, cost on the wire."""
+"""Cost of messages between daemons and of polling targets."""
 
 from collections.abc import Iterator
 import contextlib
@@ -26,7 +26,7 @@
 _TIMEOUT = 10.0
 _PEERS = 40
 _CALLS = 4000
-_LOOKS = 2000
+_POLLS = 2000
 _ENGINES = 40
 _CONNECTIONS = 25
 _CLOCK = _clock.SystemClock()
@@ -34,8 +34,8 @@
 
 
 @contextlib.contextmanager
-def far_end(*arguments: str) -> Iterator[list[str]]:
-    """Start a far end and give the words of its first line."""
+def start_far_end(*arguments: str) -> Iterator[list[str]]:
+    """Run a far end and yield the words that follow READY."""
     process = subprocess.Popen(
         [sys.executable, "-m", "bench.capacity.capacity_far_end", *arguments],
         stdout=subprocess.PIPE,
@@ -50,7 +50,7 @@
 
 
 def target_at(port: int, number: int = 0) -> _targets.Target:
-    """Make a target on loopback."""
+    """Return a target on loopback."""
     return _targets.Target(
         replica=_ids.ReplicaId(f"pool-00-replica-{number:04}"),
         kind=_targets.TargetKind.ENGINE,
@@ -66,21 +66,21 @@
 
 @final
 class _Pair:
-    """One daemon's links and those of some peers, all in this process."""
+    """Links of one daemon and of its peers, all in this process."""
 
     def __init__(self, peers: int) -> None:
         self._address_by_id: dict[_ids.DaemonId, _peers.Address] = {}
-        self.heard = 0
-        self.wanted = 0
-        self.all_heard = event.Event()
+        self.received_count = 0
+        self.expected_count = 0
+        self.all_received = event.Event()
         self.answer: msgspec.Struct = messages.Ack()
-        self.near = self._made("near-0001")
+        self.near = self._make_links("near-0001")
         self.names = sizes.daemon_ids(peers)
-        self.far = [self._made(name) for name in self.names]
+        self.far = [self._make_links(name) for name in self.names]
         for name in self.names:
             self.near.call(name, _ask(), timeout=_TIMEOUT)
 
-    def _made(self, name: str) -> _peers.PeerLinks:
+    def _make_links(self, name: str) -> _peers.PeerLinks:
         links = _peers.PeerLinks(
             daemon_id=_ids.DaemonId(name),
             incarnation=1_700_000_000_000,
@@ -100,21 +100,21 @@
             messages.Displaced,
             messages.ConfigPush,
         ):
-            links.handle(kind, self._hear)
+            links.handle(kind, self._receive)
         self._address_by_id[_ids.DaemonId(name)] = _peers.Address(_HOST, port)
         return links
 
-    def _hear(
+    def _receive(
         self, sender: _ids.DaemonId, message: object, reply: _peers.Reply
     ) -> None:
-        self.heard += 1
-        if self.heard == self.wanted:
-            self.all_heard.set()
+        self.received_count += 1
+        if self.received_count == self.expected_count:
+            self.all_received.set()
         if reply is not _peers.ignore_reply:
             reply(self.answer)
 
     def stop(self) -> None:
-        """Close all."""
+        """Stop all links."""
         for links in (self.near, *self.far):
             links.stop()
 
@@ -195,21 +195,21 @@
 ]
 
 
-def frames() -> list[_Slope]:
-    """Send each message alone and count the bytes, seal included."""
+def frame_sizes() -> list[_Slope]:
+    """Send each message alone and count its bytes, MAC included."""
     pair = _Pair(1)
-    found = []
+    slopes = []
     for name, message, answer in _CASES:
         for _ in range(2):
             sent, received = pair.near.bytes_sent, pair.near.bytes_received
             _exchange_one(pair, message, answer)
         there = pair.near.bytes_sent - sent
         back = pair.near.bytes_received - received
-        found.append(_Slope(f"{name}: there", there, "B"))
+        slopes.append(_Slope(f"{name}: there", there, "B"))
         if answer is not None:
-            found.append(_Slope(f"{name}: back", back, "B"))
+            slopes.append(_Slope(f"{name}: back", back, "B"))
     pair.stop()
-    return found
+    return slopes
 
 
 def _exchange_one(
@@ -219,20 +219,20 @@
         pair.answer = answer
         pair.near.call(pair.names[0], message, timeout=_TIMEOUT)
         return
-    pair.wanted = pair.heard + 1
-    pair.all_heard.clear()
+    pair.expected_count = pair.received_count + 1
+    pair.all_received.clear()
     pair.near.send(pair.names[0], message)
-    pair.all_heard.wait()
+    pair.all_received.wait()
 
 
 def calls() -> list[_Slope]:
-    """Send messages to 40 peers in turn; each travels alone.
+    """Send messages to 40 peers in turn, each in its own frame.
 
-    The processor time is that of both ends; without what their handlers
-    do, which is measured apart.
+    The processor time is that of both ends, without the work of their
+    handlers, which is measured separately.
     """
     pair = _Pair(_PEERS)
-    found = []
+    slopes = []
     for name, message, answer in _CASES:
         started = time.process_time()
         if answer is None:
@@ -243,22 +243,22 @@
                 peer = pair.names[number % _PEERS]
                 pair.near.call(peer, message, timeout=_TIMEOUT)
         micros = (time.process_time() - started) / _CALLS * 1e6
-        found.append(_Slope(f"{name}: both ends", micros, "µs"))
+        slopes.append(_Slope(f"{name}: both ends", micros, "µs"))
     pair.stop()
-    return found
+    return slopes
 
 
 def _send_all(pair: _Pair, message: msgspec.Struct) -> None:
     for _ in range(_CALLS // _PEERS):
-        pair.wanted = pair.heard + _PEERS
-        pair.all_heard.clear()
+        pair.expected_count = pair.received_count + _PEERS
+        pair.all_received.clear()
         for name in pair.names:
             pair.near.send(name, message)
-        pair.all_heard.wait()
+        pair.all_received.wait()
 
 
 @final
-class _Signs:
+class _IgnoringPublisher:
     def publish_target(
         self,
         replica: _ids.ReplicaId,
@@ -266,10 +266,10 @@
         incarnation: int,
         state: messages.FactState,
     ) -> None:
-        """Take no note."""
+        """Ignore the state."""
 
 
-def _watch(
+def _make_poller(
     listed: list[_targets.Target],
 ) -> tuple[_target_poller.TargetPoller, _target_client.TargetConnections]:
     directory = _targets.TargetDirectory(clock=_CLOCK, flap_window=60.0)
@@ -277,48 +277,48 @@
     connections = _target_client.TargetConnections(
         connect_timeout=2.0, clock=_CLOCK
     )
-    watch = _target_poller.TargetPoller(
+    poller = _target_poller.TargetPoller(
         owned=lambda: [target.replica for target in listed],
         targets=directory,
         connections=connections,
-        publisher=_Signs(),
+        publisher=_IgnoringPublisher(),
         report=lambda replica, running: None,
         interval=1.0,
         clock=_CLOCK,
     )
-    return watch, connections
+    return poller, connections
 
 
-def probes() -> list[_Slope]:
-    """Look at one target's load again and again."""
-    with far_end("engine") as ports:
+def target_polls() -> list[_Slope]:
+    """Measure repeated polls of one target's load."""
+    with start_far_end("engine") as ports:
         target = target_at(int(ports[0]))
-        watch, _ = _watch([target])
-        watch.poll(target.replica)
+        poller, _ = _make_poller([target])
+        poller.poll(target.replica)
         started = time.process_time()
-        for _ in range(_LOOKS):
-            watch.poll(target.replica)
-        micros = (time.process_time() - started) / _LOOKS * 1e6
+        for _ in range(_POLLS):
+            poller.poll(target.replica)
+        micros = (time.process_time() - started) / _POLLS * 1e6
     return [_Slope("look at a target's load", micros, "µs")]
 
 
 def idle_connections() -> list[_Slope]:
-    """Keep connections to targets that wait for their next request."""
-    with far_end("engine", "--ports", str(_ENGINES)) as ports:
+    """Measure the memory of idle connections to targets."""
+    with start_far_end("engine", "--ports", str(_ENGINES)) as ports:
         listed = [
             target_at(int(port), number) for number, port in enumerate(ports)
         ]
-        watch, connections = _watch(listed)
+        poller, connections = _make_poller(listed)
         for target in listed:
-            watch.poll(target.replica)
+            poller.poll(target.replica)
         before = sizes.resident_bytes()
-        looks = [
-            gevent.spawn(watch.poll, target.replica)
+        polls = [
+            gevent.spawn(poller.poll, target.replica)
             for target in listed
             for _ in range(_CONNECTIONS)
         ]
-        gevent.joinall(looks)
-        del looks
+        gevent.joinall(polls)
+        del polls
         held = sizes.resident_bytes() - before
         connections.close()
     count = _ENGINES * (_CONNECTIONS - 1)
--- a/bench/capacity/capacity_relay.py
+++ b/bench/capacity/capacity_relay.py
@@ -1,7 +1,7 @@
-"""What one core relays: streams of tokens through a daemon's own parts.
+"""Throughput of one core that relays token streams through daemon modules.
 
-A callers' server of the library, `ChatStream` and its reader of events; not
-what `ChatCalls` adds around them. That is in the figures of whole daemons.
+Covers gevent's WSGI server, `ChatStream` and its event reader, without what
+`ChatCalls` adds. The measurements of whole daemons include that.
 """
 
 from collections.abc import Callable
@@ -70,21 +70,21 @@
                 self.tokens += 1
                 yield piece
         except _errors.RequestError:
-            # The far ends are ended in the middle of their streams.
+            # The far ends are killed in the middle of their streams.
             return
 
 
 def relay() -> list[_Slope]:
-    """Relay several numbers of streams, one token each 57 ms."""
-    found = []
+    """Measure several numbers of streams, with one token every 57 ms."""
+    slopes = []
     for count in _STREAMS:
-        found += _measured(count)
-    return found
+        slopes += _measure(count)
+    return slopes
 
 
-def _measured(count: int) -> list[_Slope]:
+def _measure(count: int) -> list[_Slope]:
     arguments = ("--tokens", str(_TOKENS))
-    with capacity_messages.far_end("engine", *arguments) as ports:
+    with capacity_messages.start_far_end("engine", *arguments) as ports:
         app = _Relay(int(ports[0]))
         server = pywsgi.WSGIServer((_HOST, 0), app, log=None, error_log=None)
         server.start()
@@ -106,7 +106,7 @@
                 gevent.sleep(0.02)
             gc.collect()
             held = (sizes.resident_bytes() - before) / count
-            rate, micros = _window(app)
+            rate, micros = _measure_window(app)
         finally:
             callers.kill()
             callers.wait()
@@ -118,11 +118,11 @@
     ]
 
 
-def _window(app: _Relay) -> tuple[float, float]:
+def _measure_window(app: _Relay) -> tuple[float, float]:
     tokens = app.tokens
     processor, started = time.process_time(), time.monotonic()
     gevent.sleep(_WINDOW)
     processor = time.process_time() - processor
-    passed = app.tokens - tokens
+    relayed = app.tokens - tokens
     seconds = time.monotonic() - started
-    return passed / seconds, processor / max(1, passed) * 1e6
+    return relayed / seconds, processor / max(1, relayed) * 1e6
--- a/bench/capacity/capacity_routing.py
+++ b/bench/capacity/capacity_routing.py
@@ -1,4 +1,4 @@
-"""What it costs to rank, to own and to judge, at the target's size."""
+"""Cost of ranking, ownership, admission and quotas at the target size."""
 
 import datetime
 import heapq
@@ -23,7 +23,7 @@
 
 _CHATS = 200
 _CANDIDATES = 8
-_ASKS = 2000
+_ADMISSIONS = 2000
 _HELD = 570
 _SETTLE_SECONDS = 60.0
 _PER_POOL = sizes.REPLICAS // sizes.POOLS
@@ -32,7 +32,7 @@
 
 class _Rules:
     def allowance_of(self, group: _ids.GroupName) -> int:
-        """Give no load beyond the bound."""
+        """Allow no load beyond the bound."""
         return 0
 
     def bound_of(self, group: _ids.GroupName) -> float:
@@ -49,10 +49,10 @@
 
 
 def ranking() -> list[_Slope]:
-    """Rank chats over a pool's replicas and over all."""
+    """Measure ranking of chats over a pool's replicas and over all."""
     found = []
-    randomness = random.Random(1)
-    chats = [randomness.getrandbits(64) for _ in range(_CHATS)]
+    rng = random.Random(1)
+    chats = [rng.getrandbits(64) for _ in range(_CHATS)]
     for count in (_PER_POOL, sizes.REPLICAS):
         names = sizes.replica_ids(count)
         micros = sizes.processor_micros(
@@ -75,19 +75,23 @@
 
 
 def ownership() -> list[_Slope]:
-    """Update owners: from nothing, one joins, leaves, a zone is lost."""
+    """Measure ownership updates after joins, departures and zone losses."""
     daemons = sizes.daemon_ids()
     replicas = sizes.replica_ids()
     table_ = _ownership.Ownership()
     update = table_.update
-    lost = len(daemons) // sizes.ZONES
+    lost_daemons = len(daemons) // sizes.ZONES
     kept_replicas = replicas[: -len(replicas) // sizes.ZONES]
     steps: list[tuple[str, list[_ids.DaemonId], list[_ids.ReplicaId]]] = [
         ("all from nothing", daemons, replicas),
         ("one daemon leaves", daemons[1:], replicas),
         ("one daemon joins", daemons, replicas),
-        (f"{lost} daemons leave at once", daemons[lost:], replicas),
-        (f"{lost} daemons join at once", daemons, replicas),
+        (
+            f"{lost_daemons} daemons leave at once",
+            daemons[lost_daemons:],
+            replicas,
+        ),
+        (f"{lost_daemons} daemons join at once", daemons, replicas),
         ("half of the daemons leaves at once", daemons[::2], replicas),
         ("half of the daemons joins at once", daemons, replicas),
         ("an eighth of the replicas leaves", daemons, kept_replicas),
@@ -105,19 +109,23 @@
 
 
 def directory() -> list[_Slope]:
-    """Take the list over, and facts of targets one by one."""
+    """Measure loading the list, and applying facts of targets one by one."""
     listed = sizes.targets()
     directory_ = _targets.TargetDirectory(
         clock=_clock.SystemClock(), flap_window=60.0
     )
-    taken = sizes.once_millis(lambda: directory_.take_list(listed))
-    told = [_listed_targets.fact_from_target(target) for target in listed[:50]]
-    bare = [_fact_of(target) for target in listed[50:100]]
+    list_millis = sizes.once_millis(lambda: directory_.take_list(listed))
+    facts_with_address = [
+        _listed_targets.fact_from_target(target) for target in listed[:50]
+    ]
+    facts_without_address = [_fact_of(target) for target in listed[50:100]]
     with_address = sizes.processor_micros(
-        lambda: sizes.for_each(directory_.apply_fact, told), count=50
+        lambda: sizes.for_each(directory_.apply_fact, facts_with_address),
+        count=50,
     )
     without = sizes.processor_micros(
-        lambda: sizes.for_each(directory_.apply_fact, bare), count=50
+        lambda: sizes.for_each(directory_.apply_fact, facts_without_address),
+        count=50,
     )
     owners = _ownership.Ownership()
     daemons = sizes.daemon_ids()
@@ -128,23 +136,26 @@
         owners.update(daemons=daemons, replicas=known)
 
     directory_.on_change(update)
-    followed = sizes.processor_micros(
-        lambda: sizes.for_each(directory_.apply_fact, bare), count=50
+    with_ownership = sizes.processor_micros(
+        lambda: sizes.for_each(directory_.apply_fact, facts_without_address),
+        count=50,
     )
     group = _ids.GroupName("pool-00")
-    looked = sizes.processor_micros(
-        lambda: _look_through(directory_, group, times=50), count=50
+    usable_micros = sizes.processor_micros(
+        lambda: _query_after_changes(directory_, group, times=50), count=50
     )
     return [
-        _Slope("list of 6,100 targets taken over", taken, "ms"),
+        _Slope("list of 6,100 targets taken over", list_millis, "ms"),
         _Slope("one fact of a target, with its address", with_address, "µs"),
         _Slope("one fact of a target, state only", without, "µs"),
-        _Slope("  the same, owners updated after it", followed, "µs"),
-        _Slope("usable replicas of a pool, after a change", looked, "µs"),
+        _Slope("  the same, owners updated after it", with_ownership, "µs"),
+        _Slope(
+            "usable replicas of a pool, after a change", usable_micros, "µs"
+        ),
     ]
 
 
-def _look_through(
+def _query_after_changes(
     directory_: _targets.TargetDirectory,
     group: _ids.GroupName,
     *,
@@ -165,7 +176,7 @@
     )
 
 
-def _owner_with_places() -> tuple[_owner.Owner, list[_ids.ReplicaId]]:
+def _owner_with_held_slots() -> tuple[_owner.Owner, list[_ids.ReplicaId]]:
     clock = _clock.SystemClock()
     directory_ = _targets.TargetDirectory(clock=clock, flap_window=60.0)
     directory_.take_list(sizes.targets())
@@ -185,18 +196,18 @@
     owned = owners.owned_by(me)
     for number in range(_HELD):
         daemon = sizes.daemon_ids()[number % sizes.DAEMONS]
-        place = messages.HeldPlace(
+        held_place = messages.HeldPlace(
             ask=number,
             replica=owned[number % len(owned)],
             team=f"team-{number:05}",
         )
-        owner.renew(daemon, messages.Renew(held=[place], pending=[]))
+        owner.renew(daemon, messages.Renew(held=[held_place], pending=[]))
     return owner, owned
 
 
-def judging() -> list[_Slope]:
-    """Judge asks, take releases and renewals, with 570 places held."""
-    owner, owned = _owner_with_places()
+def admission() -> list[_Slope]:
+    """Measure admission, release and renewal with 570 slots held."""
+    owner, owned = _owner_with_held_slots()
     sender = sizes.daemon_ids()[5]
     asks = [
         messages.AdmitAsk(
@@ -207,52 +218,54 @@
             team="team-00001",
             home=False,
         )
-        for number in range(_ASKS)
+        for number in range(_ADMISSIONS)
     ]
 
-    def ask_and_release() -> None:
+    def admit_and_release() -> None:
         for ask in asks:
             owner.ask(sender, ask, _ignore)
             owner.release(sender, [ask.ask])
 
-    asked = sizes.processor_micros(ask_and_release, count=_ASKS)
+    admission_micros = sizes.processor_micros(
+        admit_and_release, count=_ADMISSIONS
+    )
     renew = messages.Renew(
         held=[messages.HeldPlace(ask=5, replica=owned[5 % len(owned)])],
         pending=[],
     )
-    renewed = sizes.processor_micros(
+    renewal_micros = sizes.processor_micros(
         lambda: sizes.for_each(
-            lambda _: owner.renew(sender, renew), range(_ASKS)
+            lambda _: owner.renew(sender, renew), range(_ADMISSIONS)
         ),
-        count=_ASKS,
+        count=_ADMISSIONS,
     )
-    dropped = sizes.processor_micros(
+    drop_micros = sizes.processor_micros(
         lambda: sizes.for_each(owner.drop_daemon, [sender] * _CHATS),
         count=_CHATS,
     )
     return [
-        _Slope("a dead daemon's places dropped", dropped, "µs"),
+        _Slope("a dead daemon's places dropped", drop_micros, "µs"),
         _Slope("replicas owned by the daemon measured", len(owned), ""),
-        _Slope("an ask judged and its place released", asked, "µs"),
-        _Slope("a renewal of one place taken", renewed, "µs"),
+        _Slope("an ask judged and its place released", admission_micros, "µs"),
+        _Slope("a renewal of one place taken", renewal_micros, "µs"),
     ]
 
 
-def collecting() -> list[_Slope]:
-    """Take the load reports of one pool's owners."""
+def collect_reports() -> list[_Slope]:
+    """Measure the collection of load reports of one pool's owners."""
     clock = _clock.SystemClock()
     collector = _group_load.LoadCollector(clock=clock, interval=0.1)
     daemons = sizes.daemon_ids(_PER_POOL)
     reports = [_report(number) for number in range(_PER_POOL)]
 
-    def take_all() -> None:
+    def add_all() -> None:
         for daemon, report in zip(daemons, reports):
             collector.add_report(daemon, report)
 
-    take_all()
-    micros = sizes.processor_micros(take_all, count=_PER_POOL)
+    add_all()
+    micros = sizes.processor_micros(add_all, count=_PER_POOL)
     name = f"one report taken by a pool's collector of {_PER_POOL}"
-    interval, counted = _settled()
+    interval, counted = _simulate_reporting()
     return [
         _Slope(name, micros, "µs"),
         _Slope("interval at which reports settle", interval, "s"),
@@ -274,14 +287,14 @@
         self.seconds += seconds
 
 
-def _settled() -> tuple[float, float]:
-    """Let a pool's owners report as the collector asks, for a minute.
+def _simulate_reporting() -> tuple[float, float]:
+    """Simulate a minute of owners' reports at the requested intervals.
 
     Returns
     -------
     tuple of float
-        Mean interval asked for, and mean replicas counted, of the last
-        half minute.
+        Mean requested interval, and mean number of replicas counted, in
+        the last half minute.
     """
     clock = _SteppedClock()
     collector = _group_load.LoadCollector(clock=clock, interval=0.1)
@@ -295,8 +308,8 @@
         assert owner is not None
         entry = messages.ReplicaLoad(replica=replica, load=80)
         loads.setdefault(owner, []).append(entry)
-    randomness = random.Random(1)
-    due = [(randomness.random(), owner) for owner in sorted(loads)]
+    rng = random.Random(1)
+    due = [(rng.random(), owner) for owner in sorted(loads)]
     heapq.heapify(due)
     seen: list[messages.LoadSummary] = []
     while due[0][0] < _SETTLE_SECONDS:
@@ -323,8 +336,8 @@
     )
 
 
-def lending() -> list[_Slope]:
-    """Lend parts of a team's ceiling."""
+def lend_slices() -> list[_Slope]:
+    """Measure lending slices of a team's ceiling."""
     row = table.TeamRow(
         name="team-00001", ceiling_rate=1000.0, ceiling_running=2000
     )
--- a/bench/capacity/capacity_sizes.py
+++ b/bench/capacity/capacity_sizes.py
@@ -1,4 +1,4 @@
-"""The sizes that the capacity page reckons with, and how figures are kept."""
+"""Sizes assumed by the capacity page, and helpers for measurements."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -40,12 +40,12 @@
 
 
 def daemon_ids(count: int = DAEMONS) -> list[_ids.DaemonId]:
-    """Name daemons as a large fleet would."""
+    """Return names of daemons of a large fleet."""
     return [_ids.DaemonId(f"daemon-{number:04}") for number in range(count)]
 
 
 def replica_ids(count: int = REPLICAS) -> list[_ids.ReplicaId]:
-    """Name replicas, spread evenly over the pools."""
+    """Return names of replicas, distributed evenly over the pools."""
     return [
         _ids.ReplicaId(f"pool-{number % POOLS:02}-replica-{number:04}")
         for number in range(count)
@@ -53,12 +53,12 @@
 
 
 def team_names(count: int = TEAMS) -> list[_ids.TeamName]:
-    """Name teams."""
+    """Return names of teams."""
     return [_ids.TeamName(f"team-{number:05}") for number in range(count)]
 
 
 def targets(count: int = REPLICAS) -> list[_targets.Target]:
-    """Make the platform's list of targets."""
+    """Return the platform's list of targets."""
     return [
         _targets.Target(
             replica=replica,
@@ -76,14 +76,14 @@
 
 
 def processor_micros(function: Callable[[], object], *, count: int) -> float:
-    """Give the processor time of one call in µs, the best of three runs.
+    """Return the processor time per item in µs, the best of three runs.
 
     Parameters
     ----------
     function : callable
-        Does the work `count` times.
+        Processes `count` items.
     count : int
-        How often one run does it.
+        Number of items per run.
     """
     best = float("inf")
     for _ in range(_REPEATS):
@@ -102,14 +102,14 @@
 
 
 def once_millis(function: Callable[[], object]) -> float:
-    """Give the processor time of a single run in ms."""
+    """Return the processor time of a single run in ms."""
     started = time.process_time()
     function()
     return (time.process_time() - started) * 1000
 
 
 def held_bytes(build: Callable[[], object]) -> float:
-    """Give the bytes that Python's allocator holds for what is built."""
+    """Return the bytes that Python's allocator holds for what is built."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -122,7 +122,7 @@
 
 
 def resident_bytes() -> int:
-    """Give this process's resident memory."""
+    """Return this process's resident memory in bytes."""
     gc.collect()
     with open("/proc/self/statm", encoding="ascii") as statm:
         pages = int(statm.read().split()[1])
@@ -130,7 +130,7 @@
 
 
 def print_table(slopes: list[Slope]) -> None:
-    """Print figures as rows of a page."""
+    """Print figures as a Markdown table."""
     click.echo("| what | figure | unit |")
     click.echo("|---|---:|---|")
     for slope in slopes:
@@ -138,6 +138,6 @@
 
 
 def print_load() -> None:
-    """Print how busy the machine is."""
+    """Print the load average of the machine."""
     one, five, _ = os.getloadavg()
     click.echo(f"load average {one:.1f} (1 min), {five:.1f} (5 min)")
--- a/bench/capacity/capacity_slopes.py
+++ b/bench/capacity/capacity_slopes.py
@@ -1,4 +1,4 @@
-"""Measures in one process what docs/CAPACITY.md is worked out from."""
+"""Measures the in-process slopes that docs/CAPACITY.md is based on."""
 
 import subprocess
 import sys
@@ -15,19 +15,19 @@
     "ranking": capacity_routing.ranking,
     "ownership": capacity_routing.ownership,
     "directory": capacity_routing.directory,
-    "judging": capacity_routing.judging,
-    "collecting": capacity_routing.collecting,
-    "lending": capacity_routing.lending,
+    "judging": capacity_routing.admission,
+    "collecting": capacity_routing.collect_reports,
+    "lending": capacity_routing.lend_slices,
     "table": capacity_state.whole_table,
     "list": capacity_state.instance_list,
     "facts": capacity_state.facts,
     "ledgers": capacity_state.ledgers,
     "displaced": capacity_state.displaced,
     "quotas": capacity_state.quotas,
-    "resident": capacity_state.together,
-    "messages": capacity_messages.frames,
+    "resident": capacity_state.all_resident,
+    "messages": capacity_messages.frame_sizes,
     "calls": capacity_messages.calls,
-    "probes": capacity_messages.probes,
+    "probes": capacity_messages.target_polls,
     "idle-connections": capacity_messages.idle_connections,
     "relay": capacity_relay.relay,
 }
@@ -36,10 +36,10 @@
 @click.command()
 @click.argument("parts", nargs=-1, type=click.Choice(list(_PARTS)))
 def main(parts: tuple[str, ...]) -> None:
-    """Print the slopes of some parts, or of all.
+    """Print the slopes of the named parts, or of all.
 
-    Each part runs in a process of its own, so that what one leaves in
-    memory is not counted with the next.
+    Each part runs in a separate process, so that memory left over from one
+    part does not affect the next.
     """
     if len(parts) == 1:
         sizes.print_table(_PARTS[parts[0]]())
--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -1,4 +1,4 @@
-"""What state weighs: tables, lists, facts, ledgers, chats and quotas."""
+"""Memory and size of tables, lists, facts, ledgers, chats and quotas."""
 
 from collections.abc import Mapping
 
@@ -71,24 +71,24 @@
 
 
 def whole_table() -> list[_Slope]:
-    """Hold, change and send the operators' table."""
+    """Measure loading, changing and encoding the operators' table."""
     encoded = msgspec.msgpack.encode(
         messages.ConfigAnswer(revision=1, whole=True, changes=_rows())
     )
-    held = sizes.held_bytes(lambda: _holder(encoded))
-    taken = sizes.once_millis(lambda: _holder(encoded))
-    holder = _holder(encoded)
+    held = sizes.held_bytes(lambda: _load_table(encoded))
+    load_millis = sizes.once_millis(lambda: _load_table(encoded))
+    configuration = _load_table(encoded)
     edits = iter(range(2, 10**6))
 
     def edit() -> None:
         for _ in range(_EDITS):
             revision = next(edits)
-            holder.apply([_change(revision)])
+            configuration.apply([_change(revision)])
 
-    edited = sizes.processor_micros(edit, count=_EDITS)
-    snapshot = holder.current
+    edit_micros = sizes.processor_micros(edit, count=_EDITS)
+    snapshot = configuration.current
     assert snapshot is not None
-    served = sizes.once_millis(
+    encode_millis = sizes.once_millis(
         lambda: msgspec.msgpack.encode(_table_snapshot.as_changes(snapshot))
     )
     push = messages.ConfigPush(changes=[_change(2)])
@@ -96,9 +96,11 @@
         _Slope("table of 13,000 teams, msgpack", len(encoded) / 1e6, "MB"),
         _Slope("table held, per team", held / sizes.TEAMS, "B"),
         _Slope("table held, whole", held / 1e6, "MB"),
-        _Slope("whole table decoded and brought into force", taken, "ms"),
-        _Slope("whole table encoded for a peer", served, "ms"),
-        _Slope("one row changed", edited, "µs"),
+        _Slope(
+            "whole table decoded and brought into force", load_millis, "ms"
+        ),
+        _Slope("whole table encoded for a peer", encode_millis, "ms"),
+        _Slope("one row changed", edit_micros, "µs"),
         _Slope(
             "push of one row, msgpack", len(msgspec.msgpack.encode(push)), "B"
         ),
@@ -116,11 +118,11 @@
     )
 
 
-def _holder(encoded: bytes) -> _configuration.ConfigurationHolder:
+def _load_table(encoded: bytes) -> _configuration.ConfigurationHolder:
     answer = msgspec.msgpack.decode(encoded, type=messages.ConfigAnswer)
-    holder = _configuration.ConfigurationHolder()
-    holder.apply_whole(revision=answer.revision, rows=answer.changes)
-    return holder
+    configuration = _configuration.ConfigurationHolder()
+    configuration.apply_whole(revision=answer.revision, rows=answer.changes)
+    return configuration
 
 
 def _instance_list() -> bytes:
@@ -155,7 +157,7 @@
 
 
 def instance_list() -> list[_Slope]:
-    """Hold and read the platform's list."""
+    """Measure decoding and memory of the platform's list."""
     data = _instance_list()
     count = sizes.REPLICAS + sizes.DAEMONS
     decoded = sizes.once_millis(lambda: _instances.decode(data))
@@ -185,19 +187,19 @@
 
 
 def facts() -> list[_Slope]:
-    """Hold facts and members."""
-    told = [
+    """Measure the memory of facts and members."""
+    target_facts = [
         _listed_targets.fact_from_target(target) for target in sizes.targets()
     ]
-    encoded = msgspec.msgpack.encode(told)
+    encoded = msgspec.msgpack.encode(target_facts)
 
-    def book() -> _facts.FactSet:
+    def fact_set() -> _facts.FactSet:
         made = _facts.FactSet(clock=_CLOCK)
         for fact in msgspec.msgpack.decode(encoded, type=list[messages.Fact]):
             made.merge(fact)
         return made
 
-    held = sizes.held_bytes(book)
+    held = sizes.held_bytes(fact_set)
 
     def members() -> Mapping[_ids.DaemonId, _members.Member]:
         return {
@@ -213,17 +215,19 @@
         }
 
     each = sizes.held_bytes(members) / sizes.DAEMONS
-    merged = sizes.processor_micros(book, count=len(told))
+    merged = sizes.processor_micros(fact_set, count=len(target_facts))
     return [
-        _Slope("fact held, with address", held / len(told), "B"),
-        _Slope("fact sent, with address", len(encoded) / len(told), "B"),
+        _Slope("fact held, with address", held / len(target_facts), "B"),
+        _Slope(
+            "fact sent, with address", len(encoded) / len(target_facts), "B"
+        ),
         _Slope("fact decoded and merged", merged, "µs"),
         _Slope("member held", each, "B"),
     ]
 
 
 def ledgers() -> list[_Slope]:
-    """Hold ledgers and the places in them."""
+    """Measure the memory of ledgers and of the slots held in them."""
 
     def made(places: int) -> list[_ledger.ReplicaLedger]:
         found = [_empty_ledger(number) for number in range(_LEDGERS)]
@@ -258,7 +262,7 @@
 
 
 def displaced() -> list[_Slope]:
-    """Hold displaced chats as they arrive from peers."""
+    """Measure displaced chats, decoded as they arrive from peers."""
 
     def chats() -> _displaced_chats.DisplacedChats:
         made = _displaced_chats.DisplacedChats(capacity=_DISPLACED)
@@ -287,7 +291,7 @@
 
 
 def quotas() -> list[_Slope]:
-    """Hold the teams in use of an entry daemon, and an owner's buckets."""
+    """Measure an entry daemon's teams in use and an owner's buckets."""
     row = table.TeamRow(name="t", ceiling_rate=1000.0, ceiling_running=2000)
 
     def owner() -> _quota_owner.QuotaOwner:
@@ -343,23 +347,25 @@
     def call(
         self, to: _ids.DaemonId, message: msgspec.Struct, *, timeout: float
     ) -> msgspec.Struct:
-        raise AssertionError("a team without a ceiling asks nobody")
+        raise AssertionError(
+            "unexpected call: a team without a ceiling needs no slice"
+        )
 
 
-def together() -> list[_Slope]:
-    """Hold all of it at once, as the process's resident memory shows it."""
+def all_resident() -> list[_Slope]:
+    """Measure the resident memory of table, list and facts together."""
     encoded = msgspec.msgpack.encode(
         messages.ConfigAnswer(revision=1, whole=True, changes=_rows())
     )
     data = _instance_list()
-    told = msgspec.msgpack.encode(
+    target_facts = msgspec.msgpack.encode(
         [
             _listed_targets.fact_from_target(target)
             for target in sizes.targets()
         ]
     )
     before = sizes.resident_bytes()
-    holder = _holder(encoded)
+    configuration = _load_table(encoded)
     after_table = sizes.resident_bytes()
     instances = _instances.decode(data)
     directory = _targets.TargetDirectory(clock=_CLOCK, flap_window=60.0)
@@ -369,11 +375,11 @@
         daemons=sizes.daemon_ids(), replicas=directory.target_by_replica
     )
     after_list = sizes.resident_bytes()
-    book = _facts.FactSet(clock=_CLOCK)
-    for fact in msgspec.msgpack.decode(told, type=list[messages.Fact]):
-        book.merge(fact)
+    fact_set = _facts.FactSet(clock=_CLOCK)
+    for fact in msgspec.msgpack.decode(target_facts, type=list[messages.Fact]):
+        fact_set.merge(fact)
     after_facts = sizes.resident_bytes()
-    assert holder.current is not None and book.digest
+    assert configuration.current is not None and fact_set.digest
     mega = 1e6
     return [
         _Slope("resident: table", (after_table - before) / mega, "MB"),
--- a/bench/capacity/peer_slopes.py
+++ b/bench/capacity/peer_slopes.py
@@ -1,4 +1,4 @@
-"""Measures what streams between daemons cost.
+"""Measures the cost of connections between daemons.
 
 All ends run in one process, so that a call's processor time is that of both
 ends together.
@@ -34,7 +34,7 @@
         self._links: list[_peers.PeerLinks] = []
 
     def make(self, name: str) -> _peers.PeerLinks:
-        """Start the links of a daemon that admits all that is asked."""
+        """Start the links of a daemon that admits every request."""
         links = _peers.PeerLinks(
             daemon_id=_ids.DaemonId(name),
             incarnation=1,
@@ -81,7 +81,7 @@
     )
 
 
-def _quiet_exchange() -> messages.Exchange:
+def _empty_exchange() -> messages.Exchange:
     return messages.Exchange(facts=[], digest=2**63 + 5, revision=123456)
 
 
@@ -101,12 +101,12 @@
     gevent.joinall([gevent.spawn(run) for _ in range(callers)])
     seconds = time.perf_counter() - started
     processor = time.process_time() - processor
-    moved = dialling.bytes_sent + dialling.bytes_received - bytes_before
+    bytes_moved = dialling.bytes_sent + dialling.bytes_received - bytes_before
     fleet.stop()
-    return count / seconds, processor / count * 1e6, moved / count
+    return count / seconds, processor / count * 1e6, bytes_moved / count
 
 
-def _resident() -> int:
+def _resident_bytes() -> int:
     gc.collect()
     with open("/proc/self/statm") as statm:
         pages = int(statm.read().split()[1])
@@ -120,18 +120,18 @@
     for name in names:
         fleet.make(name)
     gevent.sleep(SETTLE_SECONDS)
-    before = _resident()
+    before = _resident_bytes()
     processor = time.process_time()
     for name in names:
-        center.call(name, _quiet_exchange(), timeout=TIMEOUT)
-    opened = (time.process_time() - processor) / count * 1e6
-    both_ends = (_resident() - before) / count
+        center.call(name, _empty_exchange(), timeout=TIMEOUT)
+    open_micros = (time.process_time() - processor) / count * 1e6
+    both_ends = (_resident_bytes() - before) / count
     for _ in range(20):
         for name in names:
-            center.call(name, _quiet_exchange(), timeout=TIMEOUT)
-    used = (_resident() - before) / count
+            center.call(name, _empty_exchange(), timeout=TIMEOUT)
+    used = (_resident_bytes() - before) / count
     fleet.stop()
-    return opened, both_ends, used
+    return open_micros, both_ends, used
 
 
 def _measure_exchange() -> tuple[float, float]:
@@ -141,18 +141,18 @@
     to = _ids.DaemonId("b")
     counts = []
     for _ in range(3):
-        dialling.call(to, _quiet_exchange(), timeout=TIMEOUT)
+        dialling.call(to, _empty_exchange(), timeout=TIMEOUT)
         counts.append((dialling.bytes_sent, dialling.bytes_received))
     fleet.stop()
     handshake = sum(counts[0]) - (sum(counts[2]) - sum(counts[1]))
     return sum(counts[2]) - sum(counts[1]), handshake
 
 
-def _measure_book(members: int) -> tuple[float, float, float]:
+def _measure_fact_set(members: int) -> tuple[float, float, float]:
     tracemalloc.start()
-    book = _facts.FactSet(clock=_clock.SystemClock())
+    fact_set = _facts.FactSet(clock=_clock.SystemClock())
     for number in range(members):
-        book.merge(
+        fact_set.merge(
             messages.Fact(
                 kind=messages.FactKind.daemon,
                 subject=f"daemon-{number}",
@@ -166,8 +166,8 @@
         )
     held = tracemalloc.get_traced_memory()[0] / members
     tracemalloc.stop()
-    facts = book.next_chunk(members)
-    whole = messages.Exchange(facts=facts, digest=book.digest, revision=1)
+    facts = fact_set.next_chunk(members)
+    whole = messages.Exchange(facts=facts, digest=fact_set.digest, revision=1)
     size = len(msgspec.msgpack.encode(whole)) / members
     started = time.process_time()
     other = _facts.FactSet(clock=_clock.SystemClock())
@@ -186,23 +186,23 @@
 @click.option("--links", default=[50, 200, 400], multiple=True, type=int)
 @click.option("--members", default=880, show_default=True)
 def main(calls: int, links: tuple[int, ...], members: int) -> None:
-    """Print a table of the costs of streams and fact books."""
+    """Print a table of the costs of peer connections and fact sets."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     _row("file descriptors allowed", soft, "")
     for callers in (1, CONCURRENT_CALLERS):
-        rate, processor, moved = _measure_calls(calls, callers)
+        rate, processor, bytes_moved = _measure_calls(calls, callers)
         _row(f"admission calls, {callers} at once", rate, "calls/s")
         _row("  processor time, both ends", processor, "us/call")
-        _row("  bytes, both ways", moved, "B/call")
+        _row("  bytes, both ways", bytes_moved, "B/call")
     exchange, handshake = _measure_exchange()
     _row("quiet exchange, both ways", exchange, "B")
     _row("handshake, both ways", handshake, "B")
     for count in links:
-        opened, both_ends, used = _measure_links(count)
-        _row(f"{count} links: opening, both ends", opened, "us/link")
+        open_micros, both_ends, used = _measure_links(count)
+        _row(f"{count} links: opening, both ends", open_micros, "us/link")
         _row("  resident once opened, both ends", both_ends, "B/link")
         _row("  resident after 20 more calls each", used, "B/link")
-    held, size, merged = _measure_book(members)
+    held, size, merged = _measure_fact_set(members)
     _row(f"book of {members} daemons: memory", held, "B/fact")
     _row("  sent whole", size, "B/fact")
     _row("  merged", merged, "us/fact")
