--- a/bench/experiments/__init__.py
+++ b/bench/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Ways compared: policies, mechanisms, troubles, and the proofs."""
+"""Comparisons of policies, mechanisms and faults; timed guarantees."""
--- a/bench/experiments/routing.py
+++ b/bench/experiments/routing.py
@@ -212,7 +212,7 @@
         for result in results:
             for gap, count in result.gaps.items():
                 gaps[gap] = gaps.get(gap, 0) + count
-        seen = summary.Seen(
+        observations = summary.RunObservations(
             turns=[turn for result in results for turn in result.turns],
             gaps=gaps,
             events=journals.merge(self._watcher.events),
@@ -231,7 +231,7 @@
                 summary.phase_result(
                     info,
                     phase,
-                    seen,
+                    observations,
                     before=readings[index],
                     after=readings[index + 1],
                     faulted=self._director.faulted_in(phase.name),
@@ -348,7 +348,7 @@
                 )
                 result = run(options)
                 phases += result.phases
-                click.echo(report.lines_of(result.phases), err=True)
+                click.echo(report.format_phases(result.phases), err=True)
                 if results is not None:
                     report.save(results, result)
     click.echo(report.table(phases))
--- a/bench/reports/__init__.py
+++ b/bench/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What runs write down, and the tables made of it."""
+"""Records that runs write, and tables made from them."""
--- a/bench/reports/journals.py
+++ b/bench/reports/journals.py
@@ -1,4 +1,4 @@
-"""What the engines' journals, merged by time, say of load and the bound."""
+"""Load and bound figures from the engines' journals, merged by time."""
 
 import collections
 import math
@@ -25,7 +25,7 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """An engine's load as it was at a time."""
+    """Load that an engine reported at a time."""
 
     at: float
     engine: str
@@ -33,30 +33,30 @@
     waiting: int
 
 
-def limit_of(*, bound: float, total: int, engines: int) -> int:
-    """Give the load that the bound allows on one engine.
+def load_limit(*, bound: float, total: int, engines: int) -> int:
+    """Return the load that the bound allows on one engine.
 
     Parameters
     ----------
     bound : float
         Multiple of the mean.
     total : int
-        Running on all engines, the arriving one counted in.
+        Running on all engines, including the arriving request.
     engines : int
-        How many they are.
+        Number of engines.
     """
     return max(1, math.ceil(bound * total / max(1, engines)))
 
 
 @final
 class _Pool:
-    """The engines' running counts at one moment."""
+    """Running counts of the engines at one time."""
 
     def __init__(self) -> None:
         self.running_by_engine: dict[str, int] = {}
         self._leaving: set[str] = set()
 
-    def take(self, event: Event) -> None:
+    def apply(self, event: Event) -> None:
         if event.event in (GONE, LEAVING):
             self.running_by_engine.pop(event.engine, None)
             self._leaving.discard(event.engine)
@@ -71,7 +71,7 @@
         return sum(self.running_by_engine.values())
 
     def limit(self, bound: float) -> int:
-        return limit_of(
+        return load_limit(
             bound=bound,
             total=self.total,
             engines=len(self.running_by_engine),
@@ -79,24 +79,24 @@
 
 
 @final
-class _Stretches:
-    """How long each engine has been over the bound without a break."""
+class _OverLimitIntervals:
+    """Tracks how long each engine has been over the limit continuously."""
 
     def __init__(self) -> None:
         self._since: dict[str, float] = {}
         self.longest = 0.0
 
-    def take(self, pool: _Pool, *, limit: int, at: float) -> None:
-        over = {
+    def apply(self, pool: _Pool, *, limit: int, at: float) -> None:
+        overloaded = {
             engine
             for engine, running in pool.running_by_engine.items()
             if running > limit
         }
         for engine in list(self._since):
             self.longest = max(self.longest, at - self._since[engine])
-            if engine not in over:
+            if engine not in overloaded:
                 del self._since[engine]
-        for engine in over:
+        for engine in overloaded:
             self._since.setdefault(engine, at)
 
 
@@ -113,24 +113,24 @@
     Parameters
     ----------
     events : list of Event
-        Of the whole run, in order of time.
+        Events of the whole run, in order of time.
     bound : float
         Multiple of the mean.
     start, end : float
-        The phase in seconds since the epoch.
+        Start and end of the phase in seconds since the epoch.
     """
     pool = _Pool()
-    stretches = _Stretches()
+    intervals = _OverLimitIntervals()
     over_by = collections.Counter[int]()
     admissions = 0
     for event in events:
         if event.at >= end:
             break
-        pool.take(event)
+        pool.apply(event)
         if event.at < start:
             continue
         limit = pool.limit(bound)
-        stretches.take(pool, limit=limit, at=event.at)
+        intervals.apply(pool, limit=limit, at=event.at)
         if event.event != START:
             continue
         admissions += 1
@@ -138,18 +138,20 @@
         if excess > 0:
             over_by[excess] += 1
     count = max(1, admissions)
-    two = sum(over_by[excess] for excess in over_by if excess >= 2)
+    count_over_by_two = sum(
+        over_by[excess] for excess in over_by if excess >= 2
+    )
     return records.BoundFigures(
         admissions=admissions,
         share_over=sum(over_by.values()) / count,
-        share_over_by_two=two / count,
+        share_over_by_two=count_over_by_two / count,
         largest=max(over_by, default=0),
-        longest=stretches.longest,
+        longest=intervals.longest,
         over_by=dict(over_by),
     )
 
 
-def _on_grid(
+def _sample_running(
     events: list[Event], *, start: float, end: float
 ) -> Iterator[list[int]]:
     pool = _Pool()
@@ -158,25 +160,25 @@
         while event.at > at and at < end:
             yield list(pool.running_by_engine.values())
             at += _GRID_SECONDS
-        pool.take(event)
+        pool.apply(event)
 
 
 def skew_figures(
     events: list[Event], *, start: float, end: float
 ) -> records.SkewFigures:
-    """Give largest load over mean load, each 50 ms, from running counts."""
-    return _skew(list(_on_grid(events, start=start, end=end)))
+    """Return largest over mean running count, sampled every 50 ms."""
+    return _skew(list(_sample_running(events, start=start, end=end)))
 
 
 def sampled_skew(
     samples: list[Sample], *, start: float, end: float
 ) -> records.SkewFigures | None:
-    """Give largest load over mean load, what waits at engines counted in.
+    """Return largest over mean load, including requests that wait.
 
     Returns
     -------
     SkewFigures or None
-        None where the engines gave no load reports.
+        None if the engines sent no load reports.
     """
     by_time: dict[int, dict[str, int]] = {}
     for sample in samples:
--- a/bench/reports/records.py
+++ b/bench/reports/records.py
@@ -1,4 +1,4 @@
-"""What load generators and runs write down."""
+"""Records that load generators and runs write."""
 
 import math
 from typing import Sequence
@@ -10,7 +10,8 @@
 CLIENT_TIMEOUT = "client_timeout"
 NO_ENTRY = "no_entry"
 WRONG_ANSWER = "wrong_answer"
-# Codes that the daemons did not give: no whole answer, no proper error.
+# Codes that daemons do not return: the caller received neither a complete
+# answer nor a proper error.
 LOST = (CUT, CLIENT_TIMEOUT, WRONG_ANSWER)
 LONGEST_GAP = 5000
 
@@ -32,7 +33,7 @@
 
 
 class LoadResult(msgspec.Struct, frozen=True, kw_only=True):
-    """All that one load generator saw; gaps counted by milliseconds."""
+    """Results of one load generator; gaps are counted by milliseconds."""
 
     turns: list[Turn]
     gaps: dict[int, int]
@@ -40,7 +41,7 @@
 
 
 class Latency(msgspec.Struct, frozen=True, kw_only=True):
-    """Seconds that so many in 100 took at most."""
+    """Percentiles of durations in seconds."""
 
     count: int
     p50: float
@@ -49,12 +50,12 @@
 
 
 class BoundFigures(msgspec.Struct, frozen=True, kw_only=True):
-    """How well the bound was held.
+    """How closely admissions kept to the bound.
 
     Notes
     -----
-    `over_by` counts admissions by load units over the bound. `longest` is
-    the longest stretch of seconds for which an engine was over it.
+    `over_by` counts admissions by how far the load was over the bound.
+    `longest` is the longest time in seconds that an engine was over it.
     """
 
     admissions: int
@@ -66,7 +67,7 @@
 
 
 class SkewFigures(msgspec.Struct, frozen=True, kw_only=True):
-    """Largest load of the engines over their mean."""
+    """Ratio of the largest load of the engines to their mean load."""
 
     mean: float
     worst: float
@@ -74,7 +75,7 @@
 
 
 class ProcessFigures(msgspec.Struct, frozen=True, kw_only=True):
-    """What one daemon spent: bytes a second, share of a core, MB."""
+    """Usage of one daemon: bytes per second, share of a core, MB."""
 
     sent: float
     received: float
@@ -119,17 +120,17 @@
     phases: list[PhaseResult]
 
 
-def percentile(values: Sequence[float], part: float) -> float:
-    """Give the value that `part` of the values don't exceed."""
+def percentile(values: Sequence[float], share: float) -> float:
+    """Return the value that a share of the values does not exceed."""
     if not values:
         return math.nan
     ordered = sorted(values)
-    index = math.ceil(part * len(ordered)) - 1
+    index = math.ceil(share * len(ordered)) - 1
     return ordered[max(0, index)]
 
 
-def latency_of(values: Sequence[float]) -> Latency:
-    """Sum up latencies in seconds."""
+def latency_percentiles(values: Sequence[float]) -> Latency:
+    """Return the percentiles of latencies in seconds."""
     return Latency(
         count=len(values),
         p50=percentile(values, 0.5),
@@ -138,12 +139,12 @@
     )
 
 
-def gap_percentile(gaps: dict[int, int], part: float) -> float:
-    """Give a percentile of gaps counted by milliseconds, in seconds."""
-    wanted = part * sum(gaps.values())
-    seen = 0
+def gap_percentile(gaps: dict[int, int], share: float) -> float:
+    """Return a percentile, in seconds, of gaps counted by milliseconds."""
+    target_count = share * sum(gaps.values())
+    count_so_far = 0
     for milliseconds in sorted(gaps):
-        seen += gaps[milliseconds]
-        if seen >= wanted:
+        count_so_far += gaps[milliseconds]
+        if count_so_far >= target_count:
             return milliseconds / 1000
     return math.nan
--- a/bench/reports/report.py
+++ b/bench/reports/report.py
@@ -1,4 +1,4 @@
-"""Tables and plots of what the routing bench measured."""
+"""Tables and plots of the results of the routing bench."""
 
 import math
 import pathlib
@@ -21,11 +21,11 @@
 
 
 class Column(NamedTuple):
-    """One column: its head, its figure, and how it is written."""
+    """One column: its heading, its figure and its number format."""
 
-    head: str
+    heading: str
     figure: Callable[[records.PhaseResult], float]
-    form: str
+    format_spec: str
 
 
 def _daemon_mean(
@@ -36,14 +36,14 @@
     return sum(values) / len(values) if values else math.nan
 
 
-def _daemon_most(
+def _daemon_max(
     phase: records.PhaseResult,
     figure: Callable[[records.ProcessFigures], float],
 ) -> float:
     return max((figure(d) for d in phase.daemons.values()), default=math.nan)
 
 
-def _control(daemon: records.ProcessFigures) -> float:
+def _control_kilobytes(daemon: records.ProcessFigures) -> float:
     return (daemon.sent + daemon.received) / 1000
 
 
@@ -78,8 +78,10 @@
     Column("p95", lambda p: 1000 * p.first_token.p95, "{:.0f}"),
     Column("p99", lambda p: 1000 * p.first_token.p99, "{:.0f}"),
     Column("tokens p95 ms", lambda p: 1000 * p.between_tokens_p95, "{:.0f}"),
-    Column("control kB/s", lambda p: _daemon_mean(p, _control), "{:.1f}"),
-    Column("most", lambda p: _daemon_most(p, _control), "{:.1f}"),
+    Column(
+        "control kB/s", lambda p: _daemon_mean(p, _control_kilobytes), "{:.1f}"
+    ),
+    Column("most", lambda p: _daemon_max(p, _control_kilobytes), "{:.1f}"),
     Column(
         "core %",
         lambda p: 100 * _daemon_mean(p, lambda d: d.processor),
@@ -94,7 +96,7 @@
 
 
 class Key(NamedTuple):
-    """Runs with the same key differ in their seed only."""
+    """Key of a group of runs that differ only in their seed."""
 
     deployment: str
     scenario: str
@@ -103,7 +105,7 @@
 
     @property
     def name(self) -> str:
-        """Give the policy with its bound, where it holds one."""
+        """Return the policy, with its bound if it enforces one."""
         if self.policy in ("owners", "sliver"):
             return f"{self.policy} {self.bound:g}"
         return self.policy
@@ -112,7 +114,7 @@
 def group(
     phases: Iterable[records.PhaseResult],
 ) -> dict[Key, list[records.PhaseResult]]:
-    """Put the runs of one policy and scenario together."""
+    """Group the runs by deployment, scenario, policy and bound."""
     by_key: dict[Key, list[records.PhaseResult]] = {}
     for phase in phases:
         key = Key(phase.deployment, phase.scenario, phase.policy, phase.bound)
@@ -121,40 +123,41 @@
 
 
 def cell(column: Column, phases: Sequence[records.PhaseResult]) -> str:
-    """Write the mean of the runs, and their least and largest."""
-    every = [column.figure(phase) for phase in phases]
-    values = [value for value in every if not math.isnan(value)]
+    """Format the mean of the runs, with their minimum and maximum."""
+    figures = [column.figure(phase) for phase in phases]
+    values = [value for value in figures if not math.isnan(value)]
     if not values:
         return NOT_MEASURED
-    mean = column.form.format(sum(values) / len(values))
-    least = column.form.format(min(values))
-    most = column.form.format(max(values))
-    if least == most:
+    mean = column.format_spec.format(sum(values) / len(values))
+    minimum = column.format_spec.format(min(values))
+    maximum = column.format_spec.format(max(values))
+    if minimum == maximum:
         return mean
-    return f"{mean} ({least}–{most})"
+    return f"{mean} ({minimum}–{maximum})"
 
 
 def table(
     phases: Iterable[records.PhaseResult],
     columns: Sequence[Column] = PLACEMENT + COST,
 ) -> str:
-    """Write a Markdown table, a line for each policy and scenario."""
-    heads = ["deployment", "scenario", "policy", "runs"]
-    heads += [column.head for column in columns]
-    rows = [heads, ["---"] * len(heads)]
-    for key, same in group(phases).items():
-        row = [key.deployment, key.scenario, key.name, str(len(same))]
-        row += [cell(column, same) for column in columns]
+    """Return a Markdown table with a row for each group of runs."""
+    headings = ["deployment", "scenario", "policy", "runs"]
+    headings += [column.heading for column in columns]
+    rows = [headings, ["---"] * len(headings)]
+    for key, runs in group(phases).items():
+        row = [key.deployment, key.scenario, key.name, str(len(runs))]
+        row += [cell(column, runs) for column in columns]
         rows.append(row)
     return "\n".join("| " + " | ".join(row) + " |" for row in rows)
 
 
-def lines_of(phases: Iterable[records.PhaseResult]) -> str:
-    """Write one run's figures for somebody who watches."""
+def format_phases(phases: Iterable[records.PhaseResult]) -> str:
+    """Format the figures of one run as progress output."""
     lines = []
     for phase in phases:
         figures = [
-            f"{column.head} {column.form.format(column.figure(phase))}"
+            f"{column.heading} "
+            f"{column.format_spec.format(column.figure(phase))}"
             for column in PLACEMENT + COST
         ]
         name = f"{phase.deployment} {phase.scenario} {phase.policy}"
@@ -167,7 +170,7 @@
 
 
 def save(folder: pathlib.Path, result: records.RunResult) -> None:
-    """Write a run's figures as JSON."""
+    """Write a run's figures to a JSON file."""
     folder.mkdir(parents=True, exist_ok=True)
     first = result.phases[0]
     parts = [first.deployment, first.policy, f"{first.bound:g}"]
@@ -176,7 +179,7 @@
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result)))
 
 
-def _place_in_table(phase: records.PhaseResult) -> tuple[str, str, str]:
+def _sort_key(phase: records.PhaseResult) -> tuple[str, str, str]:
     return phase.deployment, phase.scenario, phase.policy
 
 
@@ -190,32 +193,32 @@
     return phases
 
 
-def compared(
+def compared_scenarios(
     by_key: Mapping[Key, Sequence[records.PhaseResult]],
 ) -> list[tuple[str, str]]:
-    """Give deployments and scenarios in which several policies ran."""
-    names: dict[tuple[str, str], int] = {}
+    """Return deployments and scenarios that several policies ran in."""
+    policy_counts: dict[tuple[str, str], int] = {}
     for key in by_key:
         name = (key.deployment, key.scenario)
-        names[name] = names.get(name, 0) + 1
-    return [name for name, policies in names.items() if policies > 1]
+        policy_counts[name] = policy_counts.get(name, 0) + 1
+    return [name for name, policies in policy_counts.items() if policies > 1]
 
 
 def plot(phases: Sequence[records.PhaseResult], path: pathlib.Path) -> None:
-    """Draw reuse against skew, a panel for each compared scenario."""
+    """Plot reuse against skew, with a panel for each compared scenario."""
     matplotlib.use("Agg")
     by_key = group(phases)
-    names = compared(by_key)
-    rows = math.ceil(len(names) / _PANELS_IN_ROW)
+    scenarios = compared_scenarios(by_key)
+    rows = math.ceil(len(scenarios) / _PANELS_IN_ROW)
     figure, axes = pyplot.subplots(
         rows, _PANELS_IN_ROW, figsize=(12, 3.6 * rows), squeeze=False
     )
-    for axis, (deployment, scenario) in zip(axes.flat, names):
-        for key, same in sorted(by_key.items()):
+    for axis, (deployment, scenario) in zip(axes.flat, scenarios):
+        for key, runs in sorted(by_key.items()):
             if (key.deployment, key.scenario) != (deployment, scenario):
                 continue
-            skews = [_skew(phase).mean for phase in same]
-            axis.scatter(skews, [p.reuse for p in same], label=key.name)
+            skews = [_skew(phase).mean for phase in runs]
+            axis.scatter(skews, [p.reuse for p in runs], label=key.name)
         axis.set_title(f"{deployment}, {scenario}", fontsize=9)
         axis.set_xlabel("largest ÷ mean load, mean over time", fontsize=8)
         axis.set_ylabel("reuse of context", fontsize=8)
@@ -229,9 +232,9 @@
 @click.argument("folder", type=click.Path(path_type=pathlib.Path))
 @click.option("--plot", "path", type=click.Path(path_type=pathlib.Path))
 def main(folder: pathlib.Path, path: pathlib.Path | None) -> None:
-    """Print tables of the runs in a folder, and draw them."""
+    """Print tables of the runs in a folder, and plot them if requested."""
     phases = load(folder)
-    phases.sort(key=_place_in_table)
+    phases.sort(key=_sort_key)
     click.echo(table(phases, PLACEMENT))
     click.echo()
     click.echo(table(phases, COST))
--- a/bench/reports/summary.py
+++ b/bench/reports/summary.py
@@ -1,4 +1,4 @@
-"""From what was seen in a phase to its figures."""
+"""Computes the figures of a phase from the observations of a run."""
 
 import collections
 import os
@@ -12,7 +12,7 @@
 
 
 class RunInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """What a run was."""
+    """Parameters of a run."""
 
     deployment: str
     policy: str
@@ -21,14 +21,14 @@
     load_lag: float | None
 
     def scenario(self, name: str) -> str:
-        """Name a scenario, with the lag of the engines' reports if set."""
+        """Return a scenario's name, with the lag of load reports if set."""
         if self.load_lag is None:
             return name
         return f"{name}, reports {self.load_lag:g} s late"
 
 
-class Seen(msgspec.Struct, frozen=True, kw_only=True):
-    """All that was seen in a run; events in order of time."""
+class RunObservations(msgspec.Struct, frozen=True, kw_only=True):
+    """Observations of a whole run; events are in order of time."""
 
     turns: list[records.Turn]
     gaps: dict[int, int]
@@ -40,39 +40,41 @@
 def phase_result(
     info: RunInfo,
     phase: workload.Phase,
-    seen: Seen,
+    observations: RunObservations,
     *,
     before: watching.Reading,
     after: watching.Reading,
     faulted: str,
 ) -> records.PhaseResult:
-    """Work out the figures of one phase.
+    """Return the figures of one phase.
 
     Parameters
     ----------
     info : RunInfo
-        What the run was.
+        Parameters of the run.
     phase : Phase
-        Which phase.
-    seen : Seen
-        The whole run.
+        The phase to summarize.
+    observations : RunObservations
+        Observations of the whole run.
     before, after : Reading
-        At the phase's beginning and end.
+        Readings at the start and end of the phase.
     faulted : str
-        The daemon that was killed or frozen; empty for none. Requests that
-        entered there are left out of what was lost elsewhere.
+        Name of the daemon that was killed or frozen; empty for none. Its
+        requests do not count in the figures named `elsewhere`.
     """
     turns = [
-        turn for turn in seen.turns if phase.start <= turn.sent < phase.end
+        turn
+        for turn in observations.turns
+        if phase.start <= turn.sent < phase.end
     ]
-    good = [turn for turn in turns if turn.code == records.OK]
-    back = [turn for turn in good if turn.reusable]
-    cached = sum(min(turn.cached, turn.reusable) for turn in back)
+    succeeded = [turn for turn in turns if turn.code == records.OK]
+    returning = [turn for turn in succeeded if turn.reusable]
+    cached = sum(min(turn.cached, turn.reusable) for turn in returning)
     elsewhere = [turn for turn in turns if turn.entry != faulted]
     span = {"start": phase.start, "end": phase.end}
     waiting = [
         sample.waiting
-        for sample in seen.samples
+        for sample in observations.samples
         if phase.start <= sample.at < phase.end
     ]
     seconds = phase.end - phase.start
@@ -85,19 +87,20 @@
         note=faulted,
         seconds=seconds,
         requests_per_second=len(turns) / seconds,
-        reuse=cached / max(1, sum(turn.reusable for turn in back)),
-        hits=sum(turn.cached > 0 for turn in back) / max(1, len(back)),
-        returning=len(back),
+        reuse=cached / max(1, sum(turn.reusable for turn in returning)),
+        hits=sum(turn.cached > 0 for turn in returning)
+        / max(1, len(returning)),
+        returning=len(returning),
         bound_held=journals.bound_figures(
-            seen.events, bound=info.bound, **span
+            observations.events, bound=info.bound, **span
         ),
-        skew=journals.skew_figures(seen.events, **span),
-        skew_with_waiting=journals.sampled_skew(seen.samples, **span),
+        skew=journals.skew_figures(observations.events, **span),
+        skew_with_waiting=journals.sampled_skew(observations.samples, **span),
         most_waiting=max(waiting, default=0),
-        first_token=_first_token(good),
-        first_token_by_team=_by_team(good),
-        whole=records.latency_of([turn.end for turn in good]),
-        between_tokens_p95=records.gap_percentile(seen.gaps, 0.95),
+        first_token=_first_token(succeeded),
+        first_token_by_team=_by_team(succeeded),
+        whole=records.latency_percentiles([turn.end for turn in succeeded]),
+        between_tokens_p95=records.gap_percentile(observations.gaps, 0.95),
         count_by_code=dict(collections.Counter(turn.code for turn in turns)),
         lost_elsewhere=sum(turn.code in records.LOST for turn in elsewhere),
         slowest_elsewhere=max(
@@ -105,13 +108,13 @@
         ),
         daemons=watching.daemon_figures(before, after),
         engines_processor=watching.engines_processor(before, after),
-        generators_processor=seen.generators_processor,
+        generators_processor=observations.generators_processor,
         load_average=os.getloadavg()[0],
     )
 
 
 def _first_token(turns: list[records.Turn]) -> records.Latency:
-    return records.latency_of(
+    return records.latency_percentiles(
         [turn.first for turn in turns if turn.first is not None]
     )
 
@@ -120,4 +123,6 @@
     by_team: dict[str, list[records.Turn]] = {}
     for turn in turns:
         by_team.setdefault(turn.team, []).append(turn)
-    return {team: _first_token(part) for team, part in by_team.items()}
+    return {
+        team: _first_token(team_turns) for team, team_turns in by_team.items()
+    }
--- a/tests/bench/reports/test_journals.py
+++ b/tests/bench/reports/test_journals.py
@@ -1,4 +1,4 @@
-"""Tests of what the engines' journals say."""
+"""Tests of the figures computed from the engines' journals."""
 
 import pytest
 
@@ -10,8 +10,8 @@
 
 
 @pytest.fixture
-def lopsided() -> list[journals.Event]:
-    """Give one engine that gets three, beside one that gets one."""
+def unbalanced_events() -> list[journals.Event]:
+    """Return events of an engine that runs three and one that runs one."""
     return [
         _start(1.0, 1, "a"),
         _start(1.1, 1, "b"),
@@ -22,37 +22,37 @@
 
 class TestLimit:
     def test_rounds_up(self) -> None:
-        assert journals.limit_of(bound=1.5, total=5, engines=2) == 4
+        assert journals.load_limit(bound=1.5, total=5, engines=2) == 4
 
     def test_is_never_below_one(self) -> None:
-        assert journals.limit_of(bound=1.25, total=0, engines=6) == 1
+        assert journals.load_limit(bound=1.25, total=0, engines=6) == 1
 
 
 class TestBound:
-    def test_counts_an_admission_over_the_bound(
-        self, lopsided: list[journals.Event]
+    def test_admission_over_the_bound_is_counted(
+        self, unbalanced_events: list[journals.Event]
     ) -> None:
         figures = journals.bound_figures(
-            lopsided, bound=1.25, start=1.15, end=2.0
+            unbalanced_events, bound=1.25, start=1.15, end=2.0
         )
         assert (figures.admissions, figures.largest) == (2, 0)
         figures = journals.bound_figures(
-            lopsided, bound=1.0, start=1.15, end=2.0
+            unbalanced_events, bound=1.0, start=1.15, end=2.0
         )
         assert figures.share_over == 0.5
 
-    def test_leaves_out_what_came_before_the_phase(
-        self, lopsided: list[journals.Event]
+    def test_events_before_the_phase_are_not_counted(
+        self, unbalanced_events: list[journals.Event]
     ) -> None:
         figures = journals.bound_figures(
-            lopsided, bound=1.0, start=1.4, end=2.0
+            unbalanced_events, bound=1.0, start=1.4, end=2.0
         )
         assert figures.admissions == 0
 
-    def test_gives_the_longest_stretch(
-        self, lopsided: list[journals.Event]
+    def test_longest_time_over_the_bound(
+        self, unbalanced_events: list[journals.Event]
     ) -> None:
-        events = lopsided + [
+        events = unbalanced_events + [
             journals.Event(1.8, "end", 2, "a"),
             journals.Event(1.9, "end", 1, "a"),
         ]
@@ -61,10 +61,10 @@
         )
         assert figures.longest == pytest.approx(0.5)
 
-    def test_an_engine_that_leaves_counts_no_more(
-        self, lopsided: list[journals.Event]
+    def test_engine_that_leaves_is_no_longer_counted(
+        self, unbalanced_events: list[journals.Event]
     ) -> None:
-        events = lopsided + [
+        events = unbalanced_events + [
             journals.Event(1.4, journals.LEAVING, 0, "b"),
             journals.Event(1.5, "end", 0, "b"),
             _start(1.6, 4, "a"),
@@ -74,10 +74,10 @@
         )
         assert (figures.admissions, figures.largest) == (1, 0)
 
-    def test_an_engine_that_came_back_counts_again(
-        self, lopsided: list[journals.Event]
+    def test_engine_that_restarted_is_counted_again(
+        self, unbalanced_events: list[journals.Event]
     ) -> None:
-        events = lopsided + [
+        events = unbalanced_events + [
             journals.Event(1.4, journals.GONE, 0, "b"),
             _start(1.5, 1, "b"),
             _start(1.6, 4, "a"),
@@ -89,15 +89,15 @@
 
 
 class TestSkew:
-    def test_is_the_largest_over_the_mean(
-        self, lopsided: list[journals.Event]
+    def test_is_the_ratio_of_largest_to_mean(
+        self, unbalanced_events: list[journals.Event]
     ) -> None:
-        events = lopsided + [journals.Event(3.0, "end", 2, "a")]
+        events = unbalanced_events + [journals.Event(3.0, "end", 2, "a")]
         figures = journals.skew_figures(events, start=1.5, end=2.5)
         assert figures.mean == pytest.approx(1.5)
         assert figures.mean_load == pytest.approx(2.0)
 
-    def test_counts_what_waits_at_the_engines(self) -> None:
+    def test_waiting_requests_are_included(self) -> None:
         samples = [
             journals.Sample(1.0, "a", 2, 4),
             journals.Sample(1.0, "b", 2, 0),
@@ -106,5 +106,5 @@
         assert figures is not None
         assert figures.worst == pytest.approx(1.5)
 
-    def test_says_so_when_engines_were_silent(self) -> None:
+    def test_is_none_without_load_reports(self) -> None:
         assert journals.sampled_skew([], start=0.0, end=1.0) is None
--- a/tests/bench/reports/test_report.py
+++ b/tests/bench/reports/test_report.py
@@ -1,4 +1,4 @@
-"""Tests of the figures' arithmetic and of the tables."""
+"""Tests of percentiles, tables and readings."""
 
 import math
 
@@ -51,10 +51,10 @@
 
 
 class TestPercentile:
-    def test_is_the_value_that_so_many_do_not_exceed(self) -> None:
+    def test_value_that_a_share_does_not_exceed(self) -> None:
         assert records.percentile(list(range(1, 101)), 0.95) == 95
 
-    def test_of_nothing_is_no_number(self) -> None:
+    def test_of_no_values_is_nan(self) -> None:
         assert math.isnan(records.percentile([], 0.5))
 
     def test_of_gaps_counted_by_milliseconds(self) -> None:
@@ -64,34 +64,37 @@
 
 
 class TestTable:
-    def test_puts_runs_of_other_seeds_in_one_line(self) -> None:
-        again = msgspec.structs.replace(PHASE, seed=2, reuse=0.94)
-        lines = report.table([PHASE, again]).splitlines()
+    def test_runs_that_differ_in_seed_share_a_row(self) -> None:
+        second_run = msgspec.structs.replace(PHASE, seed=2, reuse=0.94)
+        lines = report.table([PHASE, second_run]).splitlines()
         assert len(lines) == 3
         assert "0.920 (0.900–0.940)" in lines[-1]
 
-    def test_keeps_bounds_apart(self) -> None:
+    def test_bounds_are_separate_groups(self) -> None:
         other = msgspec.structs.replace(PHASE, bound=1.25)
         assert len(report.group([PHASE, other])) == 2
 
-    def test_says_what_was_not_measured(self) -> None:
-        none = msgspec.structs.replace(PHASE, daemons={})
-        columns = {column.head: column for column in report.COST}
-        assert report.cell(columns["MB"], [none]) == report.NOT_MEASURED
-        assert report.cell(columns["MB"], [none, PHASE]) == "46"
+    def test_missing_figures_are_marked(self) -> None:
+        without_daemons = msgspec.structs.replace(PHASE, daemons={})
+        columns = {column.heading: column for column in report.COST}
+        assert (
+            report.cell(columns["MB"], [without_daemons])
+            == report.NOT_MEASURED
+        )
+        assert report.cell(columns["MB"], [without_daemons, PHASE]) == "46"
 
-    def test_counts_all_but_good_answers_as_errors(self) -> None:
-        columns = {column.head: column for column in report.COST}
+    def test_all_codes_but_ok_count_as_errors(self) -> None:
+        columns = {column.heading: column for column in report.COST}
         assert columns["errors"].figure(PHASE) == 2
 
 
 class TestReadings:
-    def test_a_metric_with_and_without_labels(self) -> None:
+    def test_metric_with_and_without_labels(self) -> None:
         text = 'bytes_total 12.0\nother{group="a"} 3.5\n'
         assert watching.metric(text, "bytes_total") == 12.0
         assert watching.metric(text, "other") == 3.5
 
-    def test_a_daemon_that_died_is_left_out(self) -> None:
+    def test_daemon_that_died_is_left_out(self) -> None:
         spent = watching.Spent(sent=1000.0, received=1000.0, processor=1.0)
         before = watching.Reading(
             at=0.0, daemons={"a": spent, "b": spent}, engines={}
