--- a/bench/demo/__init__.py
+++ b/bench/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The whole path on loopback, to look at and to try out."""
+"""Demo of the whole request path on loopback."""
--- a/bench/demo/__main__.py
+++ b/bench/demo/__main__.py
@@ -1,4 +1,4 @@
-"""The whole path on loopback: start a deployment, use it, stop it."""
+"""Demo on loopback: start a deployment, send calls through it, stop it."""
 
 import pathlib
 import signal
@@ -16,7 +16,7 @@
 _EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
 _MAX_SECONDS = 3000.0
 _STOP_SECONDS = 20.0
-_LOOK_SECONDS = 0.5
+_POLL_SECONDS = 0.5
 _HEADINGS = (
     ("what", 22),
     ("team", 15),
@@ -34,42 +34,44 @@
     "--deployment",
     "name",
     default="cooperativa",
-    help="A file, or the name of one in examples/.",
+    help="Deployment file, or the name of one in examples/.",
 )
 @click.option("--keep", is_flag=True, help="Run until Ctrl-C.")
 @click.option(
-    "--daemons", type=click.IntRange(1), help="Default: as the file says."
+    "--daemons",
+    type=click.IntRange(1),
+    help="Default: from the deployment file.",
 )
 @click.option(
-    "--seconds", default=_MAX_SECONDS, help="Longest time that it is kept."
+    "--seconds", default=_MAX_SECONDS, help="Maximum run time with --keep."
 )
 def main(name: str, keep: bool, daemons: int | None, seconds: float) -> None:
     """Run a deployment on loopback and show what it does.
 
-    Exit codes: 0 all went well, 1 it did not.
+    Exit codes: 0 all results as expected, 1 otherwise.
     """
     for number in (signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, _interrupt)
     deployment = _load(name)
-    _say_what_starts(deployment, daemons or deployment.daemons)
+    _print_start(deployment, daemons or deployment.daemons)
     try:
         with _fleet.Fleet(deployment, daemons=daemons) as fleet:
-            went_well = _show_rows(fleet)
+            as_expected = _run_steps(fleet)
             if keep:
-                _keep(fleet, seconds)
-            went_well &= _stop_as_planned(fleet)
+                _keep_running(fleet, seconds)
+            as_expected &= _stop_daemons(fleet)
     except KeyboardInterrupt:
-        click.echo("interrupted; all is stopped")
+        click.echo("interrupted; all processes are stopped")
         sys.exit(1)
     except processes.NotReady as error:
         click.echo(f"not ready: {error}", err=True)
         sys.exit(1)
-    click.echo("all went well" if went_well else "NOT all went well")
-    sys.exit(0 if went_well else 1)
+    click.echo("all went well" if as_expected else "NOT all went well")
+    sys.exit(0 if as_expected else 1)
 
 
 def _interrupt(number: int, frame: FrameType | None) -> None:
-    """Stop as after Ctrl-C, so that no process of ours is left behind."""
+    """Handle a signal like Ctrl-C, so that no child process is left."""
     raise KeyboardInterrupt
 
 
@@ -81,11 +83,13 @@
         known = ", ".join(
             sorted(item.stem for item in _EXAMPLES.glob("*.yaml"))
         )
-        raise click.BadParameter(f"no file {path}; examples are: {known}")
+        raise click.BadParameter(
+            f"{path} does not exist; examples are: {known}"
+        )
     return _deployment.load(path)
 
 
-def _say_what_starts(deployment: _deployment.Deployment, count: int) -> None:
+def _print_start(deployment: _deployment.Deployment, count: int) -> None:
     engines = sum(pool.replicas for pool in deployment.pools)
     services = sum(service.replicas for service in deployment.services)
     click.echo(
@@ -94,43 +98,43 @@
     )
 
 
-def _show_rows(fleet: _fleet.Fleet) -> bool:
-    click.echo(_line([heading for heading, _ in _HEADINGS]))
-    click.echo(_line(["-" * width for _, width in _HEADINGS]))
-    began = time.monotonic()
-    went_well = True
+def _run_steps(fleet: _fleet.Fleet) -> bool:
+    click.echo(_format_line([heading for heading, _ in _HEADINGS]))
+    click.echo(_format_line(["-" * width for _, width in _HEADINGS]))
+    started = time.monotonic()
+    as_expected = True
     for row in demo_steps.Demo(fleet).rows():
-        went_well &= row.went_well
+        as_expected &= row.as_expected
         cells = [row.what, row.team, row.daemon, row.replica, row.cache]
         cells += [f"{row.first * 1000:8.1f}", f"{row.total * 1000:8.1f}"]
-        mark = "" if row.went_well else " UNEXPECTED"
-        click.echo(_line([*cells, row.outcome + mark]))
-    click.echo(f"in {time.monotonic() - began:.1f} s")
-    return went_well
+        mark = "" if row.as_expected else " UNEXPECTED"
+        click.echo(_format_line([*cells, row.outcome + mark]))
+    click.echo(f"in {time.monotonic() - started:.1f} s")
+    return as_expected
 
 
-def _line(cells: list[str]) -> str:
+def _format_line(cells: list[str]) -> str:
     padded = [cell.ljust(width) for cell, (_, width) in zip(cells, _HEADINGS)]
     return "  ".join(padded).rstrip()
 
 
-def _keep(fleet: _fleet.Fleet, seconds: float) -> None:
-    """Leave it running until Ctrl-C, the time's end, or a process's end."""
-    _show_ways_in(fleet)
+def _keep_running(fleet: _fleet.Fleet, seconds: float) -> None:
+    """Keep the fleet running until Ctrl-C or the end of the time."""
+    _print_endpoints(fleet)
     click.echo(f"\nrunning for at most {seconds:.0f} s; Ctrl-C stops it")
     end = time.monotonic() + seconds
     try:
         while time.monotonic() < end:
-            time.sleep(_LOOK_SECONDS)
+            time.sleep(_POLL_SECONDS)
     except KeyboardInterrupt:
         click.echo()
 
 
-def _show_ways_in(fleet: _fleet.Fleet) -> None:
+def _print_endpoints(fleet: _fleet.Fleet) -> None:
     daemon = fleet.daemons[0]
     key = fleet.deployment.teams[0].key
     model = fleet.deployment.pools[0].model
-    ask = (
+    request_body = (
         f'{{"model": "{model}", "stream": true, "messages":'
         ' [{"role": "user", "content": "Hello"}]}'
     )
@@ -144,7 +148,7 @@
     click.echo(
         f"curl -N {daemon.url}/v1/chat/completions"
         f" -H 'Authorization: Bearer {key}'"
-        f" -H 'Content-Type: application/json' -d '{ask}'"
+        f" -H 'Content-Type: application/json' -d '{request_body}'"
     )
     click.echo("\na stock OpenAI client:")
     click.echo(f'{sys.executable} -c "{client}"')
@@ -163,19 +167,19 @@
         )
 
 
-def _stop_as_planned(fleet: _fleet.Fleet) -> bool:
-    """Have each daemon stop by itself, and say whether it went in order."""
+def _stop_daemons(fleet: _fleet.Fleet) -> bool:
+    """Stop the daemons gracefully; return whether all exited with 0."""
     for daemon in fleet.daemons:
         daemon.process.terminate()
     end = time.monotonic() + _STOP_SECONDS
-    went_well = True
+    as_expected = True
     for daemon in fleet.daemons:
         code = daemon.process.wait(max(0.0, end - time.monotonic()))
         if code != 0:
-            went_well = False
-            click.echo(f"{daemon.name} stopped with {code}", err=True)
+            as_expected = False
+            click.echo(f"{daemon.name} exited with code {code}", err=True)
     click.echo(f"stopped {len(fleet.daemons)} daemons")
-    return went_well
+    return as_expected
 
 
 if __name__ == "__main__":
--- a/bench/demo/demo_calls.py
+++ b/bench/demo/demo_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the demo, made as a caller makes them, and what came back."""
+"""Calls of the demo, sent as a client sends them, and their responses."""
 
 import http.client
 import json
@@ -14,7 +14,7 @@
 
 @final
 class Call(msgspec.Struct, frozen=True, kw_only=True):
-    """One request; a body makes it a POST, `key` is the team's API key."""
+    """One request: a POST if it has a body; `key` is the team's API key."""
 
     port: int
     path: str
@@ -24,8 +24,8 @@
 
 
 @final
-class Heard(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller heard; times in seconds since the call began."""
+class Response(msgspec.Struct, frozen=True, kw_only=True):
+    """Response to a call; times are in seconds since the call started."""
 
     status: int
     headers: dict[str, str]
@@ -35,12 +35,12 @@
     whole: bool = True
 
     def header(self, name: str) -> str:
-        """Give a header's value, empty when absent."""
+        """Return a header's value, empty if absent."""
         return self.headers.get(name.lower(), "")
 
     @property
     def error_code(self) -> str:
-        """Give the code of an error, empty for an answer."""
+        """Return the code of an error, empty for a success."""
         if self.status < 400:
             return ""
         error = json.loads(self.text).get("error", {})
@@ -48,9 +48,9 @@
         return code
 
 
-def made(call: Call) -> Heard:
-    """Make a call and read its answer to the end."""
-    began = time.monotonic()
+def send(call: Call) -> Response:
+    """Send a call and read its response to the end."""
+    started = time.monotonic()
     connection = http.client.HTTPConnection(
         "127.0.0.1", call.port, timeout=_TIMEOUT_SECONDS
     )
@@ -67,47 +67,47 @@
             },
         )
         answer = connection.getresponse()
-        return _read(answer, began)
+        return _read(answer, started)
     finally:
         connection.close()
 
 
-def _read(answer: http.client.HTTPResponse, began: float) -> Heard:
+def _read(answer: http.client.HTTPResponse, started: float) -> Response:
     lines = []
     first = 0.0
     while line := answer.readline():
-        first = first or time.monotonic() - began
+        first = first or time.monotonic() - started
         lines.append(line)
-    total = time.monotonic() - began
+    total = time.monotonic() - started
     headers = {name.lower(): value for name, value in answer.getheaders()}
-    raw = b"".join(lines).decode()
+    body_text = b"".join(lines).decode()
     streamed = headers.get("content-type", "") == "text/event-stream"
-    return Heard(
+    return Response(
         status=answer.status,
         headers=headers,
-        text=_said(raw) if streamed else raw,
+        text=_join_stream(body_text) if streamed else body_text,
         first=first or total,
         total=total,
-        whole=not streamed or f"data: {_DONE}" in raw,
+        whole=not streamed or f"data: {_DONE}" in body_text,
     )
 
 
-def _said(raw: str) -> str:
-    """Put the pieces of a streamed answer together."""
-    said = ""
-    for line in raw.splitlines():
+def _join_stream(body_text: str) -> str:
+    """Join the text of a streamed answer."""
+    text_so_far = ""
+    for line in body_text.splitlines():
         _, mark, data = line.partition("data: ")
         if not mark or data == _DONE:
             continue
         for choice in json.loads(data).get("choices", []):
-            said += choice.get("delta", {}).get("content") or ""
-    return said
+            text_so_far += choice.get("delta", {}).get("content") or ""
+    return text_so_far
 
 
-def answer_of(heard: Heard, *, streamed: bool) -> str:
-    """Give what the model said."""
+def answer_text(response: Response, *, streamed: bool) -> str:
+    """Return the text of the model's answer."""
     if streamed:
-        return heard.text
-    choices = json.loads(heard.text)["choices"]
+        return response.text
+    choices = json.loads(response.text)["choices"]
     content: str = choices[0]["message"]["content"]
     return content
--- a/bench/demo/demo_load.py
+++ b/bench/demo/demo_load.py
@@ -1,4 +1,4 @@
-"""Callers that keep asking, for trying out limits on a running fleet."""
+"""Steady load from one team, to try out limits on a running fleet."""
 
 import collections
 import random
@@ -19,18 +19,18 @@
 
 @final
 class Load:
-    """So many callers of one team, each with one request at a time.
+    """Concurrent callers of one team, each with one request at a time.
 
     Parameters
     ----------
     ports : list of int
-        Callers' ports of the daemons, taken at random.
+        Callers' ports of the daemons, chosen at random.
     key : str
         API key.
     model : str
-        What is asked.
+        Model that is called.
     tokens : int
-        Length of each answer.
+        Length of each answer in tokens.
     """
 
     def __init__(
@@ -40,13 +40,13 @@
         self._key = key
         self._model = model
         self._tokens = tokens
-        self.heard: list[demo_calls.Heard] = []
+        self.responses: list[demo_calls.Response] = []
 
     def run(self, *, callers: int, seconds: float) -> None:
-        """Keep asking until the time is over."""
+        """Send calls until the time is over."""
         end = time.monotonic() + seconds
         threads = [
-            threading.Thread(target=self._keep_asking, args=(end,))
+            threading.Thread(target=self._send_calls, args=(end,))
             for _ in range(callers)
         ]
         for thread in threads:
@@ -54,11 +54,11 @@
         for thread in threads:
             thread.join()
 
-    def _keep_asking(self, end: float) -> None:
+    def _send_calls(self, end: float) -> None:
         while time.monotonic() < end:
-            heard = demo_calls.made(self._call())
-            self.heard.append(heard)
-            wait = float(heard.header("Retry-After") or 0)
+            response = demo_calls.send(self._call())
+            self.responses.append(response)
+            wait = float(response.header("Retry-After") or 0)
             time.sleep(min(wait, _MAX_PAUSE))
 
     def _call(self) -> demo_calls.Call:
@@ -76,27 +76,40 @@
         )
 
 
-def _report(load: Load) -> None:
+def _print_results(load: Load) -> None:
     codes = collections.Counter(
-        heard.error_code or ("ok" if heard.whole else "torn")
-        for heard in load.heard
+        response.error_code or ("ok" if response.whole else "torn")
+        for response in load.responses
     )
     for code, count in sorted(codes.items()):
         click.echo(f"{code:<24} {count:>7}")
-    first = sorted(heard.first for heard in load.heard if heard.status == 200)
-    if not first:
+    first_token_seconds = sorted(
+        response.first for response in load.responses if response.status == 200
+    )
+    if not first_token_seconds:
         return
     for share in (0.5, 0.95, 0.99):
-        value = first[min(len(first) - 1, int(share * len(first)))]
+        value = first_token_seconds[
+            min(
+                len(first_token_seconds) - 1,
+                int(share * len(first_token_seconds)),
+            )
+        ]
         click.echo(f"first token p{share * 100:<11.0f} {value * 1000:9.1f} ms")
 
 
 @click.command()
-@click.option("--url", "urls", multiple=True, required=True, help="Daemons.")
+@click.option(
+    "--url",
+    "urls",
+    multiple=True,
+    required=True,
+    help="URL of a daemon; may be repeated.",
+)
 @click.option("--key", required=True, help="API key of the team.")
 @click.option("--model", required=True)
 @click.option("--callers", type=click.IntRange(1, _MAX_CALLERS), default=8)
-@click.option("--tokens", default=20, help="Length of each answer.")
+@click.option("--tokens", default=20, help="Tokens per answer.")
 @click.option("--seconds", type=click.FloatRange(0, _MAX_SECONDS), default=10)
 def main(
     urls: tuple[str, ...],
@@ -106,11 +119,11 @@
     tokens: int,
     seconds: float,
 ) -> None:
-    """Ask as one team and print what came back."""
+    """Send calls as one team and print a summary of the responses."""
     ports = [parse.urlsplit(url).port or 80 for url in urls]
     load = Load(ports=ports, key=key, model=model, tokens=tokens)
     load.run(callers=callers, seconds=seconds)
-    _report(load)
+    _print_results(load)
 
 
 if __name__ == "__main__":
--- a/bench/demo/demo_steps.py
+++ b/bench/demo/demo_steps.py
@@ -1,4 +1,4 @@
-"""What the demo asks of a fleet, and what it expects to hear."""
+"""Calls that the demo sends to a fleet, and the expected responses."""
 
 from collections.abc import Iterator
 from http import HTTPStatus
@@ -15,8 +15,8 @@
 from bench.fleets import fleet as _fleet
 from topazlug import _errors
 
-# Names the team: else the first chat's context would serve them all, and a
-# new chat would find a part of its own in the cache.
+# The prompt names the team: with one common prompt, the context of the first
+# chat would be reused for the others, and a new chat would be a cache hit.
 _SYSTEM = (
     "You answer for the desk of {team}. Give times, places and documents as"
     " they stand in the programme, and say so when you don't know."
@@ -26,18 +26,18 @@
     "Which bus goes back in the evening?",
     "What do I have to bring along?",
 )
-_AGAIN = "And what if we come late?"
+_FOLLOW_UP = "And what if we come late?"
 _TOKENS = 12
-# Nobody reads and writes faster. A turn sent within a few milliseconds can
-# reach the replica's owner before the word that the last one has ended.
-_PAUSE = 0.2
-_KEPT_SECONDS = 5.0
-_KEPT_PAUSE = 0.05
+# No human reads and replies faster. A turn sent within a few milliseconds can
+# reach the replica's owner before the release of the previous turn's slot.
+_PAUSE_BEFORE_TURN = 0.2
+_MAX_REPEAT_SECONDS = 5.0
+_REPEAT_PAUSE = 0.05
 
 
 @final
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """One line of the demo's table; times in seconds."""
+    """One row of the demo's table; times in seconds."""
 
     what: str
     team: str
@@ -47,12 +47,12 @@
     first: float = 0.0
     total: float = 0.0
     outcome: str = ""
-    went_well: bool = True
+    as_expected: bool = True
 
 
 @final
 class Demo:
-    """Walks through chats and service calls, one after the other.
+    """Sends chats and service calls, one after the other.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
         return self._fleet.deployment.pools[0].model
 
     def rows(self) -> Iterator[Row]:
-        """Make all calls and give a line for each."""
+        """Send all calls and yield a row for each."""
         teams = self._fleet.deployment.teams[: len(_QUESTIONS)]
         for number, (team, question) in enumerate(zip(teams, _QUESTIONS)):
             yield from self._conversation(
@@ -77,13 +77,13 @@
             )
         for service in self._fleet.deployment.services[:1]:
             yield from self._service_calls(service, teams[0])
-        yield self._refused(
+        yield self._rejected_row(
             "chat, bad key",
             teams[0],
             _errors.BadKey,
             self._chat("nobody's key", [], streamed=False),
         )
-        yield self._refused(
+        yield self._rejected_row(
             "chat, bad model",
             teams[0],
             _errors.UnknownModel,
@@ -96,7 +96,7 @@
         )
 
     def _next_daemon(self) -> _fleet.DaemonProcess:
-        """Take the daemons in turn, as a balancer would."""
+        """Return the daemons in turn, as a load balancer would."""
         daemons = self._fleet.daemons
         self._calls += 1
         return daemons[self._calls % len(daemons)]
@@ -108,17 +108,22 @@
         system = _SYSTEM.format(team=team.name)
         messages = [{"role": "system", "content": system}, _user(question)]
         call = self._chat(team.key, messages, streamed=streamed)
-        heard = demo_calls.made(call)
-        yield self._chat_row(f"new chat, {kind}", team, call, heard, hit=False)
-        if heard.status != HTTPStatus.OK:
+        response = demo_calls.send(call)
+        yield self._chat_row(
+            f"new chat, {kind}", team, call, response, expects_hit=False
+        )
+        if response.status != HTTPStatus.OK:
             return
-        time.sleep(_PAUSE)
-        said = demo_calls.answer_of(heard, streamed=streamed)
-        messages += [{"role": "assistant", "content": said}, _user(_AGAIN)]
+        time.sleep(_PAUSE_BEFORE_TURN)
+        answer = demo_calls.answer_text(response, streamed=streamed)
+        messages += [
+            {"role": "assistant", "content": answer},
+            _user(_FOLLOW_UP),
+        ]
         call = self._chat(team.key, messages, streamed=streamed)
-        heard = demo_calls.made(call)
+        response = demo_calls.send(call)
         yield self._chat_row(
-            f"it returns, {kind}", team, call, heard, hit=True
+            f"it returns, {kind}", team, call, response, expects_hit=True
         )
 
     def _chat(
@@ -147,20 +152,20 @@
         what: str,
         team: _deployment.Team,
         call: demo_calls.Call,
-        heard: demo_calls.Heard,
+        response: demo_calls.Response,
         *,
-        hit: bool,
+        expects_hit: bool,
     ) -> Row:
-        cached = heard.header("Topazlug-Cached-Tokens")
-        found = cached not in ("", "0")
-        went_well = heard.status == HTTPStatus.OK and heard.whole
+        cached = response.header("Topazlug-Cached-Tokens")
+        is_hit = cached not in ("", "0")
+        as_expected = response.status == HTTPStatus.OK and response.whole
         return self._row(
             what,
             team,
             call,
-            heard,
-            cache=f"hit, {cached} tokens" if found else "miss",
-            went_well=went_well and found is hit,
+            response,
+            cache=f"hit, {cached} tokens" if is_hit else "miss",
+            as_expected=as_expected and is_hit is expects_hit,
         )
 
     def _service_calls(
@@ -169,27 +174,31 @@
         key = str(uuid.uuid4())
         body = {"name": "Ana", "seats": 2}
         first = self._service_call(service, team, body, key=key)
-        heard = demo_calls.made(first)
-        yield self._run_row("service, POST", team, first, heard, heard)
-        again = self._service_call(service, team, body, key=key)
-        repeated = _kept(again)
-        yield self._run_row("same key again", team, again, repeated, heard)
-        yield self._refused(
+        response = demo_calls.send(first)
+        yield self._service_row(
+            "service, POST", team, first, response, response
+        )
+        repeat = self._service_call(service, team, body, key=key)
+        repeat_response = _repeat_until_stored(repeat)
+        yield self._service_row(
+            "same key again", team, repeat, repeat_response, response
+        )
+        yield self._rejected_row(
             "same key, other body",
             team,
             _errors.KeyReused,
             self._service_call(service, team, {"seats": 3}, key=key),
         )
         if service.key_required:
-            yield self._refused(
+            yield self._rejected_row(
                 "POST without a key",
                 team,
                 _errors.KeyRequired,
                 self._service_call(service, team, body),
             )
         read = self._service_call(service, team, None)
-        heard = demo_calls.made(read)
-        yield self._run_row("service, GET", team, read, heard, heard)
+        response = demo_calls.send(read)
+        yield self._service_row("service, GET", team, read, response, response)
 
     def _service_call(
         self,
@@ -207,43 +216,43 @@
             headers={"Idempotency-Key": key} if key else {},
         )
 
-    def _run_row(
+    def _service_row(
         self,
         what: str,
         team: _deployment.Team,
         call: demo_calls.Call,
-        heard: demo_calls.Heard,
-        earlier: demo_calls.Heard,
+        response: demo_calls.Response,
+        earlier: demo_calls.Response,
     ) -> Row:
-        """Give the row of a call whose answer must be an earlier one's."""
-        went_well = heard.status == HTTPStatus.OK
-        if went_well:
-            went_well = _run(heard) == _run(earlier)
-        replayed = heard.header("Idempotency-Replayed") == "true"
+        """Return the row of a call that must return an earlier answer."""
+        as_expected = response.status == HTTPStatus.OK
+        if as_expected:
+            as_expected = _run_id(response) == _run_id(earlier)
+        replayed = response.header("Idempotency-Replayed") == "true"
         return self._row(
             what,
             team,
             call,
-            heard,
+            response,
             cache="kept answer" if replayed else "",
-            went_well=went_well and replayed is (heard is not earlier),
+            as_expected=as_expected and replayed is (response is not earlier),
         )
 
-    def _refused(
+    def _rejected_row(
         self,
         what: str,
         team: _deployment.Team,
         expected: type[_errors.RequestError],
         call: demo_calls.Call,
     ) -> Row:
-        heard = demo_calls.made(call)
-        not_run = heard.header("Topazlug-Outcome") == "not-run"
+        response = demo_calls.send(call)
+        not_run = response.header("Topazlug-Outcome") == "not-run"
         return self._row(
             what,
             team,
             call,
-            heard,
-            went_well=not_run and heard.error_code == expected.code.value,
+            response,
+            as_expected=not_run and response.error_code == expected.code.value,
         )
 
     def _row(
@@ -251,25 +260,25 @@
         what: str,
         team: _deployment.Team,
         call: demo_calls.Call,
-        heard: demo_calls.Heard,
+        response: demo_calls.Response,
         *,
-        went_well: bool,
+        as_expected: bool,
         cache: str = "",
     ) -> Row:
-        outcome = heard.header("Topazlug-Outcome")
+        outcome = response.header("Topazlug-Outcome")
         return Row(
             what=what,
             team=team.name,
-            daemon=self._daemon_at(call.port),
-            replica=heard.header("Topazlug-Replica"),
+            daemon=self._daemon_name(call.port),
+            replica=response.header("Topazlug-Replica"),
             cache=cache,
-            first=heard.first,
-            total=heard.total,
-            outcome=f"{heard.status} {heard.error_code or outcome}",
-            went_well=went_well,
+            first=response.first,
+            total=response.total,
+            outcome=f"{response.status} {response.error_code or outcome}",
+            as_expected=as_expected,
         )
 
-    def _daemon_at(self, port: int) -> str:
+    def _daemon_name(self, port: int) -> str:
         by_port = {item.callers_port: item for item in self._fleet.daemons}
         return by_port[port].name
 
@@ -278,23 +287,23 @@
     return {"role": "user", "content": text}
 
 
-def _kept(call: demo_calls.Call) -> demo_calls.Heard:
-    """Repeat a call until its answer is kept, as a caller does on a 409.
+def _repeat_until_stored(call: demo_calls.Call) -> demo_calls.Response:
+    """Repeat a call until its answer is stored, as a client does on a 409.
 
-    The answer reaches the caller before the table service has it, so a
-    repeat within some milliseconds hears that its key is in use.
+    The answer reaches the caller before the table service has stored it, so
+    a repeat within a few milliseconds is rejected because its key is in use.
     """
-    end = time.monotonic() + _KEPT_SECONDS
-    heard = demo_calls.made(call)
-    while heard.error_code == _errors.Code.KEY_IN_USE.value:
+    end = time.monotonic() + _MAX_REPEAT_SECONDS
+    response = demo_calls.send(call)
+    while response.error_code == _errors.Code.KEY_IN_USE.value:
         if time.monotonic() > end:
             break
-        time.sleep(_KEPT_PAUSE)
-        heard = demo_calls.made(call)
-    return heard
+        time.sleep(_REPEAT_PAUSE)
+        response = demo_calls.send(call)
+    return response
 
 
-def _run(heard: demo_calls.Heard) -> tuple[Any, Any]:
-    """Give which run of which replica the answer tells of."""
-    document = json.loads(heard.text)
+def _run_id(response: demo_calls.Response) -> tuple[Any, Any]:
+    """Return the replica and the number of the run that gave the answer."""
+    document = json.loads(response.text)
     return document["replica"], document["run"]
