--- a/bench/capacity/capacity_state.py
+++ b/bench/capacity/capacity_state.py
@@ -229,10 +229,10 @@
 def ledgers() -> list[_Slope]:
     """Measure the memory of ledgers and of the slots held in them."""
 
-    def made(places: int) -> list[_ledger.ReplicaLedger]:
+    def make_ledgers(slots: int) -> list[_ledger.ReplicaLedger]:
         found = [_empty_ledger(number) for number in range(_LEDGERS)]
         for ledger in found:
-            for number in range(places):
+            for number in range(slots):
                 key = _slot_key.SlotKey(
                     _ids.DaemonId(f"daemon-{number:04}"),
                     _ids.AskNumber(10**6 + number),
@@ -243,8 +243,8 @@
                 ledger.hold(key, held)
         return found
 
-    empty = sizes.held_bytes(lambda: made(0)) / _LEDGERS
-    full = sizes.held_bytes(lambda: made(80)) / _LEDGERS
+    empty = sizes.held_bytes(lambda: make_ledgers(0)) / _LEDGERS
+    full = sizes.held_bytes(lambda: make_ledgers(80)) / _LEDGERS
     return [
         _Slope("ledger held, empty", empty, "B"),
         _Slope("place held in a ledger", (full - empty) / 80, "B"),
--- a/bench/experiments/__init__.py
+++ b/bench/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Comparisons of policies, mechanisms and faults; timed guarantees."""
+"""Comparisons of policies, mechanisms and disturbances; timed guarantees."""
--- a/bench/experiments/crashing_requests.py
+++ b/bench/experiments/crashing_requests.py
@@ -141,31 +141,31 @@
 class _Daemon:
     """Crash guard of one daemon, with the table rows that it has read."""
 
-    def __init__(self, replay: "Replay", name: str) -> None:
-        self._replay = replay
-        self.runs = _target_runs.RunTracker(clock=replay.clock)
+    def __init__(self, simulation: "Simulation", name: str) -> None:
+        self._simulation = simulation
+        self.runs = _target_runs.RunTracker(clock=simulation.clock)
         self.guard = _crash_guard.CrashGuard(
             daemon=_ids.DaemonId(name),
             runs=self.runs,
-            targets=replay.targets,
-            clock=replay.clock,
+            targets=simulation.targets,
+            clock=simulation.clock,
         )
         self.guard.publisher = self
         self._read = 0
 
     def publish(self, records: Any, *, remove: Any = ()) -> None:
         """Write records; all daemons read them after the lag."""
-        now = self._replay.clock.seconds
-        self._replay.rows += [_Row(now, record) for record in records]
+        now = self._simulation.clock.seconds
+        self._simulation.rows += [_Row(now, record) for record in records]
         for record in records:
             if isinstance(record, _crash_records.Block):
-                self._replay.blocked.add(record.fingerprint)
+                self._simulation.blocked.add(record.fingerprint)
 
     def read(self) -> None:
         """Read new rows; schedule a decision for when they have settled."""
-        replay = self._replay
-        newest = replay.clock.seconds - replay.load.lag
-        seen = [row for row in replay.rows if row.at <= newest]
+        simulation = self._simulation
+        newest = simulation.clock.seconds - simulation.load.lag
+        seen = [row for row in simulation.rows if row.at <= newest]
         if len(seen) == self._read:
             return
         self._read = len(seen)
@@ -175,10 +175,10 @@
                 for row in seen
             }.values()
         )
-        replay.schedule(_SETTLED_SECONDS, self.guard.decide)
+        simulation.schedule(_SETTLED_SECONDS, self.guard.decide)
 
 
-class Replay:
+class Simulation:
     """One simulation of a load.
 
     Parameters
@@ -217,7 +217,7 @@
         at = self.clock.seconds + seconds
         heapq.heappush(self._events, (at, next(self._order), task))
 
-    def play(self) -> Result:
+    def simulate(self) -> Result:
         """Run the simulation and return its result."""
         for number in range(self.load.crashers):
             self._ended_at[f"{_CRASHER}{number}"] = []
@@ -283,10 +283,10 @@
         for run, daemon in runs.items():
             by_daemon.setdefault(daemon, []).append(run)
             daemon.runs.finish(run, _target_runs.RunEnd.LOST)
-        for daemon, own in by_daemon.items():
+        for daemon, own_runs in by_daemon.items():
             if self._random.random() >= self.load.unobserved_share:
                 daemon.read()
-                daemon.guard._on_crash(_target(replica), own)
+                daemon.guard._on_crash(_target(replica), own_runs)
                 self.schedule(_SETTLED_SECONDS, daemon.guard.decide)
         self._interrupted_runs += len(runs)
 
@@ -306,9 +306,9 @@
         self.schedule(wait, lambda: self._handle_crasher_arrival(number))
 
     def _try_crasher(
-        self, daemon: _Daemon, name: str, attempt: str, tried: int
+        self, daemon: _Daemon, name: str, attempt: str, attempt_number: int
     ) -> None:
-        if tried == 1 and self._is_refused(daemon, name):
+        if attempt_number == 1 and self._is_refused(daemon, name):
             return
         run = self._begin(daemon, name, attempt)
         if run is None:
@@ -321,11 +321,9 @@
             self._ended_at[name].append(self.clock.seconds)
             self._crash(replica)
             daemon.read()
-            may_repeat_run = daemon.guard.may_repeat(
-                run.fingerprint, run.target
-            )
-            if tried < self.load.attempts and may_repeat_run:
-                self._try_crasher(daemon, name, attempt, tried + 1)
+            may_repeat = daemon.guard.may_repeat(run.fingerprint, run.target)
+            if attempt_number < self.load.attempts and may_repeat:
+                self._try_crasher(daemon, name, attempt, attempt_number + 1)
 
         self.schedule(self._random.uniform(0.06, 0.3), crash)
 
@@ -370,10 +368,8 @@
                 daemon.runs.finish(run, _target_runs.RunEnd.WHOLE, status=200)
                 return
             daemon.read()
-            may_repeat_run = daemon.guard.may_repeat(
-                run.fingerprint, run.target
-            )
-            if attempts > 1 and may_repeat_run:
+            may_repeat = daemon.guard.may_repeat(run.fingerprint, run.target)
+            if attempts > 1 and may_repeat:
                 self._run_ordinary(
                     daemon, name, attempt, repeats, attempts - 1
                 )
@@ -404,12 +400,12 @@
     seeds = parser.parse_args().seeds
     print(f"{'load':32} ended (mean, most)  late (most)  blamed  hurt")
     for name, load in LOADS.items():
-        played = [Replay(load, seed).play() for seed in range(seeds)]
-        ended = [one for result in played for one in result.ended] or [0]
-        late = [one for result in played for one in result.late] or [0]
-        wrongly_blocked = sum(result.wrongly_blocked for result in played)
+        results = [Simulation(load, seed).simulate() for seed in range(seeds)]
+        ended = [one for result in results for one in result.ended] or [0]
+        late = [one for result in results for one in result.late] or [0]
+        wrongly_blocked = sum(result.wrongly_blocked for result in results)
         interrupted_runs = statistics.mean(
-            result.interrupted_runs for result in played
+            result.interrupted_runs for result in results
         )
         print(
             f"{name:32} {statistics.mean(ended):8.1f} {max(ended):8}"
--- a/bench/experiments/overload.py
+++ b/bench/experiments/overload.py
@@ -210,9 +210,9 @@
             now=now,
         ):
             return None
-        left = request.deadline_at - now
+        remaining = request.deadline_at - now
         retry_after = self._reservations.retry_after(
-            rank, interval=self._interval, longest=left * 0.3, now=now
+            rank, interval=self._interval, longest=remaining * 0.3, now=now
         )
         on_time_until = request.arrived + request.kind.latency_objective
         if self._with_reservations and now + retry_after <= on_time_until:
@@ -254,7 +254,7 @@
         return self.on_time / max(1, self.total)
 
 
-class Replay:
+class Simulation:
     """Simulation of one replica under one policy."""
 
     def __init__(
@@ -269,7 +269,7 @@
         self._numbers = itertools.count()
         self.max_load = 0
 
-    def play(self, requests: list[Request]) -> list[Request]:
+    def simulate(self, requests: list[Request]) -> list[Request]:
         """Run the simulation; return the requests with their outcomes."""
         arriving = collections.deque(requests)
         now = 0.0
@@ -296,8 +296,8 @@
             request.outcome = Outcome.REFUSED
             return
         request.tries += 1
-        left = request.deadline_at - now
-        retry_after = min(max(_MIN_RETRY_SECONDS, retry_after), left / 3)
+        remaining = request.deadline_at - now
+        retry_after = min(max(_MIN_RETRY_SECONDS, retry_after), remaining / 3)
         heapq.heappush(
             self._returning, (now + retry_after, next(self._numbers), request)
         )
@@ -439,16 +439,16 @@
     print("|---|---|---|---|---|---|")
     for load, (surges, engine) in LOADS.items():
         for name, make in POLICIES.items():
-            played: list[Request] = []
+            simulated: list[Request] = []
             for seed in seeds:
-                replay = Replay(make(engine.slots), engine=engine)
-                played += replay.play(arrivals(seed, surges=surges))
+                simulation = Simulation(make(engine.slots), engine=engine)
+                simulated += simulation.simulate(arrivals(seed, surges=surges))
             by_kind = [
-                result(one for one in played if one.kind is kind).share
+                result(one for one in simulated if one.kind is kind).share
                 for kind in KINDS
             ]
             shares = " | ".join(f"{share:.2f}" for share in by_kind)
-            print(f"| {load} | {name} | {shares} | {result(played).lost} |")
+            print(f"| {load} | {name} | {shares} | {result(simulated).lost} |")
 
 
 if __name__ == "__main__":
--- a/bench/experiments/trouble_days.py
+++ b/bench/experiments/trouble_days.py
@@ -1,7 +1,8 @@
-"""Days with one kind of fault, or with two that aggravate each other.
+"""Days with one kind of disturbance, or with two that aggravate each other.
 
-Writes a day file for each into a folder, runs them with the users' bench and
-prints a table. Each fault occurs twice in a day, at different times.
+A disturbance is a fault or planned work. Writes a day file for each into a
+folder, runs them with the users' bench and prints a table. Each disturbance
+occurs twice in a day, at different times.
 
     python -m bench.experiments.trouble_days --bench PROGRAM --site FILE \\
         [--only WORD]
@@ -23,7 +24,7 @@
 _LINE = re.compile(r"^(\S+)\s+\d+/\d+\s+([\d.-]+)\s+([\d.-]+)\s+([\d.-]+)")
 
 
-class Trouble(NamedTuple):
+class Disturbance(NamedTuple):
     """One entry of a day, without its time."""
 
     kind: str
@@ -49,10 +50,10 @@
 }
 
 
-def _variants(kind: str, variants: str, **fields: Any) -> list[Trouble]:
+def _variants(kind: str, variants: str, **fields: Any) -> list[Disturbance]:
     """Return one entry for each variant; a dash stands for no variant."""
     return [
-        Trouble(kind, fields if how == "-" else {**fields, "how": how})
+        Disturbance(kind, fields if how == "-" else {**fields, "how": how})
         for how in variants.split("|")
     ]
 
@@ -109,35 +110,35 @@
 ]
 TOGETHER = {
     "outage-and-release": [
-        Trouble("platform_down", {"how": "silent", "for_s": 8.0}),
-        Trouble("release", {"share": 1.0, "gap_s": 1.0}),
+        Disturbance("platform_down", {"how": "silent", "for_s": 8.0}),
+        Disturbance("release", {"share": 1.0, "gap_s": 1.0}),
     ],
     "store-for-some-and-revoke": [
-        Trouble(
+        Disturbance(
             "platform_down",
             {"how": "nodes reset meet", "share": 0.4, "for_s": 8.0},
         ),
-        Trouble("revoke", {"count": 3, "gap_s": 0.5}),
+        Disturbance("revoke", {"count": 3, "gap_s": 0.5}),
     ],
     "rolling-stop-and-burst": [
-        Trouble("roll_term", {"how": "busy", "gap_s": 1.0}),
-        Trouble("burst", {"x": 1.8, "for_s": 8.0}),
+        Disturbance("roll_term", {"how": "busy", "gap_s": 1.0}),
+        Disturbance("burst", {"x": 1.8, "for_s": 8.0}),
     ],
     "kill-of-all-and-configuration": [
-        Trouble("herd_kill", {"share": 1.0, "for_s": 2.0}),
-        Trouble("config_change", {"how": "route"}),
+        Disturbance("herd_kill", {"share": 1.0, "for_s": 2.0}),
+        Disturbance("config_change", {"how": "route"}),
     ],
     "clock-and-lost-history": [
-        Trouble("clock_step", {"how": "back", "x": 4000.0, "for_s": 6.0}),
-        Trouble("platform_compact", {"how": "drain", "x": 6.0}),
+        Disturbance("clock_step", {"how": "back", "x": 4000.0, "for_s": 6.0}),
+        Disturbance("platform_compact", {"how": "drain", "x": 6.0}),
     ],
     "freeze-and-drain": [
-        Trouble("node_freeze", {"share": 0.35, "for_s": 4.0}),
-        Trouble("scale_in", {"share": 0.3}),
+        Disturbance("node_freeze", {"share": 0.35, "for_s": 4.0}),
+        Disturbance("scale_in", {"share": 0.3}),
     ],
     "dark-replicas-and-lost-packets": [
-        Trouble("srv_crash", {"how": "dark", "share": 0.3, "for_s": 6.0}),
-        Trouble("lossy", {"x": 0.05, "for_s": 6.0}),
+        Disturbance("srv_crash", {"how": "dark", "share": 0.3, "for_s": 6.0}),
+        Disturbance("lossy", {"x": 0.05, "for_s": 6.0}),
     ],
 }
 
@@ -148,22 +149,22 @@
     return str(value)
 
 
-def _format_entry(trouble: Trouble, at: float) -> str:
-    fields = {"at": at, "kind": trouble.kind, **trouble.fields}
+def _format_entry(disturbance: Disturbance, at: float) -> str:
+    fields = {"at": at, "kind": disturbance.kind, **disturbance.fields}
     inside = ", ".join(
         f"{key} = {_format_toml(v)}" for key, v in fields.items()
     )
     return f"  {{ {inside} }},"
 
 
-def _format_day(name: str, troubles: list[Trouble]) -> str:
+def _format_day(name: str, disturbances: list[Disturbance]) -> str:
     lines = [f'name = "{name}"', 'slot = "trouble"', f"seed = {_SEED}"]
     for title, is_planned in (("plan", True), ("faults", False)):
         lines.append(f"{title} = [")
-        for trouble in troubles:
-            if trouble.is_planned is is_planned:
-                lines.append(_format_entry(trouble, _FIRST_AT))
-                lines.append(_format_entry(trouble, _SECOND_AT))
+        for disturbance in disturbances:
+            if disturbance.is_planned is is_planned:
+                lines.append(_format_entry(disturbance, _FIRST_AT))
+                lines.append(_format_entry(disturbance, _SECOND_AT))
         lines.append("]")
     return "\n".join(lines) + "\n"
 
@@ -172,14 +173,14 @@
     """Write all day files and return their paths."""
     FOLDER.mkdir(exist_ok=True)
     days = dict(TOGETHER)
-    for trouble in ALONE:
-        how = trouble.fields.get("how", "")
-        name = "-".join([trouble.kind, *how.split()]).replace("_", "-")
-        days[name] = [trouble]
+    for disturbance in ALONE:
+        how = disturbance.fields.get("how", "")
+        name = "-".join([disturbance.kind, *how.split()]).replace("_", "-")
+        days[name] = [disturbance]
     paths = []
-    for name, troubles in days.items():
+    for name, disturbances in days.items():
         path = FOLDER / f"{name}.toml"
-        path.write_text(_format_day(name, troubles))
+        path.write_text(_format_day(name, disturbances))
         paths.append(path)
     return paths
 
--- a/tests/bench/experiments/test_crash_replay.py
+++ b/tests/bench/experiments/test_crash_replay.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.experiments import crashing_requests as replay
+from bench.experiments import crashing_requests as simulation
 
 MOST_LATE = 3
 SEEDS = (0, 1)
@@ -15,17 +15,17 @@
 STORMS = ("beside crashes of their own", "the same, repeated at once")
 
 
-def played(name, **changes):
-    load = replay.LOADS[name]._replace(**changes)
-    return [replay.Replay(load, seed).play() for seed in SEEDS]
+def simulate_load(name, **changes):
+    load = simulation.LOADS[name]._replace(**changes)
+    return [simulation.Simulation(load, seed).simulate() for seed in SEEDS]
 
 
 class TestLoads:
     @pytest.mark.parametrize(
-        "name", [name for name in replay.LOADS if name not in STORMS]
+        "name", [name for name in simulation.LOADS if name not in STORMS]
     )
     def test_few_replicas_crash_and_no_other_request_is_blocked(self, name):
-        for result in played(name, length=20.0):
+        for result in simulate_load(name, length=20.0):
             assert all(late <= MOST_LATE for late in result.late)
             assert result.wrongly_blocked == 0
 
@@ -37,13 +37,13 @@
         crashing replicas as a request that causes the crashes, so it may be
         blocked. The limit for requests that cause crashes still holds.
         """
-        for result in played(name, length=20.0):
+        for result in simulate_load(name, length=20.0):
             assert all(late <= MOST_LATE for late in result.late)
 
     def test_without_a_guard_crashes_continue(self):
         """Shows that the load crashes many replicas if nothing is rejected."""
-        load = replay.LOADS["nine daemons"]._replace(length=20.0)
-        made = replay.Replay(load, 0)
-        made._is_refused = lambda daemon, name: False
-        (ended,) = made.play().ended
+        load = simulation.LOADS["nine daemons"]._replace(length=20.0)
+        unguarded = simulation.Simulation(load, 0)
+        unguarded._is_refused = lambda daemon, name: False
+        (ended,) = unguarded.simulate().ended
         assert ended > 10
--- a/tests/bench/experiments/test_overload.py
+++ b/tests/bench/experiments/test_overload.py
@@ -12,25 +12,27 @@
 URGENT, USUAL, LONG = overload.KINDS
 
 
-def played(load, policy):
+def simulate_load(load, policy):
     surges, engine = overload.LOADS[load]
-    found = []
+    simulated = []
     for seed in SEEDS:
-        replay = overload.Replay(
+        simulation = overload.Simulation(
             overload.POLICIES[policy](engine.slots), engine=engine
         )
-        found += replay.play(overload.arrivals(seed, surges=surges))
-    return found
+        simulated += simulation.simulate(
+            overload.arrivals(seed, surges=surges)
+        )
+    return simulated
 
 
 def share(requests, kind):
-    wanted = [one for one in requests if one.kind is kind]
-    return overload.result(wanted).share
+    of_kind = [one for one in requests if one.kind is kind]
+    return overload.result(of_kind).share
 
 
 class TestUsualLoad:
     def test_no_request_is_rejected(self):
-        result = overload.result(played("usual", "learnt"))
+        result = overload.result(simulate_load("usual", "learnt"))
         assert result.refused == 0
         assert result.share > 0.98
 
@@ -47,12 +49,12 @@
         "load", ["slots are short", "reading is short", "memory is short"]
     )
     def test_few_requests_are_lost_at_the_deadline(self, load):
-        requests = played(load, "learnt")
+        requests = simulate_load(load, "learnt")
         assert overload.result(requests).lost <= len(requests) / 100
 
     @pytest.mark.parametrize("load", ["slots are short", "memory is short"])
     def test_urgent_requests_are_on_time(self, load):
-        requests = played(load, "learnt")
+        requests = simulate_load(load, "learnt")
         assert share(requests, URGENT) >= 0.9
         assert share(requests, URGENT) > share(requests, USUAL)
         assert share(requests, USUAL) > share(requests, LONG)
@@ -61,25 +63,25 @@
         "load", ["slots are short", "reading is short", "memory is short"]
     )
     def test_more_are_on_time_than_when_all_are_admitted(self, load):
-        learnt = overload.result(played(load, "learnt"))
-        before = overload.result(played(load, "all let in"))
+        learnt = overload.result(simulate_load(load, "learnt"))
+        before = overload.result(simulate_load(load, "all let in"))
         assert learnt.on_time > 1.04 * before.on_time
 
     @pytest.mark.parametrize(
         "load", ["slots are short", "reading is short", "memory is short"]
     )
     def test_no_kind_starves(self, load):
-        requests = played(load, "learnt")
+        requests = simulate_load(load, "learnt")
         for kind in overload.KINDS:
             assert share(requests, kind) >= 0.3
 
     def test_load_does_not_exceed_the_slots(self):
         surges, engine = overload.LOADS["slots are short"]
-        replay = overload.Replay(
+        simulation = overload.Simulation(
             overload.LearnedLimits(engine.slots), engine=engine
         )
-        replay.play(overload.arrivals(0, surges=surges))
-        assert replay.max_load <= engine.slots
+        simulation.simulate(overload.arrivals(0, surges=surges))
+        assert simulation.max_load <= engine.slots
 
 
 class TestSurgeOfOneTeam:
@@ -90,7 +92,7 @@
         """
         during = [
             one
-            for one in played("one team surges", "learnt")
+            for one in simulate_load("one team surges", "learnt")
             if 5.0 <= one.arrived < 15.0
         ]
         others = [one for one in during if one.team != "team-0"]
