--- a/src/topazlug/telemetry/_metrics.py
+++ b/src/topazlug/telemetry/_metrics.py
@@ -1,8 +1,8 @@
 """Metrics of one daemon, scraped and optionally pushed.
 
-Counts and histograms are kept in plain numbers and handed to OpenTelemetry
-when a reader collects. The SDK's own ``record`` costs many times what a
-token may, and a daemon observes one gap for each token that it relays.
+Counts and histograms are stored as plain numbers and passed to OpenTelemetry
+when a reader collects them. A daemon records an interval for each token that
+it relays, and the SDK's own ``record`` is many times too slow for that.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     prometheus_client = _lazy_module.LazyModule("prometheus_client")
     _push = _lazy_module.LazyModule("topazlug.telemetry._push")
 
-# Of the Prometheus text format, as prometheus_client writes it.
+# Content type of the Prometheus text format that prometheus_client writes.
 CONTENT_TYPE = "text/plain; version=1.0.0; charset=utf-8"
 OK = "ok"
 NO_TEAM = _ids.TeamName("none")
@@ -62,7 +62,7 @@
 
 
 class Gauge(enum.Enum):
-    """What is read by a callback, and rises and falls."""
+    """Gauges that are read by a callback."""
 
     IN_FLIGHT = "topazlug.requests.in_flight"
     CONNECTIONS = "topazlug.callers.connections"
@@ -83,7 +83,7 @@
 
 
 class Total(enum.Enum):
-    """What is read by a callback, and only grows."""
+    """Counters that are read by a callback."""
 
     CONTROL_SENT = "topazlug.control.sent"
     CONTROL_RECEIVED = "topazlug.control.received"
@@ -120,19 +120,19 @@
     Total.PAUSES: "Jumps of the clock: the daemon was frozen and thawed.",
 }
 
-Read = Callable[[], float]
-ReadByGroup = Callable[[], Mapping[_ids.GroupName, float]]
+ValueCallback = Callable[[], float]
+GroupValuesCallback = Callable[[], Mapping[_ids.GroupName, float]]
 
 
-class _Watched(NamedTuple):
-    """A number that a callback gives at each collection."""
+class _ObservedMetric(NamedTuple):
+    """A metric whose values a callback returns at each collection."""
 
-    what: Gauge | Total
+    metric: Gauge | Total
     callback: Any
 
 
 class _Sdk(NamedTuple):
-    """What OpenTelemetry and Prometheus need."""
+    """Objects of OpenTelemetry and Prometheus."""
 
     registry: prometheus_client.CollectorRegistry
     provider: sdk.MeterProvider
@@ -141,14 +141,14 @@
 
 @final
 class Metrics:
-    """All that one daemon measures.
+    """The metrics of one daemon.
 
     Parameters
     ----------
     metrics_settings : settings.MetricsSettings
-        Cap on teams; where to push, if anywhere.
+        Maximum number of teams with series; endpoint for pushes, if any.
     daemon_id : DaemonId
-        Whose metrics they are.
+        The daemon.
     zone : str
         Its availability zone.
     """
@@ -159,7 +159,9 @@
         daemon_id: _ids.DaemonId,
         zone: str,
     ) -> None:
-        self._teams = _histograms.TeamNames(cap=metrics_settings.team_cap)
+        self._team_labels = _histograms.TeamLabels(
+            cap=metrics_settings.team_cap
+        )
         self._first_token = self._histogram(
             "first_token.duration",
             "Time from a request's arrival to its answer's first token.",
@@ -169,11 +171,11 @@
             "Time between two tokens of an answer.",
             bounds=TOKEN_BUCKETS,
         )
-        self._total = self._histogram(
+        self._request_duration = self._histogram(
             "request.duration",
             "Time from a request's arrival to the end of its answer.",
         )
-        self._queueing = self._histogram(
+        self._queueing_duration = self._histogram(
             "queueing.duration",
             "Time that a request waited for a place.",
         )
@@ -187,12 +189,12 @@
             "Attempts after the first.",
             labels=("team", "class"),
         )
-        self._refusals = _counter(
+        self._rejections = _counter(
             "refusals",
             "Requests turned away before anything was sent.",
             labels=("team", "class", "code"),
         )
-        self._returns = _counter(
+        self._returning_chats = _counter(
             "returning_chats",
             "Returning chats by whether their context was found.",
             labels=("result",),
@@ -205,31 +207,31 @@
         self._instruments: tuple[_batches.Instrument, ...] = (
             self._requests,
             self._retries,
-            self._refusals,
-            self._returns,
+            self._rejections,
+            self._returning_chats,
             self._prompt_tokens,
             self._first_token,
             self._between_tokens,
-            self._total,
-            self._queueing,
+            self._request_duration,
+            self._queueing_duration,
         )
         self._settings = metrics_settings
         self._daemon_id = daemon_id
         self._zone = zone
-        self._watched: list[_Watched] = []
+        self._observed_metrics: list[_ObservedMetric] = []
         self._sdk: _Sdk | None = None
         if metrics_settings.otlp_endpoint:
-            self._built()
+            self._get_sdk()
 
-    def _built(self) -> _Sdk:
-        """Give the SDK's part, made when it is first needed."""
+    def _get_sdk(self) -> _Sdk:
+        """Return the SDK's objects, created on first use."""
         if self._sdk is None:
-            self._sdk = self._build()
-            for watched in self._watched:
-                self._create(self._sdk, watched)
+            self._sdk = self._create_sdk()
+            for observed in self._observed_metrics:
+                self._create_instrument(self._sdk, observed)
         return self._sdk
 
-    def _build(self) -> _Sdk:
+    def _create_sdk(self) -> _Sdk:
         registry = prometheus_client.CollectorRegistry()
         provider = sdk.MeterProvider(
             self._readers(registry),
@@ -238,7 +240,7 @@
             shutdown_on_exit=False,
         )
         meter = provider.get_meter(_push.SCOPE.name)
-        # The SDK gives nothing to readers while it has no number at all.
+        # The SDK passes nothing to readers while it has no values.
         meter.create_observable_gauge(
             "topazlug.up", callbacks=[lambda _: [api.Observation(1)]]
         )
@@ -250,7 +252,7 @@
         request_class: table.RequestClass,
         seconds: float,
     ) -> None:
-        """Count the time to the first token."""
+        """Record the time to the first token."""
         self._first_token.observe(team, request_class, seconds)
 
     def observe_between_tokens(
@@ -259,17 +261,17 @@
         request_class: table.RequestClass,
         seconds: float,
     ) -> None:
-        """Count the time between two tokens."""
+        """Record the time between two tokens."""
         self._between_tokens.observe(team, request_class, seconds)
 
-    def observe_total(
+    def observe_request_duration(
         self,
         team: _ids.TeamName,
         request_class: table.RequestClass,
         seconds: float,
     ) -> None:
-        """Count the time of a whole request."""
-        self._total.observe(team, request_class, seconds)
+        """Record the total time of a request."""
+        self._request_duration.observe(team, request_class, seconds)
 
     def observe_queueing(
         self,
@@ -277,8 +279,8 @@
         request_class: table.RequestClass,
         seconds: float,
     ) -> None:
-        """Count the time that a request waited for a place."""
-        self._queueing.observe(team, request_class, seconds)
+        """Record the time that a request waited for a slot."""
+        self._queueing_duration.observe(team, request_class, seconds)
 
     def count_request(
         self,
@@ -287,9 +289,9 @@
         code: _errors.Code | None,
         outcome: _errors.Outcome,
     ) -> None:
-        """Count an answered request; without a code it went well."""
+        """Count an answered request; the code is None if it succeeded."""
         labels = (
-            self._teams.shown(team),
+            self._team_labels.team_label(team),
             request_class.value,
             OK if code is None else code.value,
             outcome.value,
@@ -300,20 +302,20 @@
         self, team: _ids.TeamName, request_class: table.RequestClass
     ) -> None:
         """Count an attempt after the first."""
-        shown = self._teams.shown(team)
-        self._retries.add((shown, request_class.value))
+        team_label = self._team_labels.team_label(team)
+        self._retries.add((team_label, request_class.value))
 
-    def count_refusal(
+    def count_rejection(
         self,
         team: _ids.TeamName,
         request_class: table.RequestClass,
         code: _errors.Code,
     ) -> None:
-        """Count a request turned away before anything was sent."""
-        shown = self._teams.shown(team)
-        self._refusals.add((shown, request_class.value, code.value))
+        """Count a request rejected before anything was sent to a target."""
+        team_label = self._team_labels.team_label(team)
+        self._rejections.add((team_label, request_class.value, code.value))
 
-    def count_reuse(
+    def count_returning_chat(
         self, hit: bool, tokens_cached: int, tokens_prompt: int
     ) -> None:
         """Count a returning chat and the tokens of its prompt.
@@ -321,49 +323,51 @@
         Parameters
         ----------
         hit : bool
-            Whether the replica still held earlier context of the chat.
+            Whether the replica still had earlier context of the chat.
         tokens_cached : int
-            Tokens of the prompt that it held.
+            Tokens of the prompt that were cached.
         tokens_prompt : int
-            All tokens of the prompt.
+            Total tokens of the prompt.
         """
-        self._returns.add(("hit" if hit else "miss",))
+        self._returning_chats.add(("hit" if hit else "miss",))
         self._prompt_tokens.add(("cached",), tokens_cached)
         computed = max(0, tokens_prompt - tokens_cached)
         self._prompt_tokens.add(("computed",), computed)
 
-    def watch(self, what: Gauge | Total, read: Read) -> None:
-        """Read a number by a callback at each collection.
+    def watch(self, metric: Gauge | Total, read: ValueCallback) -> None:
+        """Register a callback that returns a value at each collection.
 
         Parameters
         ----------
-        what : Gauge or Total
-            The metric; each is watched once.
+        metric : Gauge or Total
+            The metric; each may be registered only once.
         read : callable
-            Gives the number; it must neither block nor raise.
+            Returns the value; it must neither block nor raise.
         """
-        self._observe(what, lambda _: [api.Observation(read())])
+        self._add_observed_metric(metric, lambda _: [api.Observation(read())])
 
-    def watch_by_group(self, what: Gauge, read: ReadByGroup) -> None:
-        """Read a number for each pool or service by a callback."""
+    def watch_by_group(self, metric: Gauge, read: GroupValuesCallback) -> None:
+        """Register a callback that returns values by pool or service."""
 
         def observations(_: api.CallbackOptions) -> Iterable[api.Observation]:
             for group, number in read().items():
                 yield api.Observation(number, {"group": group})
 
-        self._observe(what, observations)
+        self._add_observed_metric(metric, observations)
 
     def exposition(self) -> bytes:
-        """Give all series in the Prometheus text format.
+        """Return all series in the Prometheus text format.
 
-        Other greenlets run while it is written.
+        Other greenlets run while it is rendered.
         """
-        watched = list(self._built().registry.collect())
-        kept = (item.families() for item in self._instruments)
-        return _exposition.text_of(itertools.chain(watched, *kept))
+        observed = list(self._get_sdk().registry.collect())
+        own_families = (item.families() for item in self._instruments)
+        return _exposition.render_text(
+            itertools.chain(observed, *own_families)
+        )
 
     def stop(self) -> None:
-        """Push once more, within a short bound, and end the push thread."""
+        """Push once more, with a short timeout, and end the push thread."""
         if self._sdk is not None:
             self._sdk.provider.shutdown(
                 timeout_millis=STOP_TIMEOUT_MILLISECONDS
@@ -380,25 +384,29 @@
             name=f"topazlug.{name}",
             description=description,
             bounds=bounds,
-            teams=self._teams,
+            teams=self._team_labels,
         )
 
-    def _observe(self, what: Gauge | Total, callback: Any) -> None:
-        watched = _Watched(what, callback)
-        self._watched.append(watched)
+    def _add_observed_metric(
+        self, metric: Gauge | Total, callback: Any
+    ) -> None:
+        observed = _ObservedMetric(metric, callback)
+        self._observed_metrics.append(observed)
         if self._sdk is not None:
-            self._create(self._sdk, watched)
+            self._create_instrument(self._sdk, observed)
 
-    def _create(self, built: _Sdk, watched: _Watched) -> None:
-        what = watched.what
-        create: Any = built.meter.create_observable_gauge
-        if isinstance(what, Total):
-            create = built.meter.create_observable_counter
+    def _create_instrument(
+        self, built_sdk: _Sdk, observed: _ObservedMetric
+    ) -> None:
+        metric = observed.metric
+        create: Any = built_sdk.meter.create_observable_gauge
+        if isinstance(metric, Total):
+            create = built_sdk.meter.create_observable_counter
         create(
-            what.value,
-            callbacks=[watched.callback],
-            unit=_UNITS.get(what, ""),
-            description=_DESCRIPTIONS[what],
+            metric.value,
+            callbacks=[observed.callback],
+            unit=_UNITS.get(metric, ""),
+            description=_DESCRIPTIONS[metric],
         )
 
     def _readers(
@@ -411,7 +419,7 @@
             )
         ]
         if metrics_settings.otlp_endpoint:
-            pusher = _push.reader(
+            pusher = _push.create_reader(
                 endpoint=metrics_settings.otlp_endpoint,
                 interval=metrics_settings.otlp_interval,
                 instruments=self._instruments,
--- a/tests/fleet/fleet_fixtures.py
+++ b/tests/fleet/fleet_fixtures.py
@@ -1,4 +1,4 @@
-"""Deployments for the tests of whole fleets, and how to wait on them."""
+"""Deployments, requests and wait conditions for the tests of whole fleets."""
 
 from collections.abc import Callable
 from concurrent import futures
@@ -66,24 +66,24 @@
     """Wait until a condition holds."""
     end = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, "it never came about"
+        assert time.monotonic() < end, "condition not met in time"
         time.sleep(0.02)
 
 
 def new_key() -> str:
-    """Give an Idempotency-Key that no other test uses."""
+    """Return an Idempotency-Key that no other test uses."""
     return f"key-{next(_numbers)}"
 
 
-def question() -> str:
-    """Give a question that no other test asks."""
+def new_question() -> str:
+    """Return a question that no other test sends."""
     return f"question {next(_numbers)}"
 
 
 def chat(daemon: _fleet.DaemonProcess, **options: Any) -> fleet_calls.Answer:
-    """Ask a question of its own."""
-    asked = {"key": KEY, "model": MODEL, "question": question()}
-    return fleet_calls.chat(daemon.url, **(asked | options))
+    """Send a chat with a new question unless one is given."""
+    request = {"key": KEY, "model": MODEL, "question": new_question()}
+    return fleet_calls.chat(daemon.url, **(request | options))
 
 
 def order(
@@ -99,8 +99,8 @@
     )
 
 
-def runs(fleet: _fleet.Fleet, idempotency_key: str) -> int:
-    """Tell how often a key's request ran, on all services together."""
+def run_count(fleet: _fleet.Fleet, idempotency_key: str) -> int:
+    """Return how often all services together ran a key's request."""
     return sum(
         run["idempotency_key"] == idempotency_key
         for service in fleet.services
@@ -109,7 +109,7 @@
 
 
 def claim_states(fleet: _fleet.Fleet, idempotency_key: str) -> list[str]:
-    """Give the state of a key's claim in the table service, if any."""
+    """Return the states of a key's claims in the table service."""
     digest = hashlib.sha256(idempotency_key.encode()).hexdigest()
     found = _fleet.get(f"{fleet.platform_url}/table/rows/claims")
     return [
@@ -119,41 +119,41 @@
     ]
 
 
-def at_once(
+def run_concurrently(
     calls: list[Callable[[], fleet_calls.Answer]],
 ) -> list[fleet_calls.Answer]:
-    """Make calls at the same time."""
+    """Make calls concurrently."""
     with futures.ThreadPoolExecutor(len(calls)) as executor:
         return list(executor.map(lambda call: call(), calls))
 
 
-def place_order(
+def submit_order(
     executor: futures.Executor, *arguments: Any, **options: Any
 ) -> "futures.Future[fleet_calls.Answer]":
-    """Send a request that may run only once, and don't wait for it."""
+    """Send a request that may run only once, without waiting for it."""
     return executor.submit(order, *arguments, **options)
 
 
 @contextlib.contextmanager
 def faults(url: str, **switches: Any) -> Iterator[None]:
-    """Switch faults of a stand-in on, and off again."""
-    calm: dict[type, Any] = {bool: False, int: 0, float: 0.0}
-    fleet_calls.fault(url, **switches)
+    """Enable faults of a stand-in, and disable them on exit."""
+    defaults: dict[type, Any] = {bool: False, int: 0, float: 0.0}
+    fleet_calls.set_faults(url, **switches)
     try:
         yield
     finally:
-        off = {name: calm[type(value)] for name, value in switches.items()}
-        fleet_calls.fault(url, **off)
+        off = {name: defaults[type(value)] for name, value in switches.items()}
+        fleet_calls.set_faults(url, **off)
 
 
-def is_empty(daemon: _fleet.DaemonProcess) -> bool:
-    """Tell whether no place is counted on any replica, and all are owned."""
+def is_idle(daemon: _fleet.DaemonProcess) -> bool:
+    """Return whether a daemon counts no slot as held on any replica."""
     found = fleet_calls.replicas(daemon).values()
     return all(replica["load"] == 0 for replica in found)
 
 
 def agree_on_owners(daemons: list[_fleet.DaemonProcess]) -> bool:
-    """Tell whether all daemons name the same owners."""
+    """Return whether all daemons report the same owners."""
     views = [
         {
             name: entry["owner"]
@@ -165,7 +165,7 @@
 
 
 def in_flight(daemon: _fleet.DaemonProcess) -> int:
-    """Give the number of requests in progress on a daemon."""
+    """Return the number of requests in progress on a daemon."""
     text = _fleet.get(f"{daemon.administration_url}/metrics").decode()
     for line in text.splitlines():
         name, _, value = line.rpartition(" ")
@@ -174,11 +174,12 @@
     return 0
 
 
-def unaccepted(daemon: _fleet.DaemonProcess) -> int:
-    """Count the callers' connections with a request that nobody accepted.
+def unaccepted_connections(daemon: _fleet.DaemonProcess) -> int:
+    """Count the connections of callers that the daemon hasn't accepted yet.
 
-    The kernel shows them as established, with bytes to read, and without
-    an inode, as no process holds them yet.
+    Only those count on which a request has arrived. The kernel lists them as
+    established, with bytes to read, and without an inode, as no process has
+    opened them yet.
     """
     local = f":{daemon.callers_port:04X}"
     lines = pathlib.Path("/proc/net/tcp").read_text().splitlines()[1:]
--- a/tests/fleet/fleet_load.py
+++ b/tests/fleet/fleet_load.py
@@ -1,4 +1,4 @@
-"""A light load on a fleet, that goes on until it is told to stop."""
+"""A light load on a fleet that runs until it is stopped."""
 
 from concurrent import futures
 import threading
@@ -11,14 +11,14 @@
 
 @final
 class Load:
-    """Callers that ask one question after the other.
+    """Callers that each send one chat after the other.
 
     Parameters
     ----------
     fleet : Fleet
-        Its daemons are asked in turn, those that take its place too.
+        The fleet; its daemons are called in turn, including replacements.
     callers : int
-        How many ask at once.
+        Number of concurrent callers.
     tokens : int
         Length of an answer.
     """
@@ -30,46 +30,46 @@
         self._fleet = fleet
         self._callers = callers
         self._tokens = tokens
-        self._stopped = threading.Event()
+        self._stop_requested = threading.Event()
         self._executor = futures.ThreadPoolExecutor(callers)
 
     def __enter__(self) -> "Load":
         for number in range(self._callers):
-            self._executor.submit(self._ask_on, number)
+            self._executor.submit(self._send_chats, number)
         return self
 
     def __exit__(self, *error: object) -> None:
         self.stop()
 
     def stop(self) -> None:
-        """Ask no more, and wait for the answers."""
-        self._stopped.set()
+        """Send no further chats, and wait for the pending answers."""
+        self._stop_requested.set()
         self._executor.shutdown()
 
     def failures(self) -> list[str]:
-        """Give how calls ended that got no whole answer.
+        """Return a description of each call without a complete answer.
 
-        A connection refused before any byte was sent is none: the caller's
-        library goes to the next address.
+        A connection refused before any byte was sent doesn't count, as the
+        caller's library then tries the next address.
         """
-        good = (fleet_calls.Ending.WHOLE, fleet_calls.Ending.REFUSED)
+        accepted = (fleet_calls.Ending.WHOLE, fleet_calls.Ending.REFUSED)
         return [
             f"{answer.ending.value} {answer.status} {answer.body[-200:]!r}"
             for answer in self.answers
-            if answer.ending not in good
+            if answer.ending not in accepted
         ]
 
     def wait_for_more(self, count: int) -> None:
-        """Wait until so many more answers have come."""
-        wanted = len(self.answers) + count
-        fleet_fixtures.eventually(lambda: len(self.answers) >= wanted)
+        """Wait until this many further calls have ended."""
+        expected = len(self.answers) + count
+        fleet_fixtures.eventually(lambda: len(self.answers) >= expected)
 
-    def _ask_on(self, number: int) -> None:
-        while not self._stopped.is_set():
+    def _send_chats(self, number: int) -> None:
+        while not self._stop_requested.is_set():
             daemons = self._fleet.daemons
             daemon = daemons[number % len(daemons)]
             number += 1
             answer = fleet_fixtures.chat(daemon, tokens=self._tokens)
             self.answers.append(answer)
             if answer.ending is fleet_calls.Ending.REFUSED:
-                self._stopped.wait(0.01)
+                self._stop_requested.wait(0.01)
--- a/tests/fleet/test_intruders.py
+++ b/tests/fleet/test_intruders.py
@@ -1,4 +1,4 @@
-"""Nobody gets in without the secret, a key or a token."""
+"""Access is denied without the peer secret, an API key or a token."""
 
 import socket
 import struct
@@ -21,11 +21,11 @@
     pytest.param(b"\x91" * 60000, id="deep-nesting"),
     pytest.param(struct.pack(">I", 2**31) + b"x" * 64, id="huge-length"),
 ]
-NO_KEYS = ["", "wrong", "demo-frontdes", "x" * 10000]
+INVALID_KEYS = ["", "wrong", "demo-frontdes", "x" * 10000]
 
 
-def peer_port_answer(daemon: _fleet.DaemonProcess, data: bytes) -> bytes:
-    """Send bytes to the peers' port, and give all until it is closed."""
+def send_to_peer_port(daemon: _fleet.DaemonProcess, data: bytes) -> bytes:
+    """Send bytes to the peer port; return all bytes received until close."""
     address = (_fleet.HOST, daemon.peers_port)
     received = b""
     with socket.create_connection(address, timeout=10.0) as sock:
@@ -38,10 +38,10 @@
     return received
 
 
-def expect_healthy(fleet: _fleet.Fleet, daemon: _fleet.DaemonProcess) -> None:
-    """Check that a daemon serves and counts exactly."""
+def check_healthy(fleet: _fleet.Fleet, daemon: _fleet.DaemonProcess) -> None:
+    """Check that a daemon serves chats and its counts return to zero."""
     assert fleet_fixtures.chat(daemon).ending is fleet_calls.Ending.WHOLE
-    fleet_fixtures.eventually(lambda: fleet_fixtures.is_empty(daemon))
+    fleet_fixtures.eventually(lambda: fleet_fixtures.is_idle(daemon))
     assert fleet_fixtures.agree_on_owners(fleet.daemons)
 
 
@@ -49,16 +49,18 @@
     @pytest.mark.parametrize("data", GARBAGE)
     def test_garbage(self, fleet: _fleet.Fleet, data: bytes) -> None:
         daemon = fleet.daemons[0]
-        before = refusals(daemon)
-        peer_port_answer(daemon, data)
-        fleet_fixtures.eventually(lambda: refusals(daemon) > before)
-        expect_healthy(fleet, daemon)
+        before = rejected_connections(daemon)
+        send_to_peer_port(daemon, data)
+        fleet_fixtures.eventually(
+            lambda: rejected_connections(daemon) > before
+        )
+        check_healthy(fleet, daemon)
 
     def test_hello_without_proof(self, fleet: _fleet.Fleet) -> None:
-        """Symptom: a stranger's words count as a daemon's.
+        """Messages must be rejected until the peer has proven the secret.
 
-        Sequence: somebody says hello under a daemon's name and goes on
-        with messages at once. Cause: the hello is taken for the proof.
+        An intruder sends Hello under a daemon's name, followed at once by
+        other messages. Accepting Hello as authentication would let them in.
         """
         daemon = fleet.daemons[0]
         hello = {
@@ -71,15 +73,19 @@
         data = msgpack.packb(["Hello", 0, hello])
         data += msgpack.packb(["Proof", 0, {"mac": "0" * 64}])
         data += msgpack.packb(["Release", 0, release])
-        before = refusals(daemon)
-        received = peer_port_answer(daemon, data)
-        fleet_fixtures.eventually(lambda: refusals(daemon) > before)
+        before = rejected_connections(daemon)
+        received = send_to_peer_port(daemon, data)
+        fleet_fixtures.eventually(
+            lambda: rejected_connections(daemon) > before
+        )
         assert b"Proof" not in received
-        expect_healthy(fleet, daemon)
+        check_healthy(fleet, daemon)
 
     @pytest.fixture
-    def stranger(self, fleet: _fleet.Fleet) -> Iterator[_fleet.DaemonProcess]:
-        """Start a daemon with another secret, on the same platform."""
+    def foreign_daemon(
+        self, fleet: _fleet.Fleet
+    ) -> Iterator[_fleet.DaemonProcess]:
+        """Start a daemon with a different secret on the same platform."""
         settings = fleet.daemon_settings(90)
         settings["peers"]["secret"] = "not-the-secret-of-this-fleet"
         daemon = fleet.start_daemon(90, settings)
@@ -89,12 +95,12 @@
         fleet_calls.send(fleet.platform_url, "DELETE", path)
 
     def test_daemon_with_the_wrong_secret(
-        self, fleet: _fleet.Fleet, stranger: _fleet.DaemonProcess
+        self, fleet: _fleet.Fleet, foreign_daemon: _fleet.DaemonProcess
     ) -> None:
-        """Symptom: a stranger on the list owns replicas.
+        """A daemon with a different secret must not own replicas.
 
-        Sequence: a daemon with another secret enters itself on the list.
-        Cause: whom the list shows is taken for a peer for good.
+        It registers itself in the instance list. It becomes an owner if every
+        listed daemon stays a peer whether or not it can authenticate.
         """
         wrong = "wrong proof"
         fleet_fixtures.eventually(
@@ -102,15 +108,16 @@
         )
         fleet_fixtures.eventually(
             lambda: all(
-                stranger.name not in owners(daemon) for daemon in fleet.daemons
+                foreign_daemon.name not in owners(daemon)
+                for daemon in fleet.daemons
             )
         )
-        expect_healthy(fleet, fleet.daemons[0])
+        check_healthy(fleet, fleet.daemons[0])
 
 
 class TestCallers:
-    @pytest.mark.parametrize("key", NO_KEYS)
-    def test_no_key_that_counts(self, fleet: _fleet.Fleet, key: str) -> None:
+    @pytest.mark.parametrize("key", INVALID_KEYS)
+    def test_invalid_key(self, fleet: _fleet.Fleet, key: str) -> None:
         before = [len(fleet_calls.journal(e)) for e in fleet.engines]
         answer = fleet_fixtures.chat(fleet.daemons[0], key=key)
         assert (answer.status, answer.outcome) == (401, "not-run")
@@ -130,7 +137,7 @@
             ("GET", "/v1/status"),
         ],
     )
-    def test_no_token_that_counts(
+    def test_invalid_token(
         self, fleet: _fleet.Fleet, method: str, path: str, token: str
     ) -> None:
         daemon = fleet.daemons[0]
@@ -138,8 +145,8 @@
         assert answer.status == 401
 
 
-def refusals(daemon: _fleet.DaemonProcess) -> int:
-    """Count the logged refusals of connections from peers."""
+def rejected_connections(daemon: _fleet.DaemonProcess) -> int:
+    """Count the log lines about rejected connections from peers."""
     return daemon.process.log.count("warning topazlug.peers connection from")
 
 
--- a/tests/fleet/test_owner_loss.py
+++ b/tests/fleet/test_owner_loss.py
@@ -1,4 +1,4 @@
-"""An owner that dies, freezes or is cut off loses no request."""
+"""No request is lost when an owner dies, freezes or is partitioned."""
 
 from collections import Counter
 import time
@@ -17,79 +17,81 @@
 
 
 @pytest.fixture
-def spoiled() -> Iterator[_fleet.Fleet]:
-    """Give a fleet of its own to a test that ends or freezes daemons."""
-    described = fleet_fixtures.deployment(daemons=4, engines=4, services=1)
-    with _fleet.Fleet(described) as started:
+def own_fleet() -> Iterator[_fleet.Fleet]:
+    """Return a fleet for a single test, which may end or freeze daemons."""
+    deployment = fleet_fixtures.deployment(daemons=4, engines=4, services=1)
+    with _fleet.Fleet(deployment) as started:
         yield started
 
 
 def busiest_owner(fleet: _fleet.Fleet) -> _fleet.DaemonProcess:
-    """Give the daemon that owns the most engines."""
+    """Return the daemon that owns the most engines."""
     found = fleet_calls.replicas(fleet.daemons[0]).values()
     owners = Counter(e["owner"] for e in found if e["group"] == "pool")
     name = owners.most_common(1)[0][0]
     return next(d for d in fleet.daemons if d.name == name)
 
 
-def expect_calm(daemons: list[_fleet.DaemonProcess]) -> None:
-    """Wait until all agree on the owners, and no place is counted."""
+def wait_until_idle(daemons: list[_fleet.DaemonProcess]) -> None:
+    """Wait until all agree on the owners and count no slot as held."""
     fleet_fixtures.eventually(
         lambda: fleet_fixtures.agree_on_owners(daemons)
-        and all(fleet_fixtures.is_empty(daemon) for daemon in daemons)
+        and all(fleet_fixtures.is_idle(daemon) for daemon in daemons)
     )
 
 
 class TestOwnerKilled:
-    def test_no_request_is_lost_and_no_place_leaks(
-        self, spoiled: _fleet.Fleet
+    def test_no_request_is_lost_and_no_slot_leaks(
+        self, own_fleet: _fleet.Fleet
     ) -> None:
-        """Symptom: calls fail, and a replica looks full for ever.
+        """The death of an owner must not fail calls or leak slots.
 
-        Sequence: the owner of replicas dies under load, through which
-        nobody calls just then. Cause: entry daemons wait for it, or its
-        successor never learns that places were given back.
+        The owner, through which no call enters just then, is killed under
+        load. Calls fail if entry daemons wait for it, and a replica seems
+        full forever if its successor isn't notified of released slots.
         """
-        owner = busiest_owner(spoiled)
-        spoiled.daemons.remove(owner)
-        with fleet_load.Load(spoiled) as load:
+        owner = busiest_owner(own_fleet)
+        own_fleet.daemons.remove(owner)
+        with fleet_load.Load(own_fleet) as load:
             load.wait_for_more(20)
             owner.process.kill()
             load.wait_for_more(200)
         assert load.failures() == []
-        expect_calm(spoiled.daemons)
+        wait_until_idle(own_fleet.daemons)
 
 
 class TestEntryKilled:
-    def test_what_it_held_is_given_back(self, spoiled: _fleet.Fleet) -> None:
-        """Symptom: replicas look fuller with each instance that dies.
+    def test_its_slots_are_released(self, own_fleet: _fleet.Fleet) -> None:
+        """Slots held by a daemon that died must be released.
 
-        Sequence: a daemon dies with streams open. Cause: nobody is left
-        to give back its places.
+        A daemon is killed with streams open and can't release their slots
+        itself. If nothing else does, replicas appear fuller with each
+        instance that dies.
         """
-        killed = spoiled.daemons.pop()
+        killed = own_fleet.daemons.pop()
         streams = [
             lambda: fleet_fixtures.chat(killed, tokens=2000) for _ in range(20)
         ]
         streams.append(lambda: kill_when_busy(killed, len(streams) - 1))
-        fleet_fixtures.at_once(streams)
-        expect_calm(spoiled.daemons)
+        fleet_fixtures.run_concurrently(streams)
+        wait_until_idle(own_fleet.daemons)
 
 
 class TestOwnerFrozen:
-    def test_no_request_is_lost_and_no_place_leaks(
-        self, spoiled: _fleet.Fleet
+    def test_no_request_is_lost_and_no_slot_leaks(
+        self, own_fleet: _fleet.Fleet
     ) -> None:
-        """Symptom: calls stall, then a replica is swamped.
+        """A frozen owner must not stall calls or overload replicas.
 
-        Sequence: an owner stops running for seconds, is passed over, and
-        wakes. Cause: its silence is waited for again and again, or it
-        goes on admitting what another has taken over.
+        The owner is frozen for seconds, replaced by another and resumed.
+        Calls stall if each waits for the unresponsive owner again. A replica
+        is overloaded if the resumed owner still admits requests to replicas
+        that another owner has taken over.
         """
-        owner = busiest_owner(spoiled)
-        everybody = list(spoiled.daemons)
-        spoiled.daemons.remove(owner)
-        with fleet_load.Load(spoiled) as load:
+        owner = busiest_owner(own_fleet)
+        all_daemons = list(own_fleet.daemons)
+        own_fleet.daemons.remove(owner)
+        with fleet_load.Load(own_fleet) as load:
             load.wait_for_more(20)
             owner.process.freeze()
             thaw_at = time.monotonic() + FROZEN_SECONDS
@@ -97,44 +99,53 @@
             owner.process.thaw()
             load.wait_for_more(200)
         assert load.failures() == []
-        expect_calm(everybody)
+        wait_until_idle(all_daemons)
 
 
-class TestLinksCut:
+class TestNetworkPartition:
     @pytest.fixture
-    def split(self) -> Iterator[_fleet.Fleet]:
-        """Give a fleet of two groups whose links can be cut."""
-        described = fleet_fixtures.deployment(daemons=4)
+    def split_fleet(self) -> Iterator[_fleet.Fleet]:
+        """Return a fleet of two groups whose links can be cut."""
+        deployment = fleet_fixtures.deployment(daemons=4)
         groups = ((0, 1), (2, 3))
-        with _fleet.Fleet(described, groups=groups) as started:
+        with _fleet.Fleet(deployment, groups=groups) as started:
             yield started
 
     @pytest.mark.parametrize("fault", ["cut", "blackhole"])
-    def test_groups_join_again(self, split: _fleet.Fleet, fault: str) -> None:
-        """Symptom: after a cut, two daemons admit onto one replica.
+    def test_groups_rejoin(
+        self, split_fleet: _fleet.Fleet, fault: str
+    ) -> None:
+        """Daemons must rediscover each other after a network partition.
 
-        Sequence: two groups of daemons can't reach each other, each takes
-        the other for dead, and both serve; then the links are whole again.
-        Cause: nobody asks the dead whether they live.
+        Two groups of daemons can't reach each other, regard each other as
+        dead, and both serve until the links work again. If no daemon contacts
+        those regarded as dead, two owners go on admitting to one replica.
         """
-        with fleet_load.Load(split) as load:
+        with fleet_load.Load(split_fleet) as load:
             load.wait_for_more(20)
-            split.switch_links(**{fault: True})
-            fleet_fixtures.eventually(lambda: sees(split, 0) == {0, 1})
-            fleet_fixtures.eventually(lambda: sees(split, 3) == {2, 3})
+            split_fleet.switch_links(**{fault: True})
+            fleet_fixtures.eventually(
+                lambda: live_daemons(split_fleet, 0) == {0, 1}
+            )
+            fleet_fixtures.eventually(
+                lambda: live_daemons(split_fleet, 3) == {2, 3}
+            )
             load.wait_for_more(100)
-            split.switch_links(**{fault: False})
-            everybody = set(range(4))
+            split_fleet.switch_links(**{fault: False})
+            all_daemons = set(range(4))
             fleet_fixtures.eventually(
-                lambda: all(sees(split, n) == everybody for n in everybody)
+                lambda: all(
+                    live_daemons(split_fleet, n) == all_daemons
+                    for n in all_daemons
+                )
             )
             load.wait_for_more(50)
         assert load.failures() == []
-        expect_calm(split.daemons)
+        wait_until_idle(split_fleet.daemons)
 
 
-def sees(fleet: _fleet.Fleet, number: int) -> set[int]:
-    """Give the numbers of the daemons that one takes for live."""
+def live_daemons(fleet: _fleet.Fleet, number: int) -> set[int]:
+    """Return the numbers of the daemons that one daemon reports as live."""
     daemon = fleet.daemons[number]
     answer = fleet_calls.operate(daemon, "GET", "/v1/status")
     return {
@@ -147,7 +158,7 @@
 def kill_when_busy(
     daemon: _fleet.DaemonProcess, count: int
 ) -> fleet_calls.Answer:
-    """Kill a daemon once so many requests are in progress."""
+    """Kill a daemon once this many requests are in progress."""
     fleet_fixtures.eventually(
         lambda: fleet_fixtures.in_flight(daemon) == count
     )
--- a/tests/topazlug/fleet_fakes.py
+++ b/tests/topazlug/fleet_fakes.py
@@ -69,13 +69,15 @@
             if isinstance(message, messages.Renew):
                 owner.renew(self._sender, message)
                 return messages.Ack()
-            owner.ask(self._sender, message, replies.append)
+            owner.handle_admission_request(
+                self._sender, message, replies.append
+            )
         if not replies:
             self._fleet.clock.advance(timeout)
             raise _errors.PeerUnreachable(to)
         return replies[0]
 
-    def heard_since(self, peer, moment):
+    def received_since(self, peer, moment):
         return False
 
     def send(self, to, message):
--- a/tests/topazlug/forwarding/test_table.py
+++ b/tests/topazlug/forwarding/test_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, teams by key, versions that grow."""
+"""Routes by host and longest prefix, teams by key, increasing versions."""
 
 import pytest
 
@@ -17,7 +17,7 @@
             fixtures.route(name="outer", prefix="/a/"),
             fixtures.route(name="inner", prefix="/a/b/"),
         )
-        assert table.route_of("chat.example:80", path).name == name
+        assert table.find_route("chat.example:80", path).name == name
 
     @pytest.mark.parametrize(
         "host, path", [("chat.example", "/ab"), ("other.example", "/a/")]
@@ -25,7 +25,7 @@
     def test_no_route(self, host, path):
         table = fixtures.table(fixtures.route(prefix="/a/"))
         with pytest.raises(_errors.UnknownPath):
-            table.route_of(host, path)
+            table.find_route(host, path)
 
     def test_split_follows_the_weights(self):
         route = fixtures.route(
@@ -42,28 +42,27 @@
 class TestKeys:
     def test_known_key(self):
         table = fixtures.table(fixtures.route())
-        assert table.team_of(fixtures.route(), fixtures.KEY).name == "udelar"
+        assert table.find_team(fixtures.route(), fixtures.KEY).name == "udelar"
 
     @pytest.mark.parametrize("key", [None, "", "wrong"])
     def test_unknown_key(self, key):
         table = fixtures.table(fixtures.route())
         with pytest.raises(_errors.BadKey):
-            table.team_of(fixtures.route(), key)
+            table.find_team(fixtures.route(), key)
 
-    def test_anonymous_route_asks_for_none(self):
+    def test_anonymous_route_requires_none(self):
         table = fixtures.table()
-        assert table.team_of(fixtures.route(anonymous=True), None) is None
+        assert table.find_team(fixtures.route(anonymous=True), None) is None
 
 
 class TestHolder:
-    def test_older_version_is_left(self):
-        """Symptom: a key that was taken away works again.
+    def test_older_version_is_ignored(self):
+        """A removed key would become valid again.
 
-        Sequence: version 7 is in force; the store comes back after an
-        outage and shows version 5 for a moment. Cause: whatever the store
-        shows was taken.
+        Version 7 is in force, and after an outage the store briefly returns
+        version 5, which was applied without comparing versions.
         """
         holder = _table.TableHolder()
-        assert holder.take(fixtures.table(version=7))
-        assert not holder.take(fixtures.table(version=5))
+        assert holder.update(fixtures.table(version=7))
+        assert not holder.update(fixtures.table(version=5))
         assert holder.version == 7
--- a/tests/topazlug/peers/test_peer_codec.py
+++ b/tests/topazlug/peers/test_peer_codec.py
@@ -39,12 +39,12 @@
 
 
 def packed(*frames: object) -> bytes:
-    """Give a batch of frames as another program might make it."""
+    """Return a batch of frames that this codec did not encode."""
     return msgpack.packb(frames)
 
 
 class TestRoundTrip:
-    """What is encoded comes out the same."""
+    """Decoding returns what was encoded."""
 
     @settings(max_examples=200, deadline=None)
     @given(
@@ -58,8 +58,8 @@
             _peer_codec.encode(message, call=call, max_bytes=LIMIT)
             for message, call in sent
         ]
-        found = _peer_codec.decode(_peer_codec.join(frames))
-        assert [(frame.message, frame.call) for frame in found] == sent
+        decoded = _peer_codec.decode(_peer_codec.join(frames))
+        assert [(frame.message, frame.call) for frame in decoded] == sent
 
     def test_refusal_answers_the_question(self):
         batch = _peer_codec.join([_peer_codec.encode_refusal(7)])
@@ -69,7 +69,7 @@
 
 
 class TestOtherVersions:
-    """A newer daemon may say more than this one knows."""
+    """Messages of a newer version are decoded as far as possible."""
 
     def test_unknown_kind_has_no_message(self):
         (frame,) = _peer_codec.decode(packed(["Novelty", 3, {"a": [1]}]))
@@ -87,7 +87,7 @@
 
 
 class TestInvalid:
-    """Bytes that are no frames raise the one error for it."""
+    """Invalid frames raise `PeerMessageInvalid`."""
 
     @settings(max_examples=200, deadline=None)
     @given(data=strategies.binary(max_size=200))
--- a/tests/topazlug/placement/owner_fixtures.py
+++ b/tests/topazlug/placement/owner_fixtures.py
@@ -32,13 +32,13 @@
     unresponsive : set
         Daemons that accept messages and never reply.
     last_received_at : dict
-        When another message of such a daemon arrived, in monotonic seconds.
+        Monotonic time of the last message from such a daemon, by daemon.
     unreachable : set
         Daemons that accept no connection.
     sent : list
         Messages between daemons, in order.
     before_answer : callable
-        Called after a message was handled, before its reply arrives.
+        Called after a message was handled, before the sender gets the reply.
     """
 
     def __init__(self, *names, replicas, slots=64, is_starting=False):
@@ -65,23 +65,23 @@
 
     def load_by_replica(self):
         """Return the slots that all daemons together hold on each replica."""
-        loads = dict.fromkeys([one.replica for one in self.targets], 0)
+        loads = dict.fromkeys([target.replica for target in self.targets], 0)
         for daemon in self.daemons:
             for replica in loads:
                 loads[replica] += daemon.views.of(replica).in_flight
         return loads
 
     def renew(self):
-        """Let all daemons renew the slots that they hold at the owners."""
+        """Renew the slots that all daemons hold with owners."""
         for daemon in self.daemons:
-            daemon.owners.asks.held_placements.renew()
+            daemon.owners.owner_client.held_placements.renew()
 
     def report(self):
-        """Let all daemons report the load of their replicas to collectors."""
+        """Report the load of all replicas to collectors."""
         self.clock.advance(0.11)
         for daemon in self.daemons:
             daemon.owners.report()
-        while any(daemon.owners.reporting for daemon in self.daemons):
+        while any(daemon.owners.is_reporting for daemon in self.daemons):
             gevent.sleep(0)
 
     def owner_of(self, replica):
@@ -91,23 +91,23 @@
 
 
 class Daemon:
-    """The parts of one daemon that place requests."""
+    """The objects of one daemon that place requests."""
 
     def __init__(self, fleet, name):
         self.links = _Links(fleet, name)
         self.targets = _targets.TargetDirectory(
             clock=fleet.clock, flap_window=10.0
         )
-        self.targets.take_list(fleet.targets)
+        self.targets.set_list(fleet.targets)
         self.views = _replica_view.ReplicaViews(clock=fleet.clock)
-        self.views.take_list(fleet.targets)
-        self.owners = _owners.FleetOwners(
+        self.views.update_targets(fleet.targets)
+        self.owners = _owners.OwnerRole(
             daemon=_ids.DaemonId(name),
             links=self.links,
             targets=self.targets,
             clock=fleet.clock,
         )
-        self.admission = _owner_admission.OwnerAdmission(
+        self.admission = _owner_admission.OwnerOrViewAdmission(
             view_admission=_view_admission.ViewAdmission(
                 targets=self.targets, views=self.views
             ),
@@ -115,8 +115,8 @@
             views=self.views,
             clock=fleet.clock,
         )
-        self.admission.asks = self.owners.asks
-        self.targets.on_report(self.owners.asks.report_backoff)
+        self.admission.owner_client = self.owners.owner_client
+        self.targets.on_report(self.owners.owner_client.report_backoff)
 
     def admit(self, chat, **changes):
         """Place one request of a chat."""
@@ -155,7 +155,7 @@
             raise _errors.PeerUnreachable("no answer")
         return answers[0]
 
-    def heard_since(self, to, moment):
+    def received_since(self, to, moment):
         return self._fleet.last_received_at.get(to, -1.0) >= moment
 
     def _deliver(self, to, message, reply):
--- a/tests/topazlug/placement/test_view_admission.py
+++ b/tests/topazlug/placement/test_view_admission.py
@@ -17,7 +17,7 @@
 def admission(replicas):
     clock = claim_fakes.FakeClock()
     targets = _targets.TargetDirectory(clock=clock, flap_window=10.0)
-    targets.take_list([fixtures.target(f"i-{n}") for n in range(replicas)])
+    targets.set_list([fixtures.target(f"i-{n}") for n in range(replicas)])
     return _view_admission.ViewAdmission(
         targets=targets, views=_replica_view.ReplicaViews(clock=clock)
     )
@@ -33,7 +33,7 @@
         )
         counts = collections.Counter()
         for _ in range(REQUESTS):
-            place = view_admission.admit(request)
-            view_admission.release(place)
-            counts[place.target.replica] += 1
+            placement = view_admission.admit(request)
+            view_admission.release(placement)
+            counts[placement.target.replica] += 1
         assert set(counts.values()) == {REQUESTS // replicas}
--- a/tests/topazlug_platform/test_requests_that_crash.py
+++ b/tests/topazlug_platform/test_requests_that_crash.py
@@ -1,4 +1,4 @@
-"""A request that crashes replicas, through whole daemons of one fleet."""
+"""Requests that crash replicas, sent through a fleet of daemons."""
 
 import contextlib
 
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.topazlug.forwarding import forwarding_fixtures as fixtures
-from tests.topazlug_platform import crash_site
+from tests.topazlug_platform import crash_fleet
 from topazlug import _ids
 from topazlug.forwarding import _table
 
@@ -20,70 +20,72 @@
         "has_context": True,
     },
 }
-# Three attempts show it; the first of them may end a second replica.
-MOST_ENDED = 4
+# Three attempts identify the request; the first may crash two replicas.
+MAX_CRASHED = 4
 
 
 @contextlib.contextmanager
-def site(*, daemons=3, replicas=4, **changes):
-    made = crash_site.Site(
+def running_fleet(*, daemons=3, replicas=4, **changes):
+    fleet = crash_fleet.CrashFleet(
         fixtures.route(**changes), daemons=daemons, replicas=replicas
     )
     try:
-        yield made
+        yield fleet
     finally:
-        made.stop()
+        fleet.stop()
 
 
 class TestBlocked:
     @pytest.mark.parametrize("kind", list(KINDS))
-    def test_few_replicas_get_it_on_every_kind_of_route(self, kind):
-        """A dozen replicas ended one after the other under one request.
+    def test_few_replicas_crash_on_every_kind_of_route(self, kind):
+        """One request crashed a dozen replicas one after the other.
 
-        It came again under new ids at any daemon, and each daemon took it
-        for a new one.
+        It was repeated with new ids to any daemon, and each daemon treated
+        it as a new request.
         """
-        with site(**KINDS[kind]) as made:
-            made.ask_in_turn(12)
-            made.wait_blocked(0, 1, 2)
-            assert made.ended() <= MOST_ENDED
+        with running_fleet(**KINDS[kind]) as fleet:
+            fleet.send_in_turn(12)
+            fleet.wait_blocked(0, 1, 2)
+            assert fleet.reached_count() <= MAX_CRASHED
 
-    def test_caller_that_gives_all_attempts_one_id(self):
-        """Attempts were told apart by the id that their caller gave them.
+    def test_attempts_with_the_same_id_are_counted(self):
+        """Attempts were distinguished by the id that the caller sets.
 
-        One that never changes it seemed to have made a single attempt.
+        The attempts of a caller that never changes it were counted as one.
         """
-        with site() as made:
-            made.ask_in_turn(8, attempt="always")
-            made.wait_blocked(0, 1, 2)
-            assert made.ended() <= MOST_ENDED
+        with running_fleet() as fleet:
+            fleet.send_in_turn(8, attempt="always")
+            fleet.wait_blocked(0, 1, 2)
+            assert fleet.reached_count() <= MAX_CRASHED
 
-    def test_refusal_is_true_and_says_when_to_come_back(self):
-        with site() as made:
-            made.ask_in_turn(6)
-            made.wait_blocked(0, 1, 2)
-            before = len(made.runs)
-            status, fields = made.ask(0, crash_site.CRASHING)
+    def test_blocked_request_is_rejected_with_retry_after(self):
+        with running_fleet() as fleet:
+            fleet.send_in_turn(6)
+            fleet.wait_blocked(0, 1, 2)
+            before = len(fleet.runs)
+            status, fields = fleet.send(0, crash_fleet.CRASHING)
             assert status == 503
             assert fields["topazlug-outcome"] == "not-run"
             assert float(fields["retry-after"]) > 0
-            assert len(made.runs) == before
+            assert len(fleet.runs) == before
 
-    def test_others_are_served_on(self):
-        with site() as made:
-            made.ask_in_turn(6)
-            made.wait_blocked(0, 1, 2)
-            assert made.ask_in_turn(6, crash_site.ORDINARY) == [200] * 6
-            assert made.ask(0, crash_site.CRASHING, path="/a/other")[0] == 502
+    def test_other_requests_are_served(self):
+        with running_fleet() as fleet:
+            fleet.send_in_turn(6)
+            fleet.wait_blocked(0, 1, 2)
+            assert fleet.send_in_turn(6, crash_fleet.ORDINARY) == [200] * 6
+            assert (
+                fleet.send(0, crash_fleet.CRASHING, path="/a/other")[0] == 502
+            )
 
-    def test_another_team_with_the_same_request_is_not_blamed(self):
-        """Two teams may send the same words; only the one was seen."""
-        with site() as made:
-            made.ask_in_turn(6)
-            made.wait_blocked(0, 1, 2)
-            for daemon in made.daemons:
+    def test_same_request_of_another_team_is_not_blocked(self):
+        """Two teams may send the same body; only one team's was seen."""
+        with running_fleet() as fleet:
+            fleet.send_in_turn(6)
+            fleet.wait_blocked(0, 1, 2)
+            for daemon in fleet.daemons:
                 team = _table.Team(_ids.TeamName("ort"), None)
-                daemon.take_table(
+                daemon.update_table(
                     _table.RoutingTable(
                         version=2,
                         routes=[fixtures.route()],
@@ -91,171 +93,175 @@
                         bounds=_table.CallerBounds(),
                     )
                 )
-            before = made.ended()
-            made.ask(0, crash_site.CRASHING)
-            assert made.ended() > before
+            before = fleet.reached_count()
+            fleet.send(0, crash_fleet.CRASHING)
+            assert fleet.reached_count() > before
 
-    def test_replica_that_comes_back_under_its_id(self):
-        """Replicas came back under the ids that they had.
+    def test_replica_that_restarts_with_the_same_id(self):
+        """Replicas restarted with the same id.
 
-        Each crash was of the same id; counted by ids, there was one.
+        Crashes were counted by replica id, so that several crashes of one
+        replica were counted as one.
         """
-        with site(daemons=2, replicas=1) as made:
+        with running_fleet(daemons=2, replicas=1) as fleet:
             for number in range(8):
-                made.ask(number, crash_site.CRASHING)
-                if made.replicas[0].is_running:
+                fleet.send(number, crash_fleet.CRASHING)
+                if fleet.replicas[0].is_running:
                     break
-                made.replicas = [
-                    crash_site.Replica("i-1", made.runs, start=number + 2)
+                fleet.replicas = [
+                    crash_fleet.Replica("i-1", fleet.runs, start=number + 2)
                 ]
-                made.list()
-                crash_site.wait_until(lambda: made.is_known(number + 1))
-            made.wait_blocked(0, 1)
-            ran = [one for one in made.runs if one[1] == crash_site.CRASHING]
-            assert len(ran) <= MOST_ENDED
+                fleet.list_replicas()
+                crash_fleet.wait_until(
+                    lambda: fleet.are_records_known(number + 1)
+                )
+            fleet.wait_blocked(0, 1)
+            ran = [one for one in fleet.runs if one[1] == crash_fleet.CRASHING]
+            assert len(ran) <= MAX_CRASHED
 
 
 class TestRestarts:
-    def test_daemons_that_start_again_know_it(self):
-        with site() as made:
-            made.ask_in_turn(6)
-            made.wait_blocked(0, 1, 2)
+    def test_restarted_daemons_block_the_request(self):
+        with running_fleet() as fleet:
+            fleet.send_in_turn(6)
+            fleet.wait_blocked(0, 1, 2)
             for number in range(3):
-                made.restart(number)
-            made.wait_blocked(0, 1, 2)
-            before = made.ended()
-            assert set(made.ask_in_turn(6)) == {503}
-            assert made.ended() == before
+                fleet.restart(number)
+            fleet.wait_blocked(0, 1, 2)
+            before = fleet.reached_count()
+            assert set(fleet.send_in_turn(6)) == {503}
+            assert fleet.reached_count() == before
 
-    def test_crashes_seen_by_daemons_that_are_gone_count(self):
-        """Each daemon that saw a crash was replaced soon afterwards."""
-        with site() as made:
+    def test_crashes_detected_by_replaced_daemons_count(self):
+        """Each daemon that detected a crash was replaced soon afterwards."""
+        with running_fleet() as fleet:
             for number in range(8):
-                made.ask(number, crash_site.CRASHING)
-                made.replace_ended()
-                crash_site.wait_until(lambda: made.store.log)
+                fleet.send(number, crash_fleet.CRASHING)
+                fleet.replace_crashed()
+                crash_fleet.wait_until(lambda: fleet.store.log)
                 gevent.sleep(0.05)
-                made.restart(number % 3)
-            made.wait_blocked(0, 1, 2)
-            assert made.ended() <= MOST_ENDED
+                fleet.restart(number % 3)
+            fleet.wait_blocked(0, 1, 2)
+            assert fleet.reached_count() <= MAX_CRASHED
 
 
-class TestCuts:
-    def test_daemons_tell_each_other_while_the_store_is_away(self):
-        """While the store was away, each daemon had to learn for itself.
+class TestStoreUnreachable:
+    def test_daemons_share_crash_records_without_the_store(self):
+        """While the store was unreachable, daemons shared no crash records.
 
-        Of nine daemons each would need three crashes. Here each sees one.
+        Each of nine daemons needed three crashes of its own to block the
+        request. Here each daemon detects only one.
         """
-        with site(daemons=5) as made:
-            made.wait_joined()
-            made.cut_from_store(0, 1, 2, 3, 4)
-            made.ask_in_turn(5, news=False)
-            made.wait_blocked(0, 1, 2, 3, 4)
-            before = made.ended()
-            assert set(made.ask_in_turn(10, news=False)) == {503}
-            assert made.ended() == before
+        with running_fleet(daemons=5) as fleet:
+            fleet.wait_joined()
+            fleet.cut_from_store(0, 1, 2, 3, 4)
+            fleet.send_in_turn(5, wait_known=False)
+            fleet.wait_blocked(0, 1, 2, 3, 4)
+            before = fleet.reached_count()
+            assert set(fleet.send_in_turn(10, wait_known=False)) == {503}
+            assert fleet.reached_count() == before
 
-    def test_what_was_learnt_then_is_kept_afterwards(self):
-        with site() as made:
-            made.wait_joined()
-            made.cut_from_store(0, 1, 2)
-            made.ask_in_turn(6, news=False)
-            made.wait_blocked(0, 1, 2)
-            made.cut_from_store()
-            crash_site.wait_until(made.is_block_written)
+    def test_block_is_written_when_the_store_is_back(self):
+        with running_fleet() as fleet:
+            fleet.wait_joined()
+            fleet.cut_from_store(0, 1, 2)
+            fleet.send_in_turn(6, wait_known=False)
+            fleet.wait_blocked(0, 1, 2)
+            fleet.cut_from_store()
+            crash_fleet.wait_until(fleet.is_block_written)
             for number in range(3):
-                made.restart(number)
-            made.wait_blocked(0, 1, 2)
-            before = made.ended()
-            assert set(made.ask_in_turn(3)) == {503}
-            assert made.ended() == before
+                fleet.restart(number)
+            fleet.wait_blocked(0, 1, 2)
+            before = fleet.reached_count()
+            assert set(fleet.send_in_turn(3)) == {503}
+            assert fleet.reached_count() == before
 
     @pytest.mark.parametrize("path", ["/a/x", "/a/y", "/a/z", "/a/w"])
-    def test_others_write_down_what_daemons_without_the_store_know(self, path):
-        """The store turned away those that had found out, and told all.
+    def test_records_of_cut_off_daemons_are_written_by_others(self, path):
+        """Daemons cut off from the store had the records, and shared them.
 
-        Daemons with the store left it to them to write it down. One that
-        started then read nothing of it, and ended replicas anew.
+        The daemons with access to the store did not write these records. A
+        daemon that started then read none, and replicas crashed again.
         """
-        with site(daemons=6) as made:
-            made.wait_joined()
-            made.cut_from_store(0, 1, 2, 3)
+        with running_fleet(daemons=6) as fleet:
+            fleet.wait_joined()
+            fleet.cut_from_store(0, 1, 2, 3)
             for number in range(6):
-                made.ask(number % 4, crash_site.CRASHING, path)
-                made.replace_ended()
-            made.wait_blocked(*range(6))
-            crash_site.wait_until(made.is_block_written)
-            made.restart(5)
-            made.wait_blocked(5)
+                fleet.send(number % 4, crash_fleet.CRASHING, path)
+                fleet.replace_crashed()
+            fleet.wait_blocked(*range(6))
+            crash_fleet.wait_until(fleet.is_block_written)
+            fleet.restart(5)
+            fleet.wait_blocked(5)
 
-    def test_daemon_that_the_store_turns_away_hears_of_it(self):
-        with site() as made:
-            made.cut_from_store(2)
+    def test_daemon_cut_off_from_the_store_gets_the_block(self):
+        with running_fleet() as fleet:
+            fleet.cut_from_store(2)
             for number in range(6):
-                made.ask(number % 2, crash_site.CRASHING)
-                made.replace_ended()
-            made.wait_blocked(0, 1)
-            made.cut_from_store()
-            made.wait_blocked(2)
+                fleet.send(number % 2, crash_fleet.CRASHING)
+                fleet.replace_crashed()
+            fleet.wait_blocked(0, 1)
+            fleet.cut_from_store()
+            fleet.wait_blocked(2)
 
 
-class TestBeside:
-    def test_requests_beside_it_are_not_blamed(self):
-        """Each crash ends a dozen other requests, and they come again too."""
-        with site(**KINDS["stream"]) as made:
+class TestNotBlocked:
+    def test_concurrent_requests_are_not_blocked(self):
+        """A crash ends a dozen other requests, which are repeated too."""
+        with running_fleet(**KINDS["stream"]) as fleet:
             for number in range(6):
-                asking = [
-                    gevent.spawn(made.ask, n, crash_site.SLOW, f"/a/{n}")
+                pending = [
+                    gevent.spawn(fleet.send, n, crash_fleet.SLOW, f"/a/{n}")
                     for n in range(8)
                 ]
-                crash_site.wait_until(
-                    lambda: sum(b == crash_site.SLOW for _, b in made.runs)
+                crash_fleet.wait_until(
+                    lambda: sum(b == crash_fleet.SLOW for _, b in fleet.runs)
                     >= 8 * (number + 1) - 7
                 )
-                made.ask(number, crash_site.CRASHING)
-                made.replace_ended()
-                gevent.killall(asking)
-            made.wait_blocked(0, 1, 2)
-            for daemon in made.daemons:
-                assert daemon._crashes.guard.blocked == 1
+                fleet.send(number, crash_fleet.CRASHING)
+                fleet.replace_crashed()
+                gevent.killall(pending)
+            fleet.wait_blocked(0, 1, 2)
+            for daemon in fleet.daemons:
+                assert daemon._crash_assembly.guard.blocked == 1
 
     def test_replicas_that_crash_by_themselves(self):
-        """Replicas crashed again and again, whatever they ran."""
-        with site() as made:
+        """Replicas crashed repeatedly, regardless of their requests."""
+        with running_fleet() as fleet:
             for number in range(8):
-                asking = gevent.spawn(made.ask, number, crash_site.SLOW)
-                crash_site.wait_until(lambda: len(made.runs) > number)
-                made.replicas[number % 4].crash()
-                made.replace_ended()
-                gevent.killall([asking])
-                made.ask(number, crash_site.SLOW + b"!")
-            assert not any(made.is_blocked(n) for n in range(3))
+                pending = gevent.spawn(fleet.send, number, crash_fleet.SLOW)
+                crash_fleet.wait_until(lambda: len(fleet.runs) > number)
+                fleet.replicas[number % 4].crash()
+                fleet.replace_crashed()
+                gevent.killall([pending])
+                fleet.send(number, crash_fleet.SLOW + b"!")
+            assert not any(fleet.is_blocked(n) for n in range(3))
 
-    def test_connections_that_break_are_no_crashes(self):
-        """Replicas cut off answers and lived on."""
-        with site(**KINDS["stream"]) as made:
+    def test_broken_connections_are_no_crashes(self):
+        """Replicas closed connections mid-answer and continued to run."""
+        with running_fleet(**KINDS["stream"]) as fleet:
             for number in range(6):
-                asking = gevent.spawn(made.ask, number, crash_site.SLOW)
-                crash_site.wait_until(lambda: len(made.runs) > number)
-                for replica in made.replicas:
-                    replica.cut_off()
-                asking.join(5)
-                crash_site.wait_until(made.is_checked)
-            assert not any(made.is_blocked(n) for n in range(3))
-            assert not made.store._held("crashes")
+                pending = gevent.spawn(fleet.send, number, crash_fleet.SLOW)
+                crash_fleet.wait_until(lambda: len(fleet.runs) > number)
+                for replica in fleet.replicas:
+                    replica.close_connections()
+                pending.join(5)
+                crash_fleet.wait_until(fleet.is_checked)
+            assert not any(fleet.is_blocked(n) for n in range(3))
+            assert not fleet.store._current_rows("crashes")
 
-    def test_planned_end_is_no_crash(self):
-        """Replicas that leave cut off what still runs when they go."""
-        with site(**KINDS["stream"]) as made:
+    def test_planned_exit_is_no_crash(self):
+        """A leaving replica ends its remaining requests when it exits."""
+        with running_fleet(**KINDS["stream"]) as fleet:
             for number in range(4):
-                asking = gevent.spawn(made.ask, number, crash_site.SLOW)
-                crash_site.wait_until(lambda: len(made.runs) > number)
-                leaving = made.replicas
+                pending = gevent.spawn(fleet.send, number, crash_fleet.SLOW)
+                crash_fleet.wait_until(lambda: len(fleet.runs) > number)
+                leaving = fleet.replicas
                 for replica in leaving:
                     replica.leave()
-                made.list()
+                fleet.list_replicas()
                 for replica in leaving:
                     replica.crash()
-                asking.join(5)
-                made.replace_ended()
-            assert not made.store._held("crashes")
+                pending.join(5)
+                fleet.replace_crashed()
+            assert not fleet.store._current_rows("crashes")
