--- a/src/topazlug/callers/_caller_head.py
+++ b/src/topazlug/callers/_caller_head.py
@@ -67,8 +67,8 @@
     Raises
     ------
     BadHeader
-        A field is malformed, too long or must not be repeated, or the length
-        of the body is ambiguous.
+        A field is malformed, too long or repeated although it may occur only
+        once, or the length of the body is ambiguous.
     """
     lines: list[bytes] = []
     values_by_name: dict[bytes, list[bytes]] = {}
--- a/src/topazlug/callers/_caller_watch.py
+++ b/src/topazlug/callers/_caller_watch.py
@@ -19,7 +19,10 @@
 
 
 class CallerLeft(_errors.TopazlugError):
-    """The caller disconnected before its answer began."""
+    """The caller disconnected before its answer began.
+
+    Nobody receives this error.
+    """
 
 
 @contextlib.contextmanager
--- a/src/topazlug/forwarding/_crash_assembly.py
+++ b/src/topazlug/forwarding/_crash_assembly.py
@@ -19,11 +19,12 @@
 from topazlug.targets import _targets
 
 TABLE = _crash_records.TABLE
-# Rows are few and are written together. A daemon that reads them late may lose
-# one more replica: a caller that repeats at once does so within 0.1 s. While
-# the store is unavailable, daemons send each other the records, so its return
-# need not be detected at once. With the pauses of other tables, a day with a
-# store outage of 10 s cost 470 of 1,577 calls (nine daemons).
+# The table has few rows, which are written together. A daemon that reads them
+# late may lose one more replica, because a caller may repeat its request after
+# 0.1 s. While the store is unavailable, daemons send the records to each
+# other, so the store's return need not be detected at once. With the pace of
+# the other tables, a day with a store outage of 10 s cost 470 of 1,577 calls
+# (nine daemons).
 PACE = _table_feed.Pace(min_interval=0.05, max_pause=1.0)
 
 
--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -25,9 +25,9 @@
 from topazlug.targets import _target_client
 
 _log = _logs.logger("forwarding")
-# A resumable stream is resumed at another replica after it has been silent for
-# this many of its route's maximum pauses. Callers give up after eight
-# pauses, or after two seconds.
+# Timeout for the next data of a resumable stream, in multiples of its route's
+# maximum pause. After it the stream is resumed at another replica. Callers
+# give up after eight pauses, or after two seconds.
 _SILENCE_TIMEOUT_PAUSES = 5.0
 
 
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -17,13 +17,13 @@
 from topazlug.targets import _targets
 
 
-class UnreachedCallback(Protocol):
+class ConnectionFailureCallback(Protocol):
     """Handles a failed connection to a replica."""
 
     def __call__(
         self, placement: _placement.Placement, *, timed_out: bool
     ) -> None:
-        """Handle it; `is_silent` tells whether the connection timed out."""
+        """Handle it; `timed_out` is false if it was refused."""
 
 
 @final
@@ -63,10 +63,10 @@
         Locates the replicas that hold the context of a prompt.
     wire : ReplicaWire
         Encodes requests for replicas and decodes their answers.
-    note_unreached : callable
+    on_connection_failure : callable
         Called when the connection to a replica failed, with the placement
         and whether the connection timed out instead of being refused.
-    note_head : callable
+    on_answer_head : callable
         Called when the head of an answer reports the replica's load, with
         the placement, the numbers of running and waiting requests, and the
         seconds from sending the request to that head.
@@ -84,14 +84,16 @@
         views: _replica_view.ReplicaViews,
         contexts: _context_locator.ContextLocator,
         wire: _wire.ReplicaWire,
-        note_unreached: UnreachedCallback,
-        note_head: Callable[[_placement.Placement, int, int, float], None],
+        on_connection_failure: ConnectionFailureCallback,
+        on_answer_head: Callable[
+            [_placement.Placement, int, int, float], None
+        ],
         clock: _clock.Clock,
         disabled: _mechanisms.DisabledMechanisms = _mechanisms.NONE_DISABLED,
     ) -> None:
         self._copies_contexts = _mechanisms.Mechanism.COPIES not in disabled
-        self._note_unreached = note_unreached
-        self._note_head = note_head
+        self._on_connection_failure = on_connection_failure
+        self._on_answer_head = on_answer_head
         self._connections = connections
         self._targets = targets
         self._views = views
@@ -129,7 +131,7 @@
             )
         except _target_client.ConnectFailed as error:
             view.record_outcome(failed=True)
-            self._note_unreached(placement, timed_out=error.is_timeout)
+            self._on_connection_failure(placement, timed_out=error.is_timeout)
             raise
         except _errors.RequestError:
             view.record_outcome(failed=True)
@@ -190,6 +192,8 @@
         load = self._wire.load(answer)
         if load is not None:
             view.record_report(load.running + load.waiting)
-            self._note_head(placement, load.running, load.waiting, seconds)
+            self._on_answer_head(
+                placement, load.running, load.waiting, seconds
+            )
         if call.route.has_context:
             self._contexts.record_read(call.chat, placement.target)
--- a/src/topazlug/forwarding/_forwarder_assembly.py
+++ b/src/topazlug/forwarding/_forwarder_assembly.py
@@ -90,8 +90,8 @@
             views=self.views,
             contexts=self.contexts,
             wire=self.wire,
-            note_unreached=self.admission.handle_connection_failure,
-            note_head=self.admission.handle_response_head,
+            on_connection_failure=self.admission.handle_connection_failure,
+            on_answer_head=self.admission.handle_response_head,
             disabled=self.disabled,
             clock=self.clock,
         )
--- a/src/topazlug/forwarding/_table.py
+++ b/src/topazlug/forwarding/_table.py
@@ -51,9 +51,9 @@
     timeout : float
         Maximum seconds that a caller waits.
     latency_objective : float
-        Seconds until the first byte within which an answer is on time.
+        Maximum seconds until the first byte of an answer that is on time.
     max_pause : float
-        Seconds between two events within which a stream is on time.
+        Maximum seconds between two events of a stream that is on time.
     priority : int
         Priority of its requests, 0 first.
     shares : tuple of ServiceShare
@@ -192,7 +192,9 @@
         raise _errors.UnknownPath(f"no route for {path[:80]!r} on {name!r}")
 
     def find_team(self, route: Route, key: str | None) -> Team | None:
-        """Return the team of an API key, None if the request needs no key.
+        """Return the team of an API key.
+
+        None if no key is required and this one is missing or unknown.
 
         Raises
         ------
--- a/src/topazlug/forwarding/_wire.py
+++ b/src/topazlug/forwarding/_wire.py
@@ -79,9 +79,10 @@
     team : TeamName or None
         Team of the caller.
     is_generation : bool
-        Whether the replica generates from a prompt.
+        Whether the request generates text from a prompt.
     priority : int
-        Rank among requests of a generating replica, 0 first, 9 last.
+        Rank among the replica's requests, 0 first, 9 last; for generation
+        only.
     resume_after : int or None
         Number of the event after which the stream continues.
     context_source : Target or None
