--- a/src/topazlug/forwarding/_app.py
+++ b/src/topazlug/forwarding/_app.py
@@ -195,6 +195,9 @@
         try:
             answer = self._forwarder.serve(call)
         except _errors.RequestError as error:
+            # The caller is asked to retry early enough to get the answer
+            # before its deadline, but not while a retry would certainly be
+            # rejected.
             if error.retry_after is not None:
                 remaining_seconds = call.deadline - self._clock.monotonic()
                 max_retry_after = max(
--- a/src/topazlug/forwarding/_blocked_requests.py
+++ b/src/topazlug/forwarding/_blocked_requests.py
@@ -8,7 +8,7 @@
 from topazlug.fleet import _table_source
 
 
-def blocked(
+def blocks_in_force(
     store: _table_source.TableSource, *, clock: _clock.Clock
 ) -> list[_crash_records.Block]:
     """Return the blocks in force, oldest first.
@@ -47,7 +47,7 @@
     StoreUnavailable
         The table could not be read or written.
     """
-    for block in blocked(store, clock=clock):
+    for block in blocks_in_force(store, clock=clock):
         if block.fingerprint == fingerprint:
             record = _crash_records.released_block(block, now=clock.now())
             row = _table_source.Row(
--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -204,7 +204,10 @@
         return b""
 
     def body_pieces(self, first_events: bytes) -> Iterator[bytes]:
-        """Yield the body sent to the caller; an exception cuts it off."""
+        """Yield the body sent to the caller; an exception cuts it off.
+
+        The first piece is empty, as `_caller_answer.prime` requires.
+        """
         watch = _caller_watch.CallerWatch(
             self._call.socket, on_disconnect=self._on_disconnect
         )
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -174,7 +174,7 @@
             attempt=f"{call.head.attempt} {call.started_at}",
             # The replica may close an idle connection at the moment a request
             # is sent on it. Whether the request ran is then unknown, and one
-            # that may run only once is lost.
+            # that may run only once is lost, so it gets a new connection.
             fresh=not call.route.repeatable,
         )
 
--- a/tests/topazlug/callers/test_callers.py
+++ b/tests/topazlug/callers/test_callers.py
@@ -13,8 +13,8 @@
 from tests.topazlug import routing_fixtures as fixtures
 from tests.topazlug import wire_fixtures
 
-MODELS = wire_fixtures.raw_request("GET", "/v1/models")
-LETTERS = "/v1/services/letters/x"
+MODELS_REQUEST = wire_fixtures.raw_request("GET", "/v1/models")
+SERVICE_PATH = "/v1/services/letters/x"
 
 
 @pytest.fixture(scope="module")
@@ -120,10 +120,11 @@
         assert is_healthy(rig)
 
     def test_unread_body_holds_no_connection(self, rig):
-        """Callers without a key could use up all connections.
+        """Otherwise callers without a key could use up all connections.
 
-        They announce a long body and send it slowly. After the rejection
-        the rest of the body was still read, without a time limit.
+        A caller announces a long body and sends it slowly. After rejecting
+        the request the daemon used to read the rest of the body without a
+        time limit.
         """
         head = wire_fixtures.raw_request(
             "POST",
@@ -169,7 +170,7 @@
             (post(rig, chat(), key="tzk_narrow"), "model_not_found"),
             (post(rig, chat(model="none")), "model_not_found"),
             (
-                post(rig, b"", path=LETTERS, key="tzk_narrow"),
+                post(rig, b"", path=SERVICE_PATH, key="tzk_narrow"),
                 "service_not_found",
             ),
         ]:
@@ -192,7 +193,7 @@
 
     def test_too_long_idempotency_key(self, rig):
         headers = [("Idempotency-Key", "k" * 257)]
-        answer = post(rig, b"", path=LETTERS, headers=headers)
+        answer = post(rig, b"", path=SERVICE_PATH, headers=headers)
         assert (answer.status, answer.code) == (400, "invalid_header")
 
 
@@ -200,7 +201,7 @@
 
 
 def framed(*fields, body=SMUGGLED, version="HTTP/1.1"):
-    lines = [f"POST {LETTERS} {version}", "Host: x"]
+    lines = [f"POST {SERVICE_PATH} {version}", "Host: x"]
     lines.append(f"Authorization: Bearer {fixtures.KEY}")
     head = "\r\n".join([*lines, *fields, "", ""])
     return head.encode("latin-1") + body
@@ -248,7 +249,9 @@
     )
     def test_ambiguous_head_is_rejected(self, rig, fields):
         before = len(rig.services["s1"].journal)
-        status, code = rejection(send_raw(rig, framed(*fields) + MODELS))
+        status, code = rejection(
+            send_raw(rig, framed(*fields) + MODELS_REQUEST)
+        )
         assert (status, code) == (400, "invalid_header")
         assert len(rig.services["s1"].journal) == before
 
@@ -303,7 +306,7 @@
         )
         with rig.connect() as sock:
             sock.sendall(
-                body + MODELS + framed("Content-Length: 2", body=b"xy")
+                body + MODELS_REQUEST + framed("Content-Length: 2", body=b"xy")
             )
             data = b""
             while data.count(b"HTTP/1.1 200") < 3:
@@ -331,7 +334,7 @@
     def test_answers_close_their_connection(self):
         rig = fixtures.Rig()
         rig.server.stopping = True
-        data = send_raw(rig, MODELS)
+        data = send_raw(rig, MODELS_REQUEST)
         rig.stop()
         assert b"Connection: close" in data
         assert b"standin" in data
@@ -355,14 +358,14 @@
         b"\xff\r",
     ]
 )
-RAW = strategies.lists(
+RAW_BYTES = strategies.lists(
     strategies.one_of(PIECES, strategies.binary(max_size=20)), max_size=12
 ).map(b"".join)
 
 
 class TestAnyBytes:
     @settings(max_examples=150)
-    @given(data=RAW)
+    @given(data=RAW_BYTES)
     @example(data=b"")
     def test_listener_stays_healthy(self, rig, data):
         """The daemon must not fail or answer 500, whatever bytes it gets.
--- a/tests/topazlug/forwarding/test_blocked_requests.py
+++ b/tests/topazlug/forwarding/test_blocked_requests.py
@@ -33,7 +33,7 @@
 
 
 def blocked_fingerprints(store, clock):
-    blocks = _blocked_requests.blocked(store, clock=clock)
+    blocks = _blocked_requests.blocks_in_force(store, clock=clock)
     return [block.fingerprint for block in blocks]
 
 
--- a/tests/topazlug/forwarding/test_table.py
+++ b/tests/topazlug/forwarding/test_table.py
@@ -57,10 +57,10 @@
 
 class TestHolder:
     def test_older_version_is_ignored(self):
-        """A removed key would become valid again.
+        """Otherwise a removed key would become valid again.
 
-        Version 7 is in force, and after an outage the store briefly returns
-        version 5, which was applied without comparing versions.
+        After an outage the store briefly returned version 5 while version 7
+        was in force, and version 5 was applied.
         """
         holder = _table.TableHolder()
         assert holder.update(fixtures.table(version=7))
--- a/tests/topazlug/wire_fixtures.py
+++ b/tests/topazlug/wire_fixtures.py
@@ -93,7 +93,7 @@
 
     @property
     def code(self) -> str:
-        """Return the error code, also that in a stream's last event."""
+        """Return the error code of the body or of a stream's last event."""
         text = self.body
         if text.startswith((b"data: ", b"id: ")):
             last = text.strip().rpartition(b"\n\n")[2]
@@ -105,12 +105,12 @@
 
     @property
     def outcome(self) -> str:
-        """Return the outcome of the request that the headers state."""
+        """Return the request's outcome as stated in the headers."""
         return self.headers.get("topazlug-outcome", "")
 
     @property
     def done(self) -> bool:
-        """Whether a stream ends with its closing event."""
+        """Return whether a stream ends with its closing event."""
         return self.body.endswith(b"data: [DONE]\n\n")
 
     @property
@@ -129,7 +129,7 @@
 
 
 def read_answer(sock: Any, *, method: str = "GET") -> Answer:
-    """Return one answer, as far as it was received if it was cut off."""
+    """Return one answer, or what was received of it before it was cut off."""
     buffer = _Buffer(sock)
     head = buffer.until(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
