--- a/src/topazlug/forwarding/_app.py
+++ b/src/topazlug/forwarding/_app.py
@@ -54,7 +54,7 @@
         Holds the routing table in force.
     table_age : callable
         Returns the seconds since the store last confirmed the tables.
-    wire : CallerWire
+    decoder : CallerHeaderDecoder
         Decodes the heads of callers' requests.
     gate : StartupGate
         Delays requests while the daemon starts.
@@ -75,7 +75,7 @@
         forwarder: _forwarder.Forwarder,
         tables: _table.TableHolder,
         table_age: Callable[[], float],
-        wire: _wire.CallerWire,
+        decoder: _wire.CallerHeaderDecoder,
         gate: _startup_gate.StartupGate,
         call_metrics: _call_metrics.CallMetrics,
         clock: _clock.Clock,
@@ -84,7 +84,7 @@
         self._forwarder = forwarder
         self._tables = tables
         self._table_age = table_age
-        self._wire = wire
+        self._decoder = decoder
         self._call_metrics = call_metrics
         self._clock = clock
         self.in_progress = 0
@@ -112,7 +112,7 @@
         # A failure before the key is checked is counted for no team.
         team = _metrics.NO_TEAM
         try:
-            head = self._wire.decode(environ[_caller_request.FIELDS])
+            head = self._decoder.decode(environ[_caller_request.FIELDS])
             attempt = head.attempt
             with _logs.request_fields(request_id=attempt):
                 call = self._read_call(environ, head, started_at)
--- a/src/topazlug/forwarding/_daemon.py
+++ b/src/topazlug/forwarding/_daemon.py
@@ -65,9 +65,9 @@
     ----------
     options : _options.ForwardingOptions
         Options read at its start.
-    caller_wire : CallerWire
+    caller_decoder : CallerHeaderDecoder
         Decodes the heads of callers' requests.
-    replica_wire : ReplicaWire
+    replica_codec : ReplicaHeaderCodec
         Encodes requests for replicas and decodes their answers.
     new_store : callable
         Returns a new client of the platform's store with connections of its
@@ -87,8 +87,8 @@
         self,
         *,
         options: _options.ForwardingOptions,
-        caller_wire: _wire.CallerWire,
-        replica_wire: _wire.ReplicaWire,
+        caller_decoder: _wire.CallerHeaderDecoder,
+        replica_codec: _wire.ReplicaHeaderCodec,
         new_store: Callable[[], _table_source.TableStore],
         clock: _clock.Clock,
     ) -> None:
@@ -148,7 +148,7 @@
         self._connections = _target_client.TargetConnections(
             connect_timeout=_CONNECT_TIMEOUT_SECONDS,
             clock=clock,
-            wire=replica_wire,
+            wire=replica_codec,
             idle_per_target=_MAX_IDLE_CONNECTIONS_PER_REPLICA,
             handle_report=self.targets.handle_report,
         )
@@ -177,14 +177,14 @@
             call_metrics=self._call_metrics,
             targets=self.targets,
             views=self.views,
-            wire=replica_wire,
+            codec=replica_codec,
             disabled=options.disabled,
         )
         self._app = _app.ForwardingApp(
             forwarder=forwarder_assembly.build(),
             tables=self.tables,
             table_age=lambda: self._fleet.table_age,
-            wire=caller_wire,
+            decoder=caller_decoder,
             gate=self._gate,
             call_metrics=self._call_metrics,
             clock=clock,
--- a/src/topazlug/forwarding/_exchange.py
+++ b/src/topazlug/forwarding/_exchange.py
@@ -61,7 +61,7 @@
         Receives load, latency and outcomes.
     contexts : ContextLocator
         Locates the replicas that hold the context of a prompt.
-    wire : ReplicaWire
+    codec : ReplicaHeaderCodec
         Encodes requests for replicas and decodes their answers.
     on_connection_failure : callable
         Called when the connection to a replica failed, with the placement
@@ -83,7 +83,7 @@
         targets: _targets.TargetDirectory,
         views: _replica_view.ReplicaViews,
         contexts: _context_locator.ContextLocator,
-        wire: _wire.ReplicaWire,
+        codec: _wire.ReplicaHeaderCodec,
         on_connection_failure: ConnectionFailureCallback,
         on_answer_head: Callable[
             [_placement.Placement, int, int, float], None
@@ -98,7 +98,7 @@
         self._targets = targets
         self._views = views
         self._contexts = contexts
-        self._wire = wire
+        self._codec = codec
         self._clock = clock
 
     def send(
@@ -137,7 +137,7 @@
             view.record_outcome(failed=True)
             raise
         self._record_answer(call, placement, answer, sent_at)
-        if self._wire.verdict(answer) is _wire.AnswerVerdict.NOT_GENUINE:
+        if self._codec.verdict(answer) is _wire.AnswerVerdict.NOT_GENUINE:
             answer.close()
             view.record_outcome(failed=True)
             raise _errors.TargetFailed(
@@ -167,7 +167,7 @@
         return _target_client.TargetRequest(
             method=call.method,
             path=call.target,
-            headers=self._wire.encode(call.head, metadata),
+            headers=self._codec.encode(call.head, metadata),
             body=call.body,
             request_id=call.head.attempt,
             fingerprint=call.fingerprint,
@@ -189,7 +189,7 @@
         seconds = self._clock.monotonic() - sent_at
         view.record_latency(seconds)
         self._targets.reachability.record_answer(placement.target)
-        load = self._wire.load(answer)
+        load = self._codec.load(answer)
         if load is not None:
             view.record_report(load.running + load.waiting)
             self._on_answer_head(
--- a/src/topazlug/forwarding/_forwarder_assembly.py
+++ b/src/topazlug/forwarding/_forwarder_assembly.py
@@ -49,7 +49,7 @@
         Known replicas.
     views : ReplicaViews
         Load, latency and outcomes of replicas.
-    wire : ReplicaWire
+    codec : ReplicaHeaderCodec
         Encodes requests for replicas and decodes their answers.
     disabled : frozenset of Mechanism
         Mechanisms that are switched off.
@@ -64,7 +64,7 @@
     call_metrics: _call_metrics.CallMetrics
     targets: _targets.TargetDirectory
     views: _replica_view.ReplicaViews
-    wire: _wire.ReplicaWire
+    codec: _wire.ReplicaHeaderCodec
     disabled: _mechanisms.DisabledMechanisms
 
     def build(self) -> _forwarder.Forwarder:
@@ -89,7 +89,7 @@
             targets=self.targets,
             views=self.views,
             contexts=self.contexts,
-            wire=self.wire,
+            codec=self.codec,
             on_connection_failure=self.admission.handle_connection_failure,
             on_answer_head=self.admission.handle_response_head,
             disabled=self.disabled,
--- a/src/topazlug/forwarding/_wire.py
+++ b/src/topazlug/forwarding/_wire.py
@@ -58,7 +58,7 @@
     fields: tuple[Field, ...]
 
 
-class CallerWire(Protocol):
+class CallerHeaderDecoder(Protocol):
     """Decodes the head of a caller's request."""
 
     def decode(self, fields: Sequence[Field]) -> CallHead:
@@ -114,7 +114,7 @@
     slots: int
 
 
-class ReplicaWire(_target_wire.TargetWire, Protocol):
+class ReplicaHeaderCodec(_target_wire.TargetWire, Protocol):
     """Encodes requests for replicas and decodes their answers."""
 
     def encode(self, head: CallHead, metadata: AttemptMetadata) -> list[Field]:
--- a/tests/topazlug_platform/crash_fleet.py
+++ b/tests/topazlug_platform/crash_fleet.py
@@ -145,8 +145,8 @@
                     host="127.0.0.1", port=self._peers[number]
                 ),
             ),
-            caller_wire=headers.ClientHeaders(),
-            replica_wire=headers.ReplicaHeaders(),
+            caller_decoder=headers.ClientHeaders(),
+            replica_codec=headers.ReplicaHeaders(),
             new_store=lambda: self.store_views[number],
             clock=_clock.SystemClock(),
         )
--- a/tests/topazlug_platform/platform_rig.py
+++ b/tests/topazlug_platform/platform_rig.py
@@ -90,8 +90,8 @@
         self._servers = []
         self.daemon = _daemon.ForwardingDaemon(
             options=options(),
-            caller_wire=headers.ClientHeaders(),
-            replica_wire=headers.ReplicaHeaders(),
+            caller_decoder=headers.ClientHeaders(),
+            replica_codec=headers.ReplicaHeaders(),
             new_store=store_fakes.FakeTables,
             clock=_clock.SystemClock(),
         )
