--- a/src/topazlug/forwarding/_event_relay.py
+++ b/src/topazlug/forwarding/_event_relay.py
@@ -25,9 +25,9 @@
 from topazlug.targets import _target_client
 
 _log = _logs.logger("forwarding")
-# A resumable stream is resumed at another replica after it has been silent for
-# this many of its route's maximum pauses. Callers give up after eight
-# pauses, or after two seconds.
+# Timeout for the next data of a resumable stream, in multiples of its route's
+# maximum pause. After it the stream is resumed at another replica. Callers
+# give up after eight pauses, or after two seconds.
 _SILENCE_TIMEOUT_PAUSES = 5.0
 
 
@@ -204,7 +204,10 @@
         return b""
 
     def body_pieces(self, first_events: bytes) -> Iterator[bytes]:
-        """Yield the body sent to the caller; an exception cuts it off."""
+        """Yield the body sent to the caller; an exception cuts it off.
+
+        The first piece is empty, as `_caller_answer.prime` requires.
+        """
         watch = _caller_watch.CallerWatch(
             self._call.socket, on_disconnect=self._on_disconnect
         )
