--- a/src/topazlug/configuration/_configuration_follower.py
+++ b/src/topazlug/configuration/_configuration_follower.py
@@ -99,8 +99,8 @@
     Attributes
     ----------
     stale_count : int
-        Answers of the store that were older than the revision in force, or
-        lacked history that the store had announced.
+        Answers of the store that were out of date: the revision was older
+        than the one in force, or history up to it was missing.
     failure_count : int
         Polls that failed.
     """
--- a/src/topazlug/configuration/_rules.py
+++ b/src/topazlug/configuration/_rules.py
@@ -43,7 +43,7 @@
         return self._routing.bound
 
     def allowance_of(self, group: _ids.GroupName) -> int:
-        """Return the load units allowed beyond the bound, which are 0."""
+        """Return the load units allowed beyond the bound; always 0."""
         return 0
 
     def slots_of(self, group: _ids.GroupName) -> int:
--- a/src/topazlug/configuration/_table_difference.py
+++ b/src/topazlug/configuration/_table_difference.py
@@ -16,7 +16,8 @@
 from topazlug.configuration import _table_snapshot
 
 _TABLES = _table_snapshot.TableName
-# Rows are added before the rows that reference them, and removed after them.
+# Referenced rows are added before the rows that reference them. Removals go
+# in the reverse order.
 PUT_ORDER = (
     _TABLES.POOLS,
     _TABLES.SERVICES,
--- a/src/topazlug/configuration/_table_draft.py
+++ b/src/topazlug/configuration/_table_draft.py
@@ -115,9 +115,9 @@
 def _index_team(row: table.TeamRow, draft: TableDraft) -> None:
     team_by_key_hash = draft.writable_map("team_by_key_hash")
     for key in row.keys:
-        # If a team with another team's key took it over, the other team's
-        # requests would be counted as its own. The first team keeps the key,
-        # and the checks reject the second team's row.
+        # Two teams may list the same key. If the second took it over, the
+        # first team's requests would be counted for the second. The first
+        # team keeps the key, and the checks reject the second team's row.
         if team_by_key_hash.get(key.hash) is None:
             team_by_key_hash.put(key.hash, row)
 
--- a/src/topazlug/configuration/_table_edits.py
+++ b/src/topazlug/configuration/_table_edits.py
@@ -236,7 +236,10 @@
         )
 
     def _newest_meta(self) -> _table_storage.Meta | None:
-        """Read the state and catch up; None if it changes meanwhile."""
+        """Read the table's state and catch up with it.
+
+        Return None if the table changes in the meantime.
+        """
         meta = _table_storage.read_meta(self._store)
         if meta.revision > self._holder.revision:
             self._publisher.catch_up()
--- a/src/topazlug/peers/_peers.py
+++ b/src/topazlug/peers/_peers.py
@@ -48,7 +48,7 @@
 
 
 class Address(NamedTuple):
-    """A TCP address by IP number."""
+    """An IP address and a TCP port."""
 
     host: str
     port: int
