--- a/src/topazlug/_daemon.py
+++ b/src/topazlug/_daemon.py
@@ -292,7 +292,10 @@
             self.callers.do_handle(*accepted)
 
     def _wait_for_requests(self) -> None:
-        """Wait until no request has been in progress for a moment."""
+        """Wait until no request has run for `_IDLE_SECONDS`.
+
+        The wait ends after the ``stop_grace`` setting in any case.
+        """
         deadline = self.clock.monotonic() + self.settings.limits.stop_grace
         idle_since: float | None = None
         while self.clock.monotonic() < deadline:
--- a/src/topazlug/_daemon_command.py
+++ b/src/topazlug/_daemon_command.py
@@ -3,8 +3,8 @@
 import gevent
 from gevent import monkey
 
-# io_uring must not be used, and gevent's event loop would use it if an
-# environment variable requests it.
+# The requirements of this project forbid io_uring, and gevent's event loop
+# would use it if an environment variable requested it.
 gevent.config.loop = "libev-cext"
 gevent.config.libev_backend = "epoll"
 monkey.patch_all()
--- a/src/topazlug/_fleet_assembly.py
+++ b/src/topazlug/_fleet_assembly.py
@@ -62,7 +62,7 @@
         )
 
     def new_store(self) -> _table_client.TableClient:
-        """Return a new client of the table service with own connections."""
+        """Return a table client that has connections of its own."""
         platform = self._settings.platform
         return _table_client.TableClient(
             host=platform.tables.host,
@@ -111,8 +111,9 @@
 
     def _list_interval(self) -> float:
         platform = self._settings.platform
-        shared = len(self.membership.usable())
-        shared_interval = shared / platform.instances_reads_per_second
+        # All daemons together read the list at one fixed rate.
+        daemons = len(self.membership.usable())
+        shared_interval = daemons / platform.instances_reads_per_second
         return max(platform.instances_interval, shared_interval)
 
     def _own_instance(self) -> _instances.Instance:
@@ -149,7 +150,7 @@
         return len(usable) / max(1, len(usable) + len(unreachable))
 
     def start(self) -> None:
-        """Register, and start to follow the list, members and the table."""
+        """Register this daemon, and start to follow peers and the table."""
         self.instances.register(self._own_instance())
         self.instances.start()
         self.membership.start()
--- a/src/topazlug/_log_output.py
+++ b/src/topazlug/_log_output.py
@@ -20,8 +20,8 @@
 # writes about 40 lines and 16 KB per second.
 _LINES_PER_SECOND = 400.0
 _BYTES_PER_SECOND = 200_000.0
-# The burst is the output allowed in this time. Important lines may use all of
-# it, common lines only half.
+# A burst may be as large as the output of this many seconds at the maximum
+# rates. Important lines may use all of it, common lines only half.
 _BURST_SECONDS = 2.0
 _COMMON_FRACTION = 0.5
 _MAX_PENDING_BYTES = 1_000_000
--- a/src/topazlug/_logs.py
+++ b/src/topazlug/_logs.py
@@ -146,8 +146,8 @@
         The active handler; ``pop_application`` removes it.
     """
     level = logbook.lookup_level(log_settings.level.value.upper())
-    # With the level set on the loggers, not only on the handler, no record is
-    # created for a line below it.
+    # The level is set on the loggers too, not only on the handler, so that no
+    # record is created for a line that would not be shown.
     _GROUP.level = level
     handler: logbook.Handler = (
         logbook.StreamHandler(stream or sys.stderr, level=level)
--- a/src/topazlug/administration/_administration.py
+++ b/src/topazlug/administration/_administration.py
@@ -44,7 +44,7 @@
         The table in force, with the rows of operators.
     bootstrap_token_hash : str
         SHA-256 of a token that has the role admin while the table has no
-        operator; empty for none.
+        operator; empty if there is no such token.
     """
 
     def __init__(
--- a/src/topazlug/administration/_administration_status.py
+++ b/src/topazlug/administration/_administration_status.py
@@ -13,7 +13,7 @@
 
 @final
 class DaemonStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One daemon as known to this one; revision -1 if unknown."""
+    """One daemon as known to the answering one; revision -1 if unknown."""
 
     id: str
     zone: str = ""
--- a/src/topazlug/cli/_documents.py
+++ b/src/topazlug/cli/_documents.py
@@ -1,7 +1,8 @@
 """Formats and parses the whole table as YAML and as CSV.
 
-In CSV, each line is a row of the table that the first column names. A cell is
-empty if that table has no such column, or for the column's default.
+In CSV, each line is a row of the table that the first column names. An empty
+cell means that the table has no such column, or that the column has its
+default value.
 """
 
 import csv
@@ -28,7 +29,10 @@
 
 
 def choose_format(path: str, given: str | None) -> DocumentFormat:
-    """Return the given format, or else CSV for ``.csv`` files or YAML."""
+    """Return the given format, or choose one by the file's name.
+
+    Files named ``.csv`` are CSV, all others YAML.
+    """
     if given is not None:
         return DocumentFormat(given)
     is_csv = pathlib.PurePath(path).suffix.lower() == ".csv"
--- a/src/topazlug/cli/_request_logs.py
+++ b/src/topazlug/cli/_request_logs.py
@@ -60,7 +60,7 @@
 
 
 def _stale_inputs(record: dict[str, Any]) -> str:
-    """Return a text on a decision's outdated input, empty without one."""
+    """Describe the outdated input of a decision; empty if there is none."""
     age = record.get("report_age")
     if isinstance(age, (int, float)) and age > _STALE_REPORT_SECONDS:
         return f"load report {age:.1f} s old"
--- a/src/topazlug/cli/_rows.py
+++ b/src/topazlug/cli/_rows.py
@@ -29,7 +29,10 @@
 def read_row(
     context: _context.CommandContext, name: _TABLES, row_name: str
 ) -> dict[str, Any]:
-    """Read a row and its ETag, up to date if the store answers."""
+    """Read a row and its ETag.
+
+    The daemon first catches up with the store, if the store answers.
+    """
     answer: dict[str, Any] = context.client.get(
         _client.api_path(name.value, row_name), fresh="true"
     )
--- a/src/topazlug/configuration/_table_checks.py
+++ b/src/topazlug/configuration/_table_checks.py
@@ -128,7 +128,7 @@
 def _check_row(
     row: _table_snapshot.Row, after: _table_snapshot.TableSnapshot
 ) -> Iterator[Finding]:
-    """Check one row against the others; the default covers drains."""
+    """Check one row against the others; drains need no such check."""
     yield from ()
 
 
--- a/src/topazlug/peers/_peer_codec.py
+++ b/src/topazlug/peers/_peer_codec.py
@@ -8,8 +8,8 @@
 ignored, so that daemons of two versions can communicate. A message with an
 unknown value of an enumeration is invalid.
 
-Bodies are decoded directly into their types, and fields that the types don't
-define are skipped. A frame therefore can't make the receiver allocate a
+Bodies are decoded directly into their types, and data that the types don't
+define is skipped. A frame therefore can't make the receiver allocate a
 multiple of the frame's size, except through a map with arbitrary keys.
 """
 
--- a/src/topazlug/store/_table_client.py
+++ b/src/topazlug/store/_table_client.py
@@ -264,8 +264,9 @@
 
 
 # An intermediary may answer 200 or 409 with a page of its own. If that were
-# taken for the service's answer, a write that never happened would be assumed,
-# and a request would run twice or never. Callers read an ambiguous write back.
+# taken for the service's answer, a write that never happened would count as
+# successful, and a request would run twice or never. After an ambiguous write,
+# callers read the row to find out whether it was written.
 def _decode_write(answer: _platform_http.PlatformAnswer, kind: type[_T]) -> _T:
     try:
         return msgspec.json.decode(answer.body, type=kind)
--- a/src/topazlug/telemetry/_batches.py
+++ b/src/topazlug/telemetry/_batches.py
@@ -44,7 +44,7 @@
 
 
 def split(items: Collection[_Item]) -> Iterator[Sequence[_Item]]:
-    """Split a collection into batches, without items added meanwhile."""
+    """Split a collection into batches; items added later are left out."""
     snapshot = list(items)
     for start in range(0, len(snapshot), BATCH_SERIES):
         yield snapshot[start : start + BATCH_SERIES]
--- a/src/topazlug/telemetry/_push.py
+++ b/src/topazlug/telemetry/_push.py
@@ -81,8 +81,8 @@
         """Send all batches until one fails."""
         for batch in self._split(metrics_data):
             result = self._inner.export(batch, timeout_millis=timeout_millis)
-            # Each batch may wait for its own timeout, so a push of many
-            # batches to an unresponsive endpoint would take minutes.
+            # Each batch has its own timeout, so going on after a failure
+            # would take minutes if the endpoint does not respond.
             if result is not sdk_export.MetricExportResult.SUCCESS:
                 return result
             gevent.sleep(_batches.PAUSE_SECONDS)
