--- a/src/topazlug/_errors.py
+++ b/src/topazlug/_errors.py
@@ -213,7 +213,7 @@
 
 @final
 class Overloaded(RequestError):
-    """No slot is free, or will be free before the deadline."""
+    """No slot is free, and none will be before the deadline."""
 
     code = Code.OVERLOADED
     status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -353,6 +353,6 @@
 
 @final
 class ClaimEnded(TopazlugError):
-    """A claim was used after it had been released or had ended."""
+    """A claim was used after it was released, finished or abandoned."""
 
     code = Code.CLAIM_ENDED
--- a/tests/topazlug/configuration/test_table_edits.py
+++ b/tests/topazlug/configuration/test_table_edits.py
@@ -211,7 +211,7 @@
         assert (result.revision, result.repeated) == (1, False)
         assert store.commits == 1
 
-    def test_outage_after_a_lost_answer_is_unknown(self, node, store):
+    def test_outage_after_a_lost_answer_is_ambiguous(self, node, store):
         """A change that may have been made must not be reported as not made.
 
         The store commits, the answer is lost, and the store goes down. The
--- a/tests/topazlug/peer_fixtures.py
+++ b/tests/topazlug/peer_fixtures.py
@@ -44,7 +44,7 @@
         return self.seconds
 
     def sleep(self, seconds: float) -> None:
-        """Let other greenlets run; the clock stands still."""
+        """Let other greenlets run; the time does not change."""
         gevent.sleep(seconds)
 
 
@@ -73,7 +73,7 @@
     return _settings.PeerSettings(**{"secret": SECRET, **values})
 
 
-class LinkPair:
+class LinkedDaemons:
     """Links of several daemons that can reach each other."""
 
     def __init__(self) -> None:
@@ -166,7 +166,7 @@
         )
 
     def usable_peers_are(self, *others: "Node") -> bool:
-        """Return whether exactly these and itself are usable here."""
+        """Return whether only this daemon and the others are usable to it."""
         names = {self.name, *(other.name for other in others)}
         return set(self.membership.usable()) == names
 
--- a/tests/topazlug/peers/test_peer_codec.py
+++ b/tests/topazlug/peers/test_peer_codec.py
@@ -61,7 +61,7 @@
         decoded = _peer_codec.decode(_peer_codec.join(frames))
         assert [(frame.message, frame.call) for frame in decoded] == sent
 
-    def test_refusal_answers_the_question(self):
+    def test_refusal_answers_the_request(self):
         batch = _peer_codec.join([_peer_codec.encode_refusal(7)])
         assert _peer_codec.decode(batch) == [
             _peer_codec.Frame(kind="refused", call=-7, message=None)
@@ -75,12 +75,12 @@
         (frame,) = _peer_codec.decode(packed(["Novelty", 3, {"a": [1]}]))
         assert (frame.kind, frame.call, frame.message) == ("Novelty", 3, None)
 
-    def test_unknown_field_is_passed_over(self):
+    def test_unknown_field_is_skipped(self):
         batch = packed(["ConfigPull", 0, {"after": 4, "new": {"x": []}}])
         (frame,) = _peer_codec.decode(batch)
         assert frame.message == messages.ConfigPull(after=4)
 
-    def test_additional_element_is_passed_over(self):
+    def test_additional_element_is_skipped(self):
         batch = packed(["ConfigPull", 0, {"after": 4}, "more"])
         (frame,) = _peer_codec.decode(batch)
         assert frame.message == messages.ConfigPull(after=4)
--- a/tests/topazlug/peers/test_peers.py
+++ b/tests/topazlug/peers/test_peers.py
@@ -20,20 +20,20 @@
 
 
 @pytest.fixture
-def pair():
-    pair = peer_fixtures.LinkPair()
-    yield pair
-    pair.stop()
+def daemons():
+    daemons = peer_fixtures.LinkedDaemons()
+    yield daemons
+    daemons.stop()
 
 
 @pytest.fixture
-def dialler(pair):
-    return pair.make("a")
+def dialler(daemons):
+    return daemons.make("a")
 
 
 @pytest.fixture
-def acceptor(pair):
-    return pair.make("b")
+def acceptor(daemons):
+    return daemons.make("b")
 
 
 def pull(number):
@@ -47,13 +47,13 @@
 class ListeningPeer:
     """A TCP listener that handles connections with a given function."""
 
-    def __init__(self, pair, name, on_connection):
+    def __init__(self, daemons, name, on_connection):
         self.sockets = []
         self._on_connection = on_connection
         self.server = server.StreamServer(("127.0.0.1", 0), self._accept)
         self.server.start()
         address = _peers.Address("127.0.0.1", self.server.server_port)
-        pair.address_by_id[name] = address
+        daemons.address_by_id[name] = address
 
     def _accept(self, sock, _address):
         self.sockets.append(sock)
@@ -187,40 +187,40 @@
         with pytest.raises(_errors.PeerUnreachable, match="was closed"):
             dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
 
-    def test_restarted_peer_is_dialled_again(self, pair, dialler):
-        pair.make("b").handle(messages.ConfigPull, answer_with_number)
+    def test_restarted_peer_is_dialled_again(self, daemons, dialler):
+        daemons.make("b").handle(messages.ConfigPull, answer_with_number)
         dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
-        pair.links_by_id["b"].stop()
-        pair.make("b").handle(messages.ConfigPull, answer_with_number)
+        daemons.links_by_id["b"].stop()
+        daemons.make("b").handle(messages.ConfigPull, answer_with_number)
         peer_fixtures.wait_until(lambda: dialler.link_count == 0)
         assert dialler.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
 
     def test_backoff_fails_calls_until_it_expires(
-        self, pair, dialler, acceptor
+        self, daemons, dialler, acceptor
     ):
         acceptor.handle(messages.ConfigPull, answer_with_number)
-        valid_address = pair.address_by_id["b"]
-        pair.address_by_id["b"] = _peers.Address("127.0.0.1", 1)
+        valid_address = daemons.address_by_id["b"]
+        daemons.address_by_id["b"] = _peers.Address("127.0.0.1", 1)
         with pytest.raises(_errors.PeerUnreachable, match="was closed"):
             dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
-        pair.address_by_id["b"] = valid_address
+        daemons.address_by_id["b"] = valid_address
         with pytest.raises(_errors.PeerUnreachable, match="retried"):
             dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
-        pair.clock.seconds += 2.0
+        daemons.clock.seconds += 2.0
         assert dialler.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
 
-    def test_frozen_peer_fails_the_call(self, pair, dialler):
+    def test_frozen_peer_fails_the_call(self, daemons, dialler):
         """Guards against calls that hang on a frozen peer.
 
         The peer's process is frozen, while its kernel still accepts
         connections. Calls would hang if the handshake had no timeout.
         """
-        ListeningPeer(pair, "b", never_respond)
+        ListeningPeer(daemons, "b", never_respond)
         with pytest.raises(_errors.PeerUnreachable):
             dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
 
     def test_peer_that_does_not_read_does_not_block_senders(
-        self, pair, dialler
+        self, daemons, dialler
     ):
         """Guards against blocked senders and unbounded memory.
 
@@ -228,33 +228,33 @@
         would block if they wrote to the socket themselves, and memory would
         grow if the queue were unbounded.
         """
-        ListeningPeer(pair, "b", authenticate_then_never_respond)
+        ListeningPeer(daemons, "b", authenticate_then_never_respond)
         large = messages.Release(asks=list(range(100_000)))
         with pytest.raises(_errors.PeerUnreachable, match="does not read"):
             for _ in range(1000):
                 dialler.send("b", large)
                 gevent.sleep(0.001)
 
-    def test_unresponsive_stream_is_closed(self, pair, dialler):
+    def test_unresponsive_stream_is_closed(self, daemons, dialler):
         """Guards against calls that each wait for their timeout.
 
         The path to the peer drops all packets, and the connection stays
         open. The stream must be closed for its missing answers, as its
         socket reports no error.
         """
-        ListeningPeer(pair, "b", authenticate_then_never_respond)
+        ListeningPeer(daemons, "b", authenticate_then_never_respond)
         with pytest.raises(_errors.PeerUnreachable, match="unanswered"):
             dialler.call("b", pull(1), timeout=0.2)
         assert dialler.link_count == 1
-        pair.clock.seconds += _peer_link.MAX_UNANSWERED_SECONDS + 1
+        daemons.clock.seconds += _peer_link.MAX_UNANSWERED_SECONDS + 1
         with pytest.raises(_errors.PeerUnreachable):
             dialler.call("b", pull(1), timeout=0.2)
         peer_fixtures.wait_until(lambda: dialler.link_count == 0)
 
-    def test_idle_stream_closes(self, pair, dialler, acceptor):
+    def test_idle_stream_closes(self, daemons, dialler, acceptor):
         acceptor.handle(messages.ConfigPull, answer_with_number)
         dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
-        pair.clock.seconds += 1.0
+        daemons.clock.seconds += 1.0
         peer_fixtures.wait_until(lambda: dialler.link_count == 0)
         peer_fixtures.wait_until(lambda: acceptor.link_count == 0)
         assert dialler.call("b", pull(2), timeout=CALL_TIMEOUT).lent == 2
@@ -264,8 +264,8 @@
     """Clients that fail the handshake are disconnected."""
 
     @pytest.mark.parametrize("data", [b"", b"GET / HTTP/1.1\r\n\r\n" * 90])
-    def test_connection_is_closed(self, pair, acceptor, data):
-        with socket.create_connection(pair.address_by_id["b"]) as client:
+    def test_connection_is_closed(self, daemons, acceptor, data):
+        with socket.create_connection(daemons.address_by_id["b"]) as client:
             client.sendall(data)
             client.settimeout(CALL_TIMEOUT)
             try:
@@ -273,16 +273,16 @@
             except ConnectionResetError:
                 pass
 
-    def test_wrong_secret_runs_no_handler(self, pair, acceptor):
+    def test_wrong_secret_runs_no_handler(self, daemons, acceptor):
         received = []
         acceptor.handle(messages.ConfigPull, lambda *_: received.append(1))
-        client = pair.make("c", secret="another secret of some length")
+        client = daemons.make("c", secret="another secret of some length")
         with pytest.raises(_errors.PeerUnreachable):
             client.call("b", pull(1), timeout=CALL_TIMEOUT)
         assert not received
 
-    def test_invalid_message_closes_the_stream(self, pair, acceptor):
-        sock = socket.create_connection(pair.address_by_id["b"])
+    def test_invalid_message_closes_the_stream(self, daemons, acceptor):
+        sock = socket.create_connection(daemons.address_by_id["b"])
         session = _peer_auth.perform_handshake(
             sock,
             role=_peer_auth.Role.DIALLING,
@@ -310,18 +310,18 @@
 
         return make_tls_settings
 
-    def test_call(self, pair, make_tls_settings):
-        dialler = pair.make("a", tls=make_tls_settings("daemon"))
-        acceptor = pair.make("b", tls=make_tls_settings("daemon"))
+    def test_call(self, daemons, make_tls_settings):
+        dialler = daemons.make("a", tls=make_tls_settings("daemon"))
+        acceptor = daemons.make("b", tls=make_tls_settings("daemon"))
         acceptor.handle(
             messages.Release, lambda _p, message, reply: reply(message)
         )
         large = messages.Release(asks=list(range(100_000)))
         assert dialler.call("b", large, timeout=CALL_TIMEOUT) == large
 
-    def test_another_authority_is_refused(self, pair, make_tls_settings):
-        dialler = pair.make("a", tls=make_tls_settings("stranger"))
-        acceptor = pair.make("b", tls=make_tls_settings("daemon"))
+    def test_another_authority_is_refused(self, daemons, make_tls_settings):
+        dialler = daemons.make("a", tls=make_tls_settings("stranger"))
+        acceptor = daemons.make("b", tls=make_tls_settings("daemon"))
         acceptor.handle(messages.ConfigPull, answer_with_number)
         with pytest.raises(_errors.PeerUnreachable):
             dialler.call("b", pull(1), timeout=CALL_TIMEOUT)
--- a/tests/topazlug/store/test_table_client.py
+++ b/tests/topazlug/store/test_table_client.py
@@ -136,7 +136,9 @@
         ("named", "seconds"),
         [("7", 7.0), ("soon", 1.0), ("Thu, 01 Jan 1970 00:00:00 GMT", 1.0)],
     )
-    def test_refusal(self, start_server, status, named, seconds):
+    def test_rejection_has_retry_after(
+        self, start_server, status, named, seconds
+    ):
         answer = http_answer(status, b"{}", f"Retry-After: {named}\r\n")
         client = make_client(start_server(answer).server.server_port)
         with pytest.raises(_errors.StoreUnavailable) as caught:
