--- a/src/topazlug/configuration/_edit_plan.py
+++ b/src/topazlug/configuration/_edit_plan.py
@@ -212,7 +212,7 @@
 def base_conditions(
     meta: _table_storage.Meta, stamp: Stamp
 ) -> list[_table_client.Condition]:
-    """Require that the table is unchanged and the edit id unused."""
+    """Return conditions that the table is unchanged and the id unused."""
     return [
         _table_client.Condition(
             table=_table_storage.META_TABLE,
@@ -228,7 +228,7 @@
 
 
 def row_conditions(plan: Plan) -> list[_table_client.Condition]:
-    """Require that the edited rows are unchanged."""
+    """Return conditions that the edited rows are unchanged."""
     return [
         _table_client.Condition(
             table=change.table,
--- a/src/topazlug/peers/_peers.py
+++ b/src/topazlug/peers/_peers.py
@@ -1,4 +1,4 @@
-"""Message streams between daemons.
+"""Message streams between daemons, each a `Link` over one connection.
 
 A daemon dials a peer when it first sends it a message, keeps the stream
 while it is in use, and receives answers on the stream on which it sent the
--- a/tests/topazlug/administration/test_administration.py
+++ b/tests/topazlug/administration/test_administration.py
@@ -297,8 +297,8 @@
         """The repeat of an incomplete import must make the remaining edits.
 
         The store goes down between two batches of an import, and the operator
-        repeats it under the same edit id. The repeat must neither be taken
-        for done nor be rejected as another edit.
+        repeats it under the same edit id. The repeat must neither be treated
+        as already done nor be rejected as the reuse of an id.
         """
         document = {"teams": [{"name": f"t{n:03d}"} for n in range(250)]}
 
--- a/tests/topazlug/administration/test_page.py
+++ b/tests/topazlug/administration/test_page.py
@@ -10,11 +10,15 @@
 from topazlug.administration import _administration_http
 from topazlug.administration import _page
 
-OUTSIDE = re.compile(
+EXTERNAL_REFERENCE = re.compile(
     r"""(?:src|href)\s*=|https?://(?!www\.w3\.org/2000/svg)"""
 )
-MARKUP = re.compile(r"innerHTML|outerHTML|insertAdjacentHTML|document\.write")
-STORES = re.compile(r"localStorage|sessionStorage|document\.cookie|indexedDB")
+MARKUP_INSERTION = re.compile(
+    r"innerHTML|outerHTML|insertAdjacentHTML|document\.write"
+)
+BROWSER_STORAGE = re.compile(
+    r"localStorage|sessionStorage|document\.cookie|indexedDB"
+)
 
 
 @pytest.fixture
@@ -39,7 +43,7 @@
         assert answer.content_type == "text/html; charset=utf-8"
 
     def test_it_loads_nothing_from_other_hosts(self, text: str) -> None:
-        assert not OUTSIDE.search(text)
+        assert not EXTERNAL_REFERENCE.search(text)
 
     def test_text_of_rows_is_not_inserted_as_markup(self, text: str) -> None:
         """A row's text must not run as a script in the operator's browser.
@@ -48,10 +52,10 @@
         administrator opens the page. If the text were inserted as markup, its
         script could read the administrator's token.
         """
-        assert not MARKUP.search(text)
+        assert not MARKUP_INSERTION.search(text)
 
     def test_the_token_is_stored_nowhere(self, text: str) -> None:
-        assert not STORES.search(text)
+        assert not BROWSER_STORAGE.search(text)
 
 
 class TestPolicy:
--- a/tests/topazlug/cli/conftest.py
+++ b/tests/topazlug/cli/conftest.py
@@ -61,9 +61,9 @@
 @pytest.fixture
 def node(store):
     network = table_fakes.FakeNetwork()
-    made = table_fakes.Node("a", store=store, network=network)
-    made.follower.catch_up()
-    return made
+    new_node = table_fakes.Node("a", store=store, network=network)
+    new_node.follower.catch_up()
+    return new_node
 
 
 @pytest.fixture
--- a/tests/topazlug/cli/test_main.py
+++ b/tests/topazlug/cli/test_main.py
@@ -157,9 +157,9 @@
         assert not node.holder.current.team_by_key_hash
 
     def test_operators(self, topazlug):
-        made = topazlug.json("operator", "add", "ana", "--role", "admin")
+        added = topazlug.json("operator", "add", "ana", "--role", "admin")
         assert topazlug("team", "list").exit_code == EXIT.REFUSED
-        topazlug.token = made["token"]
+        topazlug.token = added["token"]
         renewed = topazlug.json("operator", "renew", "ana")
         assert topazlug("team", "list").exit_code == EXIT.REFUSED
         topazlug.token = renewed["token"]
--- a/tests/topazlug/configuration/test_table_edits.py
+++ b/tests/topazlug/configuration/test_table_edits.py
@@ -89,9 +89,9 @@
 
     def test_force_requires_no_etag(self, node):
         node.put("acme")
-        edit_ = table_fakes.team_edit("acme", weight=2)
+        unforced = table_fakes.team_edit("acme", weight=2)
         forced = _edit_plan.RowEdit(
-            table=TEAMS, key="acme", value=edit_.value, force=True
+            table=TEAMS, key="acme", value=unforced.value, force=True
         )
         node.editor.edit([forced], stamp=table_fakes.stamp())
         assert node.weight("acme") == 2
@@ -177,16 +177,16 @@
             edit(other, pools=["p"])
 
     def test_attempts_are_limited_under_contention(self, node, store):
-        bump = [("meta", "config"), ("x", "y")]
+        changed_rows = [("meta", "config"), ("x", "y")]
         numbers = iter(range(1000))
 
-        def move_meta():
-            table, key = bump[0]
+        def change_meta():
+            table, key = changed_rows[0]
             put = type("P", (), {"table": table, "key": key})
             put.value = {"revision": 0, "n": next(numbers)}
             store._put(put)
 
-        store.before_transact = [move_meta] * _table_edits.MAX_ATTEMPTS
+        store.before_transact = [change_meta] * _table_edits.MAX_ATTEMPTS
         with pytest.raises(_table_errors.EditContention):
             edit(node)
         assert not store.commits
