--- a/src/topazlug/_fleet_assembly.py
+++ b/src/topazlug/_fleet_assembly.py
@@ -111,7 +111,7 @@
 
     def _list_interval(self) -> float:
         platform = self._settings.platform
-        # All daemons together read the list at one fixed rate.
+        # All daemons together read the list at no more than a fixed rate.
         daemons = len(self.membership.usable())
         shared_interval = daemons / platform.instances_reads_per_second
         return max(platform.instances_interval, shared_interval)
@@ -150,7 +150,7 @@
         return len(usable) / max(1, len(usable) + len(unreachable))
 
     def start(self) -> None:
-        """Register this daemon, and start to follow peers and the table."""
+        """Register, and start to follow the list, peers and the table."""
         self.instances.register(self._own_instance())
         self.instances.start()
         self.membership.start()
--- a/src/topazlug/configuration/_configuration_follower.py
+++ b/src/topazlug/configuration/_configuration_follower.py
@@ -100,7 +100,8 @@
     ----------
     stale_count : int
         Answers of the store that were out of date: the revision was older
-        than the one in force, or history up to it was missing.
+        than the one in force, or the history of a revision that the store
+        had reported was missing.
     failure_count : int
         Polls that failed.
     """
--- a/src/topazlug/peers/_peer_connections.py
+++ b/src/topazlug/peers/_peer_connections.py
@@ -12,8 +12,10 @@
 from topazlug.peers import _peer_auth
 from topazlug.peers import _peer_tls
 
+# Frames are joined into batches up to this size. A larger frame is sent in a
+# batch of its own.
 BATCH_BYTES = 65536
-UNACKNOWLEDGED_MILLISECONDS = 5000
+UNACKNOWLEDGED_TIMEOUT_MILLISECONDS = 5000
 
 
 @final
@@ -169,5 +171,5 @@
     sock.setsockopt(
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
-        UNACKNOWLEDGED_MILLISECONDS,
+        UNACKNOWLEDGED_TIMEOUT_MILLISECONDS,
     )
--- a/src/topazlug/peers/_peer_link.py
+++ b/src/topazlug/peers/_peer_link.py
@@ -23,7 +23,7 @@
 from topazlug.peers import _peer_codec
 from topazlug.peers import _peer_connections
 
-QUEUE_BYTES = 1048576
+MAX_QUEUED_BYTES = 1048576
 MAX_UNANSWERED_SECONDS = 2.0
 
 _log = logbook.Logger("topazlug.peers")
@@ -96,14 +96,15 @@
         """
         if self.closed:
             raise _errors.PeerUnreachable(f"link to {self.name} is closed")
-        if self._queue and self._queued_bytes + len(frame) > QUEUE_BYTES:
+        if self._queue and self._queued_bytes + len(frame) > MAX_QUEUED_BYTES:
             # A frozen peer reads nothing, so its queue would grow without
             # bound. Dropping single frames would leave gaps in the sequence
             # on which receivers rely, so the link is closed and all its
             # pending calls fail.
             self.close()
             raise _errors.PeerUnreachable(
-                f"{self.name} does not read: over {QUEUE_BYTES} bytes queued"
+                f"{self.name} does not read: over {MAX_QUEUED_BYTES} bytes"
+                " queued"
             )
         self._queue.append(frame)
         self._queued_bytes += len(frame)
