--- a/schema/finish.py
+++ b/schema/finish.py
@@ -1,8 +1,8 @@
-"""Last step of generation: what the generator has no option for.
+"""Post-process generated modules where the generator has no option.
 
-It makes every struct keyword-only, makes settings and rows refuse unknown
-keys, lets messages survive them (a newer daemon may send more), and turns
-"absent" into the documented default.
+Every struct becomes keyword-only. Settings and rows reject unknown keys;
+messages ignore them, because a newer daemon may send more fields. Absent
+fields get the documented default.
 """
 
 import pathlib
@@ -14,19 +14,19 @@
 
 
 def finish(text: str, *, options: str) -> str:
-    """Give the structs their options and defaults.
+    """Return the module with the options and defaults of its structs set.
 
     Parameters
     ----------
     text : str
-        Module made by the generator.
+        Source of the module as written by the generator.
     options : str
-        Options of each struct.
+        Class options added to each struct.
 
     Returns
     -------
     str
-        The finished module.
+        Source of the post-processed module.
     """
     text = text.replace("(Struct):", f"(Struct, {options}):")
     text = re.sub(r"\s*\| UnsetType\b", "", text)
@@ -50,7 +50,7 @@
 
 
 def main() -> None:
-    """Finish the module named by the first argument, in place."""
+    """Post-process the module named by the first argument, in place."""
     path = pathlib.Path(sys.argv[1])
     lenient = path.name == "messages.py"
     options = LENIENT if lenient else STRICT
--- a/schema/settings_page.py
+++ b/schema/settings_page.py
@@ -1,6 +1,6 @@
-"""Makes docs/reference/settings.md from schema/settings.yaml.
+"""Generate docs/reference/settings.md from schema/settings.yaml.
 
-With ``--check`` it writes nothing and fails if the page is not current.
+With ``--check``, write nothing and fail if the page is out of date.
 """
 
 import argparse
@@ -39,7 +39,7 @@
 
 
 def page(schema: dict[str, Any]) -> str:
-    """Give the text of the page.
+    """Return the text of the page.
 
     Parameters
     ----------
--- a/src/topazlug/_generated/messages.py
+++ b/src/topazlug/_generated/messages.py
@@ -40,11 +40,14 @@
 
 class AdmitAsk(Struct, kw_only=True, omit_defaults=True):
     """
-    An entry daemon asks the owner of a replica for one place.
+    An entry daemon requests a slot on a replica from the replica's owner.
     """
 
     ask: Annotated[
-        int, Meta(description="Number that the entry daemon gave this ask.")
+        int,
+        Meta(
+            description="Number that the entry daemon assigned to this admission request."
+        ),
     ]
     group: Annotated[str, Meta(description="Pool or service.")]
     replica: str
@@ -64,7 +67,7 @@
         Annotated[
             float,
             Meta(
-                description="Seconds the entry is ready to wait in the owner's queue."
+                description="Maximum time in seconds to wait in the owner's queue."
             ),
         ]
     ) = 0
@@ -72,7 +75,7 @@
         Annotated[
             int,
             Meta(
-                description="Load of the whole group, where the entry has just heard it of all owners."
+                description="Load of the whole group, if all owners have just reported it to the entry daemon."
             ),
         ]
     ) = 0
@@ -80,7 +83,7 @@
         Annotated[
             int,
             Meta(
-                description="Place among all ranks, 0 first; -1 for work that is not held to a limit by rank."
+                description="Rank of the request, starting at 0 for the first; -1 for work that is exempt from rank limits."
             ),
         ]
     ) = -1
@@ -88,7 +91,7 @@
         Annotated[
             int,
             Meta(
-                description="Hash of the whole prompt: the same when a caller comes back with it; 0 for none."
+                description="Hash of the whole prompt, which is the same when a caller retries the request; 0 for none."
             ),
         ]
     ) = 0
@@ -96,7 +99,7 @@
         Annotated[
             float,
             Meta(
-                description="Longest time in seconds after which the caller would come back."
+                description="Maximum retry delay in seconds that the caller may be given."
             ),
         ]
     ) = 0
@@ -104,7 +107,7 @@
         Annotated[
             int,
             Meta(
-                description="Tokens of the prompt that other requests share."
+                description="Number of prompt tokens that are shared with other requests."
             ),
         ]
     ) = 0
@@ -112,7 +115,7 @@
         Annotated[
             bool,
             Meta(
-                description="Whether the entry asks again while another request reads the same context."
+                description="Whether the entry daemon repeats the admission request while another request reads the same context."
             ),
         ]
     ) = False
@@ -120,7 +123,7 @@
         Annotated[
             bool,
             Meta(
-                description="Whether the entry takes the replica to have just started."
+                description="Whether the entry daemon presumes the replica cold."
             ),
         ]
     ) = False
@@ -138,20 +141,22 @@
 
 class AdmitReply(Struct, kw_only=True, omit_defaults=True):
     """
-    The owner's word.
+    The owner's reply to an admission request.
     """
 
     verdict: Verdict
     load: int = 0
     replica: (
-        Annotated[str, Meta(description="Where the chat was displaced to.")]
+        Annotated[
+            str, Meta(description="Replica that the chat was displaced to.")
+        ]
     ) = ""
     retry_after: Annotated[float, Meta(description="Seconds.")] = 0
     reads: (
         Annotated[
             bool,
             Meta(
-                description="Whether this request is the first to read its context there; the owner wants to hear when it has."
+                description="Whether this request is the first to read its context on the replica; the entry daemon then reports when it has been read."
             ),
         ]
     ) = False
@@ -159,7 +164,7 @@
         Annotated[
             bool,
             Meta(
-                description="Whether there is no room because the replica has just started."
+                description="Whether there is no free capacity because the replica is cold."
             ),
         ]
     ) = False
@@ -167,7 +172,7 @@
         Annotated[
             float,
             Meta(
-                description="Seconds for which the replica wants no request of anybody, 0 if nothing is known of that."
+                description="Remaining time in seconds for which the replica is in backoff for all daemons; 0 if no backoff is known."
             ),
         ]
     ) = 0
@@ -175,7 +180,7 @@
 
 class Release(Struct, kw_only=True, omit_defaults=True):
     """
-    Places that are free again.
+    Slots that are free again.
     """
 
     asks: list[int]
@@ -192,17 +197,21 @@
 
 class EngineWord(Struct, kw_only=True, omit_defaults=True):
     """
-    What the head of an answer told of a replica, for its owner.
+    State of a replica as reported in the head of an answer, forwarded to the replica's owner.
     """
 
     replica: str
-    running: Annotated[int, Meta(description="Requests that it runs.")]
-    waiting: Annotated[int, Meta(description="Requests that wait there.")]
+    running: Annotated[
+        int, Meta(description="Requests running on the replica.")
+    ]
+    waiting: Annotated[
+        int, Meta(description="Requests waiting on the replica.")
+    ]
     slow: (
         Annotated[
             bool,
             Meta(
-                description="Whether the head took more than half of the time within which an answer is on time."
+                description="Whether the head took more than half of the latency objective."
             ),
         ]
     ) = False
@@ -210,7 +219,7 @@
         Annotated[
             int,
             Meta(
-                description="Chat whose context it has read now, 0 for none."
+                description="Chat whose context the replica has now read, 0 for none."
             ),
         ]
     ) = 0
@@ -218,7 +227,7 @@
 
 class TurnedAway(Struct, kw_only=True, omit_defaults=True):
     """
-    A request found no place on any replica; its caller was told when to come back.
+    No replica had free capacity for a request; its caller was given a time to retry.
     """
 
     replica: str
@@ -229,19 +238,22 @@
 
 class Renew(Struct, kw_only=True, omit_defaults=True):
     """
-    All places that the sender holds of the receiver.
+    All slots that the sender holds on replicas owned by the receiver.
     """
 
     held: list[HeldPlace]
     pending: Annotated[
-        list[int], Meta(description="Asks still without an answer.")
+        list[int],
+        Meta(
+            description="Admission requests that have not been answered yet."
+        ),
     ]
     complete: bool = True
 
 
 class Unreached(Struct, kw_only=True, omit_defaults=True):
     """
-    A replica took no connection; it may be about to start again.
+    A connection to a replica failed; the replica may be restarting.
     """
 
     replica: str
@@ -249,7 +261,7 @@
 
 class Backoff(Struct, kw_only=True, omit_defaults=True):
     """
-    A replica has turned a request of the sender away and asked it for a backoff.
+    A replica has rejected a request from the sender and requested a backoff.
     """
 
     replica: str
@@ -259,7 +271,7 @@
 
 class Displaced(Struct, kw_only=True, omit_defaults=True):
     """
-    A chat was sent elsewhere than its home (or is back, with replica empty).
+    A chat was displaced from its home, or has returned to it if replica is empty.
     """
 
     group: str
@@ -270,7 +282,7 @@
 
 class DisplacedBatch(Struct, kw_only=True, omit_defaults=True):
     """
-    Remembered displaced chats handed to a new owner.
+    Displaced chats handed over to a new owner.
     """
 
     entries: list[Displaced]
@@ -283,7 +295,7 @@
 
 class LoadReport(Struct, kw_only=True, omit_defaults=True):
     """
-    An owner tells a group's collector the load of its replicas.
+    An owner reports the load of its replicas to the group's collector.
     """
 
     group: str
@@ -292,7 +304,7 @@
 
 class LoadSummary(Struct, kw_only=True, omit_defaults=True):
     """
-    The collector's answer.
+    The collector's reply to a load report.
     """
 
     group: str
@@ -300,7 +312,7 @@
     replicas: int
     interval: (
         Annotated[
-            float, Meta(description="Seconds until the next report is wanted.")
+            float, Meta(description="Seconds until the next report is due.")
         ]
     ) = 0.1
 
@@ -319,7 +331,7 @@
 
 class Fact(Struct, kw_only=True, omit_defaults=True):
     """
-    What is known of a daemon or target; the highest incarnation and sequence win.
+    Last known state of a daemon or target; the highest incarnation and sequence take precedence.
     """
 
     kind: FactKind
@@ -334,7 +346,7 @@
         Annotated[
             str,
             Meta(
-                description="Of a target that its teller saw on the list first, with its address."
+                description="Set, with the address, for a target that the sender was the first to see in the list of instances."
             ),
         ]
     ) = ""
@@ -344,12 +356,15 @@
 
 class Exchange(Struct, kw_only=True, omit_defaults=True):
     """
-    Heartbeat with fresh facts.
+    Heartbeat with recent facts.
     """
 
     facts: list[Fact]
     digest: Annotated[
-        int, Meta(description="Order-free hash of all facts held.")
+        int,
+        Meta(
+            description="Hash of all facts held, independent of their order."
+        ),
     ]
     revision: Annotated[
         int, Meta(description="Configuration revision in force.")
@@ -359,7 +374,7 @@
 
 class RowChange(Struct, kw_only=True, omit_defaults=True):
     """
-    One row of the table as a revision left it; value null when removed.
+    One row of the table as of a revision; value is null if the row was removed.
     """
 
     revision: int
@@ -379,7 +394,7 @@
 
 class ConfigPull(Struct, kw_only=True, omit_defaults=True):
     """
-    Asks for the changes after a revision.
+    Requests the changes after a revision.
     """
 
     after: int
@@ -387,7 +402,7 @@
 
 class ConfigAnswer(Struct, kw_only=True, omit_defaults=True):
     """
-    Changes after the revision asked for, or the whole table.
+    Changes after the requested revision, or the whole table.
     """
 
     revision: int
@@ -397,39 +412,43 @@
 
 class SliceAsk(Struct, kw_only=True, omit_defaults=True):
     """
-    A daemon asks a team's owner for part of the team's ceiling.
+    A daemon requests part of a team's ceiling from the team's owner.
     """
 
     team: str
-    want: Annotated[int, Meta(description="Requests wanted now.")]
+    want: Annotated[int, Meta(description="Number of requests needed now.")]
     unused: Annotated[
-        int, Meta(description="Requests of the last slice given back.")
+        int,
+        Meta(
+            description="Number of unused requests of the last slice that are returned."
+        ),
     ]
     running: (
         Annotated[
             int,
-            Meta(description="Requests of the team in progress at the asker."),
+            Meta(
+                description="Requests of the team in progress at the sender."
+            ),
         ]
     ) = 0
 
 
 class Slice(Struct, kw_only=True, omit_defaults=True):
     """
-    Requests lent until a time.
+    Number of requests lent until they expire.
     """
 
     team: str
     lent: int
     lapse: Annotated[
-        float,
-        Meta(description="Seconds after which unused requests are void."),
+        float, Meta(description="Seconds after which unused requests expire.")
     ]
     retry_after: float = 0
     running_room: (
         Annotated[
             int,
             Meta(
-                description="Requests of the team this daemon may have in progress; -1 for no ceiling."
+                description="Number of the team's requests that this daemon may have in progress; -1 for no ceiling."
             ),
         ]
     ) = -1
@@ -437,14 +456,14 @@
 
 class StatusAsk(Struct, kw_only=True, omit_defaults=True):
     """
-    Asks a daemon what it does just now.
+    Requests the current status of a daemon.
     """
 
     request: (
         Annotated[
             str,
             Meta(
-                description="Request whose decision is wanted; empty for none."
+                description="Request whose routing decision is to be included; empty for none."
             ),
         ]
     ) = ""
@@ -468,7 +487,7 @@
 
 class StatusAnswer(Struct, kw_only=True, omit_defaults=True):
     """
-    What one daemon does just now.
+    Current status of one daemon.
     """
 
     revision: int
@@ -478,7 +497,7 @@
 
 class Ack(Struct, kw_only=True, omit_defaults=True):
     """
-    Empty answer.
+    Empty reply.
     """
 
     ok: bool = True
@@ -498,20 +517,20 @@
 
 class ChangesAsk(Struct, kw_only=True, omit_defaults=True):
     """
-    A daemon asks a relay for the changes of a table, and waits for them.
+    A daemon requests the changes of a table from a relay and waits for them.
     """
 
     table: str
     after: Annotated[int, Meta(description="Version that the daemon holds.")]
     wait: Annotated[
         float,
-        Meta(description="Longest time in seconds until the relay answers."),
+        Meta(description="Maximum time in seconds until the relay replies."),
     ]
     age: (
         Annotated[
             float,
             Meta(
-                description="Seconds since the last word of the store that the daemon knows of; 0 if it does not matter."
+                description="Seconds since the last reply of the store that the daemon knows of; 0 if irrelevant."
             ),
         ]
     ) = 0
@@ -519,7 +538,7 @@
 
 class ChangesReply(Struct, kw_only=True, omit_defaults=True):
     """
-    What a relay has of a table.
+    Rows of a table that a relay holds.
     """
 
     known: Annotated[
@@ -532,14 +551,16 @@
         Annotated[
             bool,
             Meta(
-                description="Whether these are all rows, as the changes since the version are not kept."
+                description="Whether these are all rows, because the changes since the version are no longer kept."
             ),
         ]
     ) = False
     version: (
         Annotated[
             int,
-            Meta(description="Version of the store that these rows lead to."),
+            Meta(
+                description="Version of the table after these rows are applied."
+            ),
         ]
     ) = 0
     packed: (
@@ -554,7 +575,7 @@
         Annotated[
             float,
             Meta(
-                description="Seconds since the last word of the store that the relay knows of."
+                description="Seconds since the last reply of the store that the relay knows of."
             ),
         ]
     ) = 0
@@ -562,21 +583,23 @@
 
 class CrashNotes(Struct, kw_only=True, omit_defaults=True):
     """
-    Rows of the table of crashes, from a daemon that can't write them just now.
+    Crash records as rows of the crash table, from a daemon that currently cannot write them.
     """
 
     rows: list[TableRow]
     pass_on: (
         Annotated[
             list[str],
-            Meta(description="Daemons to which the receiver sends the rows."),
+            Meta(
+                description="Daemons to which the receiver forwards the rows."
+            ),
         ]
     ) = field(default_factory=list)
     stand_in: (
         Annotated[
             bool,
             Meta(
-                description="Whether the receiver writes the rows if the sender does not."
+                description="Whether the receiver writes the rows if the sender does not write them."
             ),
         ]
     ) = False
--- a/src/topazlug/_generated/settings.py
+++ b/src/topazlug/_generated/settings.py
@@ -12,7 +12,7 @@
 
 class IdentitySettings(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    Who this daemon is and where it stands.
+    Identity and location of the daemon.
     """
 
     id: Annotated[
@@ -34,10 +34,10 @@
 
 class AddressSettings(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    One TCP address by IP number.
+    TCP address.
     """
 
-    host: Annotated[str, Meta(description="IP number.", min_length=1)]
+    host: Annotated[str, Meta(description="IP address.", min_length=1)]
     port: Annotated[int, Meta(description="TCP port.", ge=0, le=65535)]
 
 
@@ -51,14 +51,14 @@
     authority: Annotated[
         str,
         Meta(
-            description="Path of the authority that peers must be signed by."
+            description="Path of the certificate authority that must have signed the peers' certificates."
         ),
     ]
 
 
 class ListenSettings(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    The three listeners.
+    Addresses of the three listeners.
     """
 
     callers: AddressSettings
@@ -69,7 +69,7 @@
 
 class PlatformSettings(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    The platform's services.
+    Addresses of the platform's services.
     """
 
     tables: AddressSettings
@@ -78,14 +78,18 @@
     timeout: (
         Annotated[
             float,
-            Meta(description="Longest wait for one answer.", gt=0.0, le=60.0),
+            Meta(
+                description="Maximum time to wait for one answer.",
+                gt=0.0,
+                le=60.0,
+            ),
         ]
     ) = 2.0
     instances_interval: (
         Annotated[
             float,
             Meta(
-                description="Shortest time between reads of the list of instances.",
+                description="Minimum time between reads of the list of instances.",
                 gt=0.0,
                 le=300.0,
             ),
@@ -95,7 +99,7 @@
         Annotated[
             float,
             Meta(
-                description="Reads of the list a second, over the whole fleet.",
+                description="Reads of the list of instances per second, over the whole fleet.",
                 gt=0.0,
             ),
         ]
@@ -104,7 +108,7 @@
 
 class PeerSettings(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    How daemons prove who they are to each other.
+    Authentication and connections between daemons.
     """
 
     secret: Annotated[
@@ -115,7 +119,7 @@
         Annotated[
             int,
             Meta(
-                description="Largest message taken from a peer.",
+                description="Maximum size of a message from a peer.",
                 ge=1024,
                 le=67108864,
             ),
@@ -125,7 +129,7 @@
         Annotated[
             float,
             Meta(
-                description="Longest wait for a connection and its handshake.",
+                description="Maximum time to wait for a connection and its handshake.",
                 gt=0.0,
                 le=30.0,
             ),
@@ -135,42 +139,55 @@
 
 class LimitSettings(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    Bounds on what callers may send and how long they may take.
+    Limits on the size and duration of requests and answers.
     """
 
     max_body_bytes: (
-        Annotated[int, Meta(description="Largest request body.", ge=1)]
+        Annotated[
+            int, Meta(description="Maximum size of a request body.", ge=1)
+        ]
     ) = 4194304
     body_timeout: (
         Annotated[
             float,
             Meta(
-                description="Longest time in which a body must arrive.", gt=0.0
+                description="Maximum time in which a request body must arrive.",
+                gt=0.0,
             ),
         ]
     ) = 10.0
     max_connections: (
         Annotated[
-            int, Meta(description="Callers' connections served at once.", ge=1)
+            int,
+            Meta(
+                description="Maximum number of concurrent connections from callers.",
+                ge=1,
+            ),
         ]
     ) = 4000
     default_deadline: (
         Annotated[
             float,
-            Meta(description="Deadline of a request that names none.", gt=0.0),
+            Meta(
+                description="Deadline of a request that does not specify one.",
+                gt=0.0,
+            ),
         ]
     ) = 60.0
     max_deadline: (
         Annotated[
             float,
-            Meta(description="Longest deadline a caller may name.", gt=0.0),
+            Meta(
+                description="Maximum deadline that a caller may specify.",
+                gt=0.0,
+            ),
         ]
     ) = 600.0
     target_silence: (
         Annotated[
             float,
             Meta(
-                description="Longest silence of a target in the middle of an answer.",
+                description="Maximum time without data from a target in the middle of an answer.",
                 gt=0.0,
             ),
         ]
@@ -179,7 +196,7 @@
         Annotated[
             float,
             Meta(
-                description="Longest wait for the head of a target's answer.",
+                description="Maximum time to wait for the head of a target's answer.",
                 gt=0.0,
             ),
         ]
@@ -188,7 +205,7 @@
         Annotated[
             float,
             Meta(
-                description="Longest wait for a connection to a target.",
+                description="Maximum time to wait for a connection to a target.",
                 gt=0.0,
             ),
         ]
@@ -197,7 +214,7 @@
         Annotated[
             float,
             Meta(
-                description="Retries allowed for each first attempt.",
+                description="Maximum ratio of retries to first attempts.",
                 ge=0.0,
                 le=1.0,
             ),
@@ -207,7 +224,7 @@
         Annotated[
             float,
             Meta(
-                description="Longest time that a planned stop waits for requests in progress.",
+                description="Maximum time that a graceful stop waits for requests in progress.",
                 gt=0.0,
             ),
         ]
@@ -216,7 +233,7 @@
         Annotated[
             int,
             Meta(
-                description="Largest answer kept for a repeat of a claimed request.",
+                description="Maximum size of an answer that is kept for repeats of a claimed request.",
                 ge=0,
             ),
         ]
@@ -225,7 +242,7 @@
 
 class RoutingPolicy(StrEnum):
     """
-    How a replica is chosen.
+    Policy for the choice of a replica.
     """
 
     owners = "owners"
@@ -245,7 +262,7 @@
         Annotated[
             float,
             Meta(
-                description="Multiple of the mean load that no replica may pass, where the pool's row names none.",
+                description="Maximum load of a replica as a multiple of the mean load, if the pool's row does not specify one.",
                 ge=1.0,
                 le=10.0,
             ),
@@ -255,7 +272,9 @@
         Annotated[
             float,
             Meta(
-                description="Longest wait for an owner's word.", gt=0.0, le=5.0
+                description="Maximum time to wait for an owner's reply.",
+                gt=0.0,
+                le=5.0,
             ),
         ]
     ) = 0.1
@@ -263,7 +282,7 @@
         Annotated[
             int,
             Meta(
-                description="Replicas of a chat's rank that are asked before it queues.",
+                description="Number of replicas in a chat's ranking that are tried before the request is queued.",
                 ge=1,
                 le=16,
             ),
@@ -273,7 +292,8 @@
         Annotated[
             int,
             Meta(
-                description="Displaced chats that one owner remembers.", ge=0
+                description="Maximum number of displaced chats that one owner keeps track of.",
+                ge=0,
             ),
         ]
     ) = 20000
@@ -281,7 +301,7 @@
         Annotated[
             float,
             Meta(
-                description="Shortest time between two renewals to one owner.",
+                description="Minimum time between two renewals to one owner.",
                 gt=0.0,
             ),
         ]
@@ -290,7 +310,7 @@
         Annotated[
             float,
             Meta(
-                description="Shortest time between two load reports to a pool's collector.",
+                description="Minimum time between two load reports to a pool's collector.",
                 gt=0.0,
             ),
         ]
@@ -298,14 +318,17 @@
     queue_per_replica: (
         Annotated[
             int,
-            Meta(description="Requests that may wait for one replica.", ge=0),
+            Meta(
+                description="Maximum number of requests that wait for one replica.",
+                ge=0,
+            ),
         ]
     ) = 64
     batch_reserve: (
         Annotated[
             float,
             Meta(
-                description="Part of a replica's slots that batch work may not take.",
+                description="Fraction of a replica's slots that batch work may not use.",
                 ge=0.0,
                 le=0.9,
             ),
@@ -315,7 +338,7 @@
         Annotated[
             float,
             Meta(
-                description="Time between an owner's looks at its replica's load.",
+                description="Time between an owner's polls of the load of its replicas.",
                 gt=0.0,
             ),
         ]
@@ -324,7 +347,7 @@
 
 class MembershipSettings(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    Which daemons and targets live.
+    Detection of live daemons and targets.
     """
 
     exchange_interval: (
@@ -337,14 +360,20 @@
     ) = 0.5
     fanout: (
         Annotated[
-            int, Meta(description="Peers asked in each exchange.", ge=1, le=64)
+            int,
+            Meta(
+                description="Number of peers contacted in each exchange.",
+                ge=1,
+                le=64,
+            ),
         ]
     ) = 3
     answer_timeout: (
         Annotated[
             float,
             Meta(
-                description="Silence after which a peer is suspected.", gt=0.0
+                description="Time without an answer after which a peer is suspected.",
+                gt=0.0,
             ),
         ]
     ) = 0.6
@@ -352,7 +381,7 @@
         Annotated[
             float,
             Meta(
-                description="Time a suspected peer has to speak before it counts as dead.",
+                description="Time without contact after which a suspected peer is considered dead.",
                 gt=0.0,
             ),
         ]
@@ -361,7 +390,7 @@
         Annotated[
             float,
             Meta(
-                description="Time over which a target's returns are counted.",
+                description="Time window in which a target's returns are counted.",
                 gt=0.0,
             ),
         ]
@@ -370,14 +399,14 @@
 
 class ConfigurationSettings(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    How the table reaches this daemon.
+    Distribution of the table to this daemon.
     """
 
     polls_per_second: (
         Annotated[
             float,
             Meta(
-                description="Reads of the revision a second, over the whole fleet.",
+                description="Reads of the revision per second, over the whole fleet.",
                 gt=0.0,
             ),
         ]
@@ -386,7 +415,7 @@
         Annotated[
             int,
             Meta(
-                description="Peers that a new revision is pushed to at once.",
+                description="Number of peers that a new revision is pushed to immediately.",
                 ge=1,
                 le=64,
             ),
@@ -424,7 +453,7 @@
         Annotated[
             int,
             Meta(
-                description="Teams with series of their own; the rest are counted as other.",
+                description="Maximum number of teams with time series of their own; the rest are counted as other.",
                 ge=1,
                 le=10000,
             ),
@@ -434,7 +463,7 @@
         Annotated[
             str,
             Meta(
-                description="URL that metrics are pushed to, besides the scrape."
+                description="URL that metrics are pushed to, in addition to being scraped; empty for none."
             ),
         ]
     ) = ""
@@ -452,7 +481,7 @@
         Annotated[
             str,
             Meta(
-                description="SHA-256 of a token that is an administrator's while the table names no operator; empty for none.",
+                description="SHA-256 of a token that has the administrator role while the table has no operators; empty for none.",
                 max_length=64,
             ),
         ]
--- a/src/topazlug/_generated/table.py
+++ b/src/topazlug/_generated/table.py
@@ -13,7 +13,7 @@
 
 class RequestClass(StrEnum):
     """
-    Interactive work goes before batch work.
+    Class of work; interactive work takes precedence over batch work.
     """
 
     interactive = "interactive"
@@ -22,7 +22,7 @@
 
 class KeyRow(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    One API key, kept as a hash.
+    One API key, stored as a hash.
     """
 
     hash: Annotated[
@@ -40,7 +40,7 @@
         Annotated[
             str,
             Meta(
-                description="RFC 3339 time after which the key is void; empty for none."
+                description="RFC 3339 time at which the key expires; empty for none."
             ),
         ]
     ) = ""
@@ -58,7 +58,7 @@
         Annotated[
             float,
             Meta(
-                description="Share of a pool under overload against other teams.",
+                description="Weight of the team's share of an overloaded pool, relative to other teams.",
                 gt=0.0,
                 le=10000.0,
             ),
@@ -68,7 +68,7 @@
         Annotated[
             float,
             Meta(
-                description="Requests a second over the whole fleet; 0 for none.",
+                description="Maximum requests per second over the whole fleet; 0 for no ceiling.",
                 ge=0.0,
             ),
         ]
@@ -77,7 +77,7 @@
         Annotated[
             int,
             Meta(
-                description="Requests in progress over the whole fleet; 0 for none.",
+                description="Maximum number of requests in progress over the whole fleet; 0 for no ceiling.",
                 ge=0,
             ),
         ]
@@ -110,7 +110,7 @@
         Annotated[
             float,
             Meta(
-                description="Multiple of the mean load that no replica may pass.",
+                description="Maximum load of a replica as a multiple of the mean load.",
                 ge=1.0,
                 le=10.0,
             ),
@@ -119,7 +119,10 @@
     slots: (
         Annotated[
             int,
-            Meta(description="Requests that one replica runs at once.", ge=1),
+            Meta(
+                description="Number of requests that one replica runs concurrently.",
+                ge=1,
+            ),
         ]
     ) = 32
     idempotent_methods: (
@@ -145,7 +148,9 @@
     deadline: (
         Annotated[
             float,
-            Meta(description="Longest time for one call in seconds.", gt=0.0),
+            Meta(
+                description="Maximum duration of one call in seconds.", gt=0.0
+            ),
         ]
     ) = 30.0
 
@@ -159,7 +164,7 @@
     model: Annotated[
         str,
         Meta(
-            description="Model name that callers ask for.",
+            description="Name of the model that callers request.",
             max_length=128,
             min_length=1,
         ),
@@ -168,7 +173,7 @@
         Annotated[
             float,
             Meta(
-                description="Multiple of the mean load that no replica may pass; 0 for the daemon's setting.",
+                description="Maximum load of a replica as a multiple of the mean load; 0 for the daemon's setting.",
                 ge=0.0,
                 le=10.0,
             ),
@@ -177,14 +182,17 @@
     slots: (
         Annotated[
             int,
-            Meta(description="Requests that one replica runs at once.", ge=1),
+            Meta(
+                description="Number of requests that one replica runs concurrently.",
+                ge=1,
+            ),
         ]
     ) = 16
     batch_reserve: (
         Annotated[
             float,
             Meta(
-                description="Part of the slots that batch work may not take; -1 for the daemon's setting.",
+                description="Fraction of the slots that batch work may not use; -1 for the daemon's setting.",
                 ge=-1.0,
                 le=0.9,
             ),
@@ -200,7 +208,7 @@
 
 class OperatorRow(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    One operator's token, kept as a hash.
+    One operator's token, stored as a hash.
     """
 
     name: Annotated[str, Meta(max_length=64, min_length=1)]
@@ -222,7 +230,7 @@
 
 class DrainRow(Struct, kw_only=True, forbid_unknown_fields=True):
     """
-    A replica or availability zone that gets no new work.
+    A replica or availability zone that receives no new work.
     """
 
     name: Annotated[str, Meta(min_length=1)]
