--- a/src/topazlug/_generated/messages.py
+++ b/src/topazlug/_generated/messages.py
@@ -227,7 +227,7 @@
 
 class TurnedAway(Struct, kw_only=True, omit_defaults=True):
     """
-    No replica had free capacity for a request; its caller was given a time to retry.
+    A request was rejected for lack of free capacity on all replicas, and its caller was given a time to retry.
     """
 
     replica: str
--- a/src/topazlug/_generated/settings.py
+++ b/src/topazlug/_generated/settings.py
@@ -381,7 +381,7 @@
         Annotated[
             float,
             Meta(
-                description="Time without contact after which a suspected peer is considered dead.",
+                description="Time for which a peer stays suspected before it is considered dead.",
                 gt=0.0,
             ),
         ]
@@ -390,7 +390,7 @@
         Annotated[
             float,
             Meta(
-                description="Time window in which a target's returns are counted.",
+                description="Time window in which a target's returns to service are counted.",
                 gt=0.0,
             ),
         ]
